--- a/src/main/java/rushpin/accord/Allotment.java
+++ b/src/main/java/rushpin/accord/Allotment.java
@@ -18,11 +18,18 @@
  *     nanoseconds
  * @param tenants how many connections may carry each tenant's requests at once; in order of name
  */
-public record Allotment(String group, long session, long number, int most, int own, int granted, long forget, long halfOpen,
-                        List<Quota> tenants) {
+public record Allotment(
+        String group,
+        long session,
+        long number,
+        int most,
+        int own,
+        int granted,
+        long forget,
+        long halfOpen,
+        List<Quota> tenants) {
     /** A tenant's connections in one process. */
-    public record Quota(String tenant, int connections) {
-    }
+    public record Quota(String tenant, int connections) {}
 
     /** Copies. */
     public Allotment {
--- a/src/main/java/rushpin/accord/Budget.java
+++ b/src/main/java/rushpin/accord/Budget.java
@@ -15,8 +15,17 @@
  * @param shares of sessions, in order, each once
  * @param grants in order of session, each once; those of sessions that are over too, until nothing of them can be open
  */
-public record Budget(String group, Figures figures, long number, long fence, long at, long first, long changes,
-                     List<String> tenants, List<Share> shares, List<Grant> grants) {
+public record Budget(
+        String group,
+        Figures figures,
+        long number,
+        long fence,
+        long at,
+        long first,
+        long changes,
+        List<String> tenants,
+        List<Share> shares,
+        List<Grant> grants) {
     /** The most groups, and the most tenants of one. */
     public static final int MOST_GROUPS = 16, MOST_TENANTS = 64;
     /** The most connections of a group. */
@@ -35,9 +44,16 @@
     public record Figures(int most, int reserve, int own, long halfOpen, long forget) {
         /** Whether these can be. */
         public boolean isSound() {
-            return most >= 0 && most <= MOST_CONNECTIONS && reserve >= 0 && reserve <= MOST_CONNECTIONS && own >= 0
-                && own <= MOST_CONNECTIONS && halfOpen >= 0 && halfOpen <= Terms.LONGEST && forget >= 0
-                && forget <= Terms.LONGEST;
+            return most >= 0
+                    && most <= MOST_CONNECTIONS
+                    && reserve >= 0
+                    && reserve <= MOST_CONNECTIONS
+                    && own >= 0
+                    && own <= MOST_CONNECTIONS
+                    && halfOpen >= 0
+                    && halfOpen <= Terms.LONGEST
+                    && forget >= 0
+                    && forget <= Terms.LONGEST;
         }
     }
 
@@ -65,8 +81,16 @@
      * @param floor the same of {@code own}: what counts from the end of its lease on
      * @param renewed log time of the last renewal once the session is over; {@link #LIVE} before
      */
-    public record Grant(long session, String name, long incarnation, long number, int most, int own, int granted, int floor,
-                        long renewed) {
+    public record Grant(
+            long session,
+            String name,
+            long incarnation,
+            long number,
+            int most,
+            int own,
+            int granted,
+            int floor,
+            long renewed) {
         /** The session is not over. */
         public static final long LIVE = -1;
 
--- a/src/main/java/rushpin/accord/Evidence.java
+++ b/src/main/java/rushpin/accord/Evidence.java
@@ -19,7 +19,12 @@
  */
 public final class Evidence {
     /** What became of a report. */
-    public enum Taken { YES, NOT_NEWER, UNSOUND, NO_ROOM }
+    public enum Taken {
+        YES,
+        NOT_NEWER,
+        UNSOUND,
+        NO_ROOM
+    }
 
     /**
      * A zone as processes see it, in thousandths of what they sent there: what half of them say at least. With
@@ -30,24 +35,29 @@
      * @param mostFailed the higher one of failed
      * @param mostSlow the higher one of slow
      */
-    public record View(String zone, int reporters, int zones, int failed, int slow, int unreachable, int mostFailed,
-                       int mostSlow) {
-    }
+    public record View(
+            String zone,
+            int reporters,
+            int zones,
+            int failed,
+            int slow,
+            int unreachable,
+            int mostFailed,
+            int mostSlow) {}
 
     /** Rows are told by zone and class. */
-    record Row(String zone, String of) {
-    }
+    record Row(String zone, String of) {}
 
     /** Attempts of one process at servers of a zone, in parts of {@link #PARTS}. */
     record Count(long sent, long failed, long slow, long unreachable) {
         static Count of(Report.Seen seen) {
-            return new Count(seen.sent() * PARTS, seen.failed() * PARTS, seen.slow() * PARTS,
-                seen.unreachable() * PARTS);
+            return new Count(
+                    seen.sent() * PARTS, seen.failed() * PARTS, seen.slow() * PARTS, seen.unreachable() * PARTS);
         }
 
         Count plus(Count other) {
-            return new Count(sent + other.sent, failed + other.failed, slow + other.slow,
-                unreachable + other.unreachable);
+            return new Count(
+                    sent + other.sent, failed + other.failed, slow + other.slow, unreachable + other.unreachable);
         }
 
         Count faded() {
@@ -61,8 +71,8 @@
      * @param entered requests a second by class
      * @param served answers a second by zone
      */
-    record Kept(Report report, long at, Map<Row, Count> rows, Map<String, Double> entered, Map<String, Double> served) {
-    }
+    record Kept(
+            Report report, long at, Map<Row, Count> rows, Map<String, Double> entered, Map<String, Double> served) {}
 
     /** Counts fade: a single attempt is to be worth something after some reports. */
     static final long PARTS = 256;
@@ -96,8 +106,9 @@
             return Taken.UNSOUND;
         }
         Kept kept = reports.get(report.process());
-        if (kept != null && (report.session() < kept.report.session()
-            || report.session() == kept.report.session() && report.sequence() <= kept.report.sequence())) {
+        if (kept != null
+                && (report.session() < kept.report.session()
+                        || report.session() == kept.report.session() && report.sequence() <= kept.report.sequence())) {
             return Taken.NOT_NEWER;
         }
         if (kept == null && reports.size() >= most) {
@@ -107,18 +118,22 @@
             }
         }
         // What a process saw before its start, elsewhere or long ago is not what it sees.
-        boolean goesOn = kept != null && kept.report.session() == report.session() && now - kept.at < age
-            && kept.report.zone().equals(report.zone());
+        boolean goesOn = kept != null
+                && kept.report.session() == report.session()
+                && now - kept.at < age
+                && kept.report.zone().equals(report.zone());
         Map<String, Double> entered = new HashMap<>(), served = new HashMap<>();
         if (report.span() > 0) {
-            report.entered().forEach(each -> entered.merge(each.of(), each.count() * NANOS / report.span(), Double::sum));
+            report.entered()
+                    .forEach(each -> entered.merge(each.of(), each.count() * NANOS / report.span(), Double::sum));
             report.seen().forEach(each -> served.merge(each.zone(), each.ok() * NANOS / report.span(), Double::sum));
         }
         if (goesOn && report.span() > 0) {
             smooth(kept.entered, entered, SURE * fewestSent * NANOS / report.span());
             smooth(kept.served, served, fewestSent * NANOS / report.span());
         }
-        reports.put(report.process(), new Kept(report, now, rows(goesOn ? kept.rows : Map.of(), report), entered, served));
+        reports.put(
+                report.process(), new Kept(report, now, rows(goesOn ? kept.rows : Map.of(), report), entered, served));
         return Taken.YES;
     }
 
@@ -161,16 +176,21 @@
 
     /** All that is not too old, as it stands. */
     public Picture picture(long now) {
-        return new Picture(reports.values().stream().filter(kept -> now - kept.at < age).toList(), fewestZones, fewestSent);
+        return new Picture(
+                reports.values().stream().filter(kept -> now - kept.at < age).toList(), fewestZones, fewestSent);
     }
 
     /** What each session said of a group's connections and isn't too old; empty lists of who only takes part. */
     public Map<Long, List<Report.Need>> needs(String group, long now) {
         Map<Long, List<Report.Need>> needs = new TreeMap<>();
         for (Kept kept : reports.values()) {
-            List<Report.Need> told = kept.report.needs().stream().filter(need -> need.group().equals(group)).toList();
+            List<Report.Need> told = kept.report.needs().stream()
+                    .filter(need -> need.group().equals(group))
+                    .toList();
             if (now - kept.at < age && !told.isEmpty()) {
-                needs.put(kept.report.session(), told.stream().filter(need -> !need.tenant().isEmpty()).toList());
+                needs.put(
+                        kept.report.session(),
+                        told.stream().filter(need -> !need.tenant().isEmpty()).toList());
             }
         }
         return needs;
--- a/src/main/java/rushpin/accord/Founding.java
+++ b/src/main/java/rushpin/accord/Founding.java
@@ -29,8 +29,7 @@
  * since. That is found by what a leader knows of its log.
  */
 public final class Founding {
-    private Founding() {
-    }
+    private Founding() {}
 
     /**
      * What a voter says of itself.
@@ -46,8 +45,8 @@
         public Introduction {
             memberIds = List.copyOf(new TreeSet<>(memberIds));
             if (groupId == null != memberIds.isEmpty() || groupId == null && !blank) {
-                throw new IllegalArgumentException("no introduction: blank " + blank + ", group " + groupId + " of "
-                    + memberIds);
+                throw new IllegalArgumentException(
+                        "no introduction: blank " + blank + ", group " + groupId + " of " + memberIds);
             }
         }
     }
@@ -55,31 +54,25 @@
     /** What to do. */
     public sealed interface Step {
         /** Say from now on that this would be founded; need not be stored. */
-        record Offer(UUID group, List<String> memberIds) implements Step {
-        }
+        record Offer(UUID group, List<String> memberIds) implements Step {}
 
         /** Write this group to the folder, then start as one of its members with an empty log. */
-        record Found(UUID group, List<String> memberIds) implements Step {
-        }
+        record Found(UUID group, List<String> memberIds) implements Step {}
 
         /** Start as the id in the folder. */
-        record GoOn(UUID group) implements Step {
-        }
+        record GoOn(UUID group) implements Step {}
 
         /**
          * Write the group to the folder, start, and ask it to be a voter in the place of {@code oldId}; null if it has none
          * of this name. Whoever is no member votes nowhere.
          */
-        record AskToReplace(UUID group, String oldId, String newId) implements Step {
-        }
+        record AskToReplace(UUID group, String oldId, String newId) implements Step {}
 
         /** Nothing yet. */
-        record Wait(String why) implements Step {
-        }
+        record Wait(String why) implements Step {}
 
         /** Nothing, until the operator changes something. */
-        record Refuse(String why) implements Step {
-        }
+        record Refuse(String why) implements Step {}
     }
 
     /** What a group says to one that wants to be a voter of it. */
@@ -110,7 +103,8 @@
 
     /** The group that voters of these ids found: the same for the same era and ids, in any order. */
     public static UUID group(long era, Collection<String> ids) {
-        return UUID.nameUUIDFromBytes((era + "\n" + String.join("\n", new TreeSet<>(ids))).getBytes(StandardCharsets.UTF_8));
+        return UUID.nameUUIDFromBytes(
+                (era + "\n" + String.join("\n", new TreeSet<>(ids))).getBytes(StandardCharsets.UTF_8));
     }
 
     /**
@@ -132,7 +126,8 @@
      * @param heard the newest introduction of each other listed voter, any order; each the answer to a question that was
      *     asked after this start: what was said before it may have been said to a folder that is lost
      */
-    public static Step decide(Introduction self, Collection<String> listed, long folderEra, Collection<Introduction> heard) {
+    public static Step decide(
+            Introduction self, Collection<String> listed, long folderEra, Collection<Introduction> heard) {
         if (!listed.contains(self.name())) {
             return new Step.Refuse("not listed as a voter");
         }
@@ -146,7 +141,8 @@
                 continue;
             }
             others.put(other.name(), other);
-            // A blank one's higher era founds nothing without this voter, so only groups count: one wrong file stops nobody.
+            // A blank one's higher era founds nothing without this voter, so only groups count: one wrong file stops
+            // nobody.
             if (!other.blank() && other.era() > self.era()) {
                 return new Step.Refuse("era " + self.era() + " is lower than " + other.era() + " of " + other.name());
             }
@@ -179,8 +175,8 @@
         for (Introduction other : others.values()) {
             // Where lists of voters differ, offers do.
             if (!group.equals(other.groupId())) {
-                return new Step.Wait(other.name() + " offers "
-                    + (other.groupId() == null ? "nothing yet" : other.memberIds()));
+                return new Step.Wait(
+                        other.name() + " offers " + (other.groupId() == null ? "nothing yet" : other.memberIds()));
             }
         }
         return new Step.Found(group, List.copyOf(ids));
@@ -213,15 +209,22 @@
      * @param changing whether a change of voters is under way
      * @param listed names that the operator lists now
      */
-    public static Answer mayChange(Collection<String> memberIds, Collection<String> there, boolean changing,
-        Collection<String> listed, String oldId, String newId) {
+    public static Answer mayChange(
+            Collection<String> memberIds,
+            Collection<String> there,
+            boolean changing,
+            Collection<String> listed,
+            String oldId,
+            String newId) {
         Set<String> rest = new HashSet<>(memberIds);
         if (rest.contains(newId)) {
             return Answer.ALREADY;
         }
         String name = name(newId);
         boolean other = memberIds.stream().anyMatch(id -> name(id).equals(name) && !id.equals(oldId));
-        if (!listed.contains(name) || other || oldId != null && (!rest.contains(oldId) || !name(oldId).equals(name))) {
+        if (!listed.contains(name)
+                || other
+                || oldId != null && (!rest.contains(oldId) || !name(oldId).equals(name))) {
             return Answer.NOT_ITS_PLACE;
         }
         if (oldId != null && there.contains(oldId)) {
--- a/src/main/java/rushpin/accord/Holding.java
+++ b/src/main/java/rushpin/accord/Holding.java
@@ -32,26 +32,21 @@
      * A command to be sent to any voter; its answer is told with the same number. Numbers begin anew with each start: an
      * answer goes to nobody but the start that asked.
      */
-    public record Ask(long id, Command command) {
-    }
+    public record Ask(long id, Command command) {}
 
     /** What changed for this process. */
     public sealed interface Event {
         /** The resource is this process's while the lease is alive. */
-        record Gained(String resource, long fence) implements Event {
-        }
+        record Gained(String resource, long fence) implements Event {}
 
         /** It is so no more: nothing may be begun by it. */
-        record Lost(String resource, long fence) implements Event {
-        }
+        record Lost(String resource, long fence) implements Event {}
 
         /** Another one has it; it is asked for again. */
-        record Held(String resource, String by) implements Event {
-        }
+        record Held(String resource, String by) implements Event {}
 
         /** The fleet refuses the resource, or the session where it is empty; it is asked for again. */
-        record Refused(String resource, Reason reason) implements Event {
-        }
+        record Refused(String resource, Reason reason) implements Event {}
     }
 
     /**
@@ -70,13 +65,21 @@
     }
 
     /** A command that is out since a moment of own time. */
-    record Out(Command command, long asked) {
-    }
+    record Out(Command command, long asked) {}
 
     /** All that it remembers, as a value. */
-    record Memory(Terms terms, long session, long ended, long until, long again, long asks, long leaveBy, boolean over,
-        long forgotten, Map<String, Item> items, Map<Long, Out> out) {
-    }
+    record Memory(
+            Terms terms,
+            long session,
+            long ended,
+            long until,
+            long again,
+            long asks,
+            long leaveBy,
+            boolean over,
+            long forgotten,
+            Map<String, Item> items,
+            Map<Long, Out> out) {}
 
     private final Who who;
     private final long patience;
@@ -86,9 +89,11 @@
     private Terms terms;
     /** The session, 0 for none, and the greatest one that is known to be over. */
     private long session, ended;
+
     private long until, again, asks;
     /** The greatest fence given back of resources that are forgotten; 0 for none. */
     private long forgotten;
+
     private long leaveBy = NEVER;
     private boolean over;
 
@@ -124,8 +129,18 @@
 
     /** All that it remembers. */
     Memory memory() {
-        return new Memory(terms, session, ended, until, again, asks, leaveBy, over, forgotten,
-            new TreeMap<>(items), new TreeMap<>(out));
+        return new Memory(
+                terms,
+                session,
+                ended,
+                until,
+                again,
+                asks,
+                leaveBy,
+                over,
+                forgotten,
+                new TreeMap<>(items),
+                new TreeMap<>(out));
     }
 
     /** Whether the lease is alive: asked at the last moment before anything is begun by it. */
@@ -185,8 +200,11 @@
     public void giveBack(String resource, long now) {
         Item item = items.get(resource);
         if (item != null && item.wanted) {
-            items.put(resource, item.known == 0 ? new Item(false, 0, false, item.back, item.owed, now)
-                : new Item(false, 0, false, item.known, item.known, now));
+            items.put(
+                    resource,
+                    item.known == 0
+                            ? new Item(false, 0, false, item.back, item.owed, now)
+                            : new Item(false, 0, false, item.known, item.known, now));
             forget(now);
         }
     }
@@ -288,7 +306,8 @@
 
     private boolean acquiring(String resource) {
         for (Out asked : out.values()) {
-            if (asked.command instanceof Command.Acquire acquire && acquire.resource().equals(resource)) {
+            if (asked.command instanceof Command.Acquire acquire
+                    && acquire.resource().equals(resource)) {
                 return true;
             }
         }
--- a/src/main/java/rushpin/accord/Ledger.java
+++ b/src/main/java/rushpin/accord/Ledger.java
@@ -26,6 +26,7 @@
     private List<String> tenants = List.of();
     /** The least log time at which something that is over counts less; what was told in this entry. */
     private long due = Long.MAX_VALUE;
+
     private boolean isSettled;
     private final TreeSet<Long> told = new TreeSet<>();
 
@@ -55,16 +56,28 @@
         tenants = from.tenants();
         from.shares().forEach(share -> shares.put(share.session(), share));
         for (Budget.Grant grant : from.grants()) {
-            if (grant.most() > grant.granted() || grant.own() > grant.floor() || grant.floor() > grant.granted()
-                || grant.number() > changes || grants.put(grant.session(), grant) != null) {
+            if (grant.most() > grant.granted()
+                    || grant.own() > grant.floor()
+                    || grant.floor() > grant.granted()
+                    || grant.number() > changes
+                    || grants.put(grant.session(), grant) != null) {
                 throw new IllegalArgumentException("no state: " + grant);
             }
         }
     }
 
     Budget value() {
-        return new Budget(group, figures, number, fence, at, first, changes, tenants, List.copyOf(shares.values()),
-            List.copyOf(grants.values()));
+        return new Budget(
+                group,
+                figures,
+                number,
+                fence,
+                at,
+                first,
+                changes,
+                tenants,
+                List.copyOf(shares.values()),
+                List.copyOf(grants.values()));
     }
 
     long number() {
@@ -78,22 +91,29 @@
 
     /** Whether it is the same division again, whose answer was lost. */
     boolean isSame(Command.Divide divide) {
-        return number == divide.after() + 1 && fence == divide.fence() && figures.equals(divide.figures())
-            && tenants.equals(divide.tenants()) && List.copyOf(shares.values()).equals(divide.shares());
+        return number == divide.after() + 1
+                && fence == divide.fence()
+                && figures.equals(divide.figures())
+                && tenants.equals(divide.tenants())
+                && List.copyOf(shares.values()).equals(divide.shares());
     }
 
     /** Whether it can be one: in order, each once, not more than there is. */
     static boolean isWhole(Command.Divide divide) {
         Set<String> names = new HashSet<>(divide.tenants());
-        if (divide.tenants().size() > Budget.MOST_TENANTS || names.size() < divide.tenants().size()
-            || !divide.tenants().stream().allMatch(Who::isName) || !divide.figures().isSound()) {
+        if (divide.tenants().size() > Budget.MOST_TENANTS
+                || names.size() < divide.tenants().size()
+                || !divide.tenants().stream().allMatch(Who::isName)
+                || !divide.figures().isSound()) {
             return false;
         }
         long sum = 0, last = 0;
         for (Budget.Share share : divide.shares()) {
             sum += share.connections();
-            if (share.session() <= last || share.connections() < 0 || share.tenants().size() != divide.tenants().size()
-                || share.tenants().stream().anyMatch(each -> each < 0 || each > Budget.MOST_CONNECTIONS)) {
+            if (share.session() <= last
+                    || share.connections() < 0
+                    || share.tenants().size() != divide.tenants().size()
+                    || share.tenants().stream().anyMatch(each -> each < 0 || each > Budget.MOST_CONNECTIONS)) {
                 return false;
             }
             last = share.session();
@@ -110,7 +130,9 @@
         Set<Long> others = new HashSet<>();
         for (Budget.Share share : divide.shares()) {
             Budget.Share before = shares.get(share.session());
-            if (before == null || !divide.tenants().equals(tenants) || !before.tenants().equals(share.tenants())) {
+            if (before == null
+                    || !divide.tenants().equals(tenants)
+                    || !before.tenants().equals(share.tenants())) {
                 others.add(share.session());
             }
         }
@@ -144,8 +166,18 @@
             changes = next.getAsLong();
             told.add(grant.session());
         }
-        grants.put(grant.session(), new Budget.Grant(grant.session(), grant.name(), grant.incarnation(),
-            other ? changes : grant.number(), most, own, granted, Math.max(own, grant.floor()), grant.renewed()));
+        grants.put(
+                grant.session(),
+                new Budget.Grant(
+                        grant.session(),
+                        grant.name(),
+                        grant.incarnation(),
+                        other ? changes : grant.number(),
+                        most,
+                        own,
+                        granted,
+                        Math.max(own, grant.floor()),
+                        grant.renewed()));
     }
 
     /** A session has closed down; by any word but the one that counts that changes nothing. */
@@ -156,12 +188,32 @@
         }
         int granted = Math.min(grant.granted(), to);
         // By this word it goes by no earlier one's own part either.
-        Budget.Grant ceded = new Budget.Grant(session, grant.name(), grant.incarnation(), word, grant.most(), grant.own(),
-            granted, Math.min(grant.own(), granted), grant.renewed());
+        Budget.Grant ceded = new Budget.Grant(
+                session,
+                grant.name(),
+                grant.incarnation(),
+                word,
+                grant.most(),
+                grant.own(),
+                granted,
+                Math.min(grant.own(), granted),
+                grant.renewed());
         if (granted < grant.most()) {
             shares.computeIfPresent(session, (any, share) -> new Budget.Share(session, granted, share.tenants()));
-            tell(new Budget.Grant(session, grant.name(), grant.incarnation(), word, grant.most(), grant.own(), granted, 0,
-                grant.renewed()), granted, granted, false);
+            tell(
+                    new Budget.Grant(
+                            session,
+                            grant.name(),
+                            grant.incarnation(),
+                            word,
+                            grant.most(),
+                            grant.own(),
+                            granted,
+                            0,
+                            grant.renewed()),
+                    granted,
+                    granted,
+                    false);
         } else {
             grants.put(session, ceded);
         }
@@ -181,8 +233,16 @@
         for (int i = 0; share != null && i < tenants.size(); i++) {
             quotas.add(new Allotment.Quota(tenants.get(i), share.tenants().get(i)));
         }
-        return new Allotment(group, session, grant.number(), grant.most(), grant.own(), grant.granted(), forget,
-            figures.halfOpen(), quotas);
+        return new Allotment(
+                group,
+                session,
+                grant.number(),
+                grant.most(),
+                grant.own(),
+                grant.granted(),
+                forget,
+                figures.halfOpen(),
+                quotas);
     }
 
     /** Whether nothing is left of it. */
@@ -193,8 +253,18 @@
     /** A session is over; nothing of it is free yet. */
     void over(long session, long renewed) {
         shares.remove(session);
-        grants.computeIfPresent(session, (any, grant) -> new Budget.Grant(session, grant.name(), grant.incarnation(),
-            grant.number(), grant.most(), grant.own(), grant.granted(), grant.floor(), renewed));
+        grants.computeIfPresent(
+                session,
+                (any, grant) -> new Budget.Grant(
+                        session,
+                        grant.name(),
+                        grant.incarnation(),
+                        grant.number(),
+                        grant.most(),
+                        grant.own(),
+                        grant.granted(),
+                        grant.floor(),
+                        renewed));
         isSettled = false;
     }
 
@@ -202,16 +272,35 @@
     void goesOn(Who who, long session) {
         Budget.Grant grant = null;
         for (Budget.Grant each : grants.values()) {
-            if (!each.isLive() && each.incarnation() == who.incarnation() && each.name().equals(who.name())) {
+            if (!each.isLive()
+                    && each.incarnation() == who.incarnation()
+                    && each.name().equals(who.name())) {
                 grant = each;
             }
         }
         if (grant != null) {
             grants.remove(grant.session());
             // No share yet: it closes down to what it keeps when it is cut off, which is all that it has open by then.
-            tell(new Budget.Grant(session, grant.name(), grant.incarnation(), 0, 0, 0, grant.granted(), grant.floor(),
-                Budget.Grant.LIVE), grant.floor(), grant.granted(), true);
-            shares.put(session, new Budget.Share(session, grant.floor(), tenants.stream().map(each -> 0).toList()));
+            tell(
+                    new Budget.Grant(
+                            session,
+                            grant.name(),
+                            grant.incarnation(),
+                            0,
+                            0,
+                            0,
+                            grant.granted(),
+                            grant.floor(),
+                            Budget.Grant.LIVE),
+                    grant.floor(),
+                    grant.granted(),
+                    true);
+            shares.put(
+                    session,
+                    new Budget.Share(
+                            session,
+                            grant.floor(),
+                            tenants.stream().map(each -> 0).toList()));
         }
     }
 
@@ -220,7 +309,8 @@
         if (!isSettled || now >= due) {
             isSettled = true;
             due = Long.MAX_VALUE;
-            long waiting = terms.waiting(Math.max(terms.lease(), figures.forget()) + terms.effect() + figures.halfOpen());
+            long waiting =
+                    terms.waiting(Math.max(terms.lease(), figures.forget()) + terms.effect() + figures.halfOpen());
             fade(now, terms.waiting(terms.lease() + terms.effect() + figures.halfOpen()), waiting);
             if (era > 1 && now < first + waiting) {
                 // What processes may still have open of the era before is not known.
@@ -246,8 +336,18 @@
             }
             boolean isDown = now >= grant.renewed() + beyondOwn;
             if (isDown) {
-                grants.put(grant.session(), new Budget.Grant(grant.session(), grant.name(), grant.incarnation(),
-                    grant.number(), grant.own(), grant.own(), grant.floor(), grant.floor(), grant.renewed()));
+                grants.put(
+                        grant.session(),
+                        new Budget.Grant(
+                                grant.session(),
+                                grant.name(),
+                                grant.incarnation(),
+                                grant.number(),
+                                grant.own(),
+                                grant.own(),
+                                grant.floor(),
+                                grant.floor(),
+                                grant.renewed()));
             }
             due = Math.min(due, grant.renewed() + (isDown ? all : beyondOwn));
         }
@@ -268,8 +368,22 @@
                 if (more > 0) {
                     free -= more;
                     Who who = whos.apply(share.session());
-                    tell(grant != null ? grant : new Budget.Grant(share.session(), who.name(), who.incarnation(), 0, 0, 0, 0,
-                        0, Budget.Grant.LIVE), granted + more, granted + more, false);
+                    tell(
+                            grant != null
+                                    ? grant
+                                    : new Budget.Grant(
+                                            share.session(),
+                                            who.name(),
+                                            who.incarnation(),
+                                            0,
+                                            0,
+                                            0,
+                                            0,
+                                            0,
+                                            Budget.Grant.LIVE),
+                            granted + more,
+                            granted + more,
+                            false);
                 }
             }
         }
--- a/src/main/java/rushpin/accord/Machine.java
+++ b/src/main/java/rushpin/accord/Machine.java
@@ -52,7 +52,7 @@
 
     private static final Outcome DONE = new Outcome.Done();
     private static final Comparator<State.Session> BY_END =
-        Comparator.comparingLong(State.Session::until).thenComparingLong(State.Session::number);
+            Comparator.comparingLong(State.Session::until).thenComparingLong(State.Session::number);
 
     private final TreeMap<Long, State.Session> sessions = new TreeMap<>();
     private final TreeSet<State.Session> byEnd = new TreeSet<>(BY_END);
@@ -116,7 +116,8 @@
         Outcome outcome = apply(entry.command(), decisions);
         if (!ledgers.isEmpty()) {
             for (Ledger ledger : ledgers.values()) {
-                for (Allotment word : ledger.settle(now, terms, era, session -> sessions.get(session).who())) {
+                for (Allotment word : ledger.settle(
+                        now, terms, era, session -> sessions.get(session).who())) {
                     decisions.add(new Decision.Allotted(word));
                 }
             }
@@ -192,7 +193,9 @@
     }
 
     private Outcome join(Who who, List<Decision> decisions) {
-        if (!Who.isName(who.name()) || !Who.isName(who.zone()) || !who.region().isEmpty() && !Who.isName(who.region())) {
+        if (!Who.isName(who.name())
+                || !Who.isName(who.zone())
+                || !who.region().isEmpty() && !Who.isName(who.region())) {
             return refused(Reason.BAD_NAME);
         }
         List<Long> ofName = byName.getOrDefault(who.name(), List.of());
@@ -237,8 +240,11 @@
         }
         State.Holder holder = holders.get(acquire.resource());
         if (holder != null) {
-            return holder.session() == acquire.session() ? new Outcome.Granted(holder.resource(), holder.fence())
-                : new Outcome.Held(holder.resource(), sessions.get(holder.session()).who().name());
+            return holder.session() == acquire.session()
+                    ? new Outcome.Granted(holder.resource(), holder.fence())
+                    : new Outcome.Held(
+                            holder.resource(),
+                            sessions.get(holder.session()).who().name());
         }
         if (byName.containsKey(FORMER.name())) {
             return new Outcome.Held(acquire.resource(), FORMER.name());
@@ -308,7 +314,9 @@
         if ((ledger == null ? 0 : ledger.number()) != divide.after()) {
             return refused(Reason.STALE_DIVISION);
         }
-        if (!Who.isName(divide.group()) || !Ledger.isWhole(divide) || ledger != null && !ledger.mayBe(divide.figures())) {
+        if (!Who.isName(divide.group())
+                || !Ledger.isWhole(divide)
+                || ledger != null && !ledger.mayBe(divide.figures())) {
             return refused(Reason.BAD_DIVISION);
         }
         if (ledger == null) {
@@ -379,14 +387,25 @@
 
     /** The least level of the sessions that have not ended; 0 without any. */
     public int level() {
-        return sessions.values().stream().map(State.Session::who).filter(who -> !who.equals(FORMER)).mapToInt(Who::level)
-            .min().orElse(0);
+        return sessions.values().stream()
+                .map(State.Session::who)
+                .filter(who -> !who.equals(FORMER))
+                .mapToInt(Who::level)
+                .min()
+                .orElse(0);
     }
 
     /** All of it, as a value. */
     public State state() {
-        return new State(era, terms, now, last, List.copyOf(sessions.values()), List.copyOf(holders.values()), plan,
-            ledgers.values().stream().map(Ledger::value).toList());
+        return new State(
+                era,
+                terms,
+                now,
+                last,
+                List.copyOf(sessions.values()),
+                List.copyOf(holders.values()),
+                plan,
+                ledgers.values().stream().map(Ledger::value).toList());
     }
 
     /** The era that was founded; 0 before. */
--- a/src/main/java/rushpin/accord/Picture.java
+++ b/src/main/java/rushpin/accord/Picture.java
@@ -37,10 +37,10 @@
     public static final int CLIP = 4;
     /** Reporters that a fleet's view and that of one zone take at least. */
     private static final int FEWEST = 3, FEWEST_NEAR = 2;
+
     private static final double EPSILON = 1e-9;
 
-    private record Voice(String where, Count count) {
-    }
+    private record Voice(String where, Count count) {}
 
     private final int fewestZones;
     private final long fewestSent;
@@ -59,25 +59,33 @@
         Map<String, List<Kept>> byZone = new TreeMap<>();
         Map<String, List<Report.Stock>> told = new TreeMap<>();
         for (Kept kept : all) {
-            byZone.computeIfAbsent(kept.report().zone(), zone -> new ArrayList<>()).add(kept);
+            byZone.computeIfAbsent(kept.report().zone(), zone -> new ArrayList<>())
+                    .add(kept);
             if (kept.report().trouble() <= TROUBLED) {
                 hear(kept);
                 lately(kept.report());
                 for (Report.Stock stock : kept.report().stocks()) {
-                    told.computeIfAbsent(stock.zone(), zone -> new ArrayList<>()).add(stock);
+                    told.computeIfAbsent(stock.zone(), zone -> new ArrayList<>())
+                            .add(stock);
                 }
             }
         }
-        double[] sums = all.stream().filter(kept -> kept.report().span() > 0)
-            .mapToDouble(kept -> kept.served().values().stream().mapToDouble(rate -> rate).sum()).sorted().toArray();
+        double[] sums = all.stream()
+                .filter(kept -> kept.report().span() > 0)
+                .mapToDouble(kept -> kept.served().values().stream()
+                        .mapToDouble(rate -> rate)
+                        .sum())
+                .sorted()
+                .toArray();
         double most = sums.length == 0 ? 0 : CLIP * sums[(sums.length - 1) / 2];
         byZone.forEach((zone, there) -> {
             reporters.put(zone, there.size());
             demand(zone, there);
             served(zone, there, most);
         });
-        told.forEach((zone, said) -> stocks.put(zone, new Report.Stock(zone, (int) middle(said, Report.Stock::ready),
-            middle(said, Report.Stock::warm))));
+        told.forEach((zone, said) -> stocks.put(
+                zone,
+                new Report.Stock(zone, (int) middle(said, Report.Stock::ready), middle(said, Report.Stock::warm))));
     }
 
     private void hear(Kept kept) {
@@ -91,21 +99,28 @@
         // Who holds out all that a zone has sends little there and sees nothing new: it goes on telling that it does.
         for (Report.Stock stock : kept.report().stocks()) {
             if (stock.isHeldOut()) {
-                whole.merge(stock.zone(), new Count(fewestSent, fewestSent, 0, 0),
-                    (count, failed) -> count.sent() < fewestSent ? failed : count);
+                whole.merge(
+                        stock.zone(),
+                        new Count(fewestSent, fewestSent, 0, 0),
+                        (count, failed) -> count.sent() < fewestSent ? failed : count);
             }
         }
         whole.forEach((zone, count) -> add(new Row(zone, ""), kept.report().zone(), count));
     }
 
     private void lately(Report report) {
-        report.seen().stream().filter(seen -> seen.sent() > 0 && !seen.zone().equals(report.zone())).map(Count::of)
-            .reduce(Count::plus)
-            .ifPresent(count -> lately.computeIfAbsent(report.zone(), any -> new ArrayList<>()).add(count));
+        report.seen().stream()
+                .filter(seen -> seen.sent() > 0 && !seen.zone().equals(report.zone()))
+                .map(Count::of)
+                .reduce(Count::plus)
+                .ifPresent(count -> lately.computeIfAbsent(report.zone(), any -> new ArrayList<>())
+                        .add(count));
     }
 
     private void add(Row row, String where, Count count) {
-        seen.computeIfAbsent(row, any -> new TreeMap<>()).computeIfAbsent(where, any -> new ArrayList<>()).add(count);
+        seen.computeIfAbsent(row, any -> new TreeMap<>())
+                .computeIfAbsent(where, any -> new ArrayList<>())
+                .add(count);
     }
 
     private static long middle(List<Report.Stock> said, ToLongFunction<Report.Stock> which) {
@@ -115,13 +130,20 @@
 
     /** Sums rates by name; none counts for more than {@link #CLIP} times the lower median of those that tell. */
     private static Map<String, Double> clipped(List<Kept> there, Function<Kept, Map<String, Double>> rates) {
-        List<Map<String, Double>> all = there.stream().filter(kept -> kept.report().span() > 0).map(rates).toList();
+        List<Map<String, Double>> all = there.stream()
+                .filter(kept -> kept.report().span() > 0)
+                .map(rates)
+                .toList();
         Map<String, Double> sums = new TreeMap<>();
         all.forEach(each -> each.keySet().forEach(name -> sums.put(name, 0.0)));
         for (Map.Entry<String, Double> sum : sums.entrySet()) {
-            double[] values = all.stream().mapToDouble(each -> each.getOrDefault(sum.getKey(), 0.0)).sorted().toArray();
+            double[] values = all.stream()
+                    .mapToDouble(each -> each.getOrDefault(sum.getKey(), 0.0))
+                    .sorted()
+                    .toArray();
             double most = values.length == 1 ? values[0] : CLIP * values[(values.length - 1) / 2];
-            sum.setValue(Arrays.stream(values).map(value -> Math.min(value, most)).sum());
+            sum.setValue(
+                    Arrays.stream(values).map(value -> Math.min(value, most)).sum());
         }
         return sums;
     }
@@ -136,8 +158,8 @@
     private void served(String where, List<Kept> there, double most) {
         Map<String, Double> rates = clipped(there, Kept::served);
         boolean alone = there.stream().filter(kept -> kept.report().span() > 0).count() == 1;
-        rates.forEach((zone, rate) -> served.merge(zone, alone && !zone.equals(where) ? Math.min(rate, most) : rate,
-            Double::sum));
+        rates.forEach((zone, rate) ->
+                served.merge(zone, alone && !zone.equals(where) ? Math.min(rate, most) : rate, Double::sum));
         if (alone) {
             rates.keySet().retainAll(Set.of(where));
         }
@@ -194,8 +216,10 @@
      */
     public int fromOthers(String zone) {
         long all = 0, others = 0;
-        for (Map.Entry<String, List<Count>> each : seen.getOrDefault(new Row(zone, ""), Map.of()).entrySet()) {
-            long[] sent = each.getValue().stream().mapToLong(Count::sent).sorted().toArray();
+        for (Map.Entry<String, List<Count>> each :
+                seen.getOrDefault(new Row(zone, ""), Map.of()).entrySet()) {
+            long[] sent =
+                    each.getValue().stream().mapToLong(Count::sent).sorted().toArray();
             long sum = sent.length * sent[(sent.length - 1) / 2];
             all += sum;
             others += each.getKey().equals(zone) ? 0 : sum;
@@ -249,8 +273,13 @@
      * than two there sent anything.
      */
     public Optional<View> elsewhere(String where) {
-        return view("", lately.getOrDefault(where, List.of()).stream().map(count -> new Voice(where, count)).toList(),
-            FEWEST_NEAR, 1);
+        return view(
+                "",
+                lately.getOrDefault(where, List.of()).stream()
+                        .map(count -> new Voice(where, count))
+                        .toList(),
+                FEWEST_NEAR,
+                1);
     }
 
     private void speak(String where, List<Count> counts, List<Voice> voices) {
@@ -287,8 +316,15 @@
             weights[i] = Math.min(weights[i], most);
         }
         int[] failed = medians(voices, weights, Count::failed), slow = medians(voices, weights, Count::slow);
-        return Optional.of(new View(zone, voices.size(), of.size(), failed[0], slow[0],
-            medians(voices, weights, Count::unreachable)[0], failed[1], slow[1]));
+        return Optional.of(new View(
+                zone,
+                voices.size(),
+                of.size(),
+                failed[0],
+                slow[0],
+                medians(voices, weights, Count::unreachable)[0],
+                failed[1],
+                slow[1]));
     }
 
     /** The lower and the higher one. */
--- a/src/main/java/rushpin/accord/Plan.java
+++ b/src/main/java/rushpin/accord/Plan.java
@@ -26,7 +26,7 @@
     public static final Comparator<Way> WAYS = Comparator.comparing(Way::from).thenComparing(Way::of);
     /** In which marks stand in a plan. */
     public static final Comparator<Mark> MARKS =
-        Comparator.comparing(Mark::from).thenComparing(Mark::zone).thenComparing(Mark::of);
+            Comparator.comparing(Mark::from).thenComparing(Mark::zone).thenComparing(Mark::of);
     /** The most marks of a plan. */
     public static final int MOST_MARKS = 256;
 
@@ -73,8 +73,12 @@
      */
     public record Mark(String from, String zone, String of, int open, long since, int relapses) {
         boolean isSound() {
-            return (from.isEmpty() || Who.isName(from)) && Who.isName(zone) && (of.isEmpty() || Who.isName(of)) && open >= 0
-                && open <= WHOLE && relapses >= 0;
+            return (from.isEmpty() || Who.isName(from))
+                    && Who.isName(zone)
+                    && (of.isEmpty() || Who.isName(of))
+                    && open >= 0
+                    && open <= WHOLE
+                    && relapses >= 0;
         }
     }
 
@@ -94,10 +98,15 @@
 
     /** Its ways in one word, {@code FROM[/CLASS]>TO=THOUSANDTHS[+SPARE],...;...}; a dash for none. */
     public String text() {
-        return ways.isEmpty() ? "-" : ways.stream().map(way -> way.from + (way.of.isEmpty() ? "" : "/" + way.of) + ">"
-            + way.parts.stream().map(part -> part.to + "=" + part.thousandths
-                + (part.spare > 0 ? "+" + part.spare : "")).collect(Collectors.joining(",")))
-            .collect(Collectors.joining(";"));
+        return ways.isEmpty()
+                ? "-"
+                : ways.stream()
+                        .map(way -> way.from + (way.of.isEmpty() ? "" : "/" + way.of) + ">"
+                                + way.parts.stream()
+                                        .map(part -> part.to + "=" + part.thousandths
+                                                + (part.spare > 0 ? "+" + part.spare : ""))
+                                        .collect(Collectors.joining(",")))
+                        .collect(Collectors.joining(";"));
     }
 
     /** By fence first: a fleet that is founded anew numbers its plans anew, and its fences go on growing. */
@@ -141,8 +150,12 @@
         int sum = 0, spare = 0;
         for (Part part : way.parts) {
             // Each part is at most the whole, and there are few: the sum can't overflow.
-            if (!Who.isName(part.to) || !named.add(part.to) || part.thousandths < 1 || part.thousandths > WHOLE
-                || part.spare < 0 || part.spare > WHOLE) {
+            if (!Who.isName(part.to)
+                    || !named.add(part.to)
+                    || part.thousandths < 1
+                    || part.thousandths > WHOLE
+                    || part.spare < 0
+                    || part.spare > WHOLE) {
                 return false;
             }
             sum += part.thousandths;
--- a/src/main/java/rushpin/accord/Report.java
+++ b/src/main/java/rushpin/accord/Report.java
@@ -18,8 +18,17 @@
  * @param needs connections that its tenants' requests take and wait for; {@link #MOST_NEEDS} at most, each group and tenant
  *     once
  */
-public record Report(long session, long sequence, String process, String zone, long span, int trouble, List<Seen> seen,
-                     List<Stock> stocks, List<Entered> entered, List<Need> needs) {
+public record Report(
+        long session,
+        long sequence,
+        String process,
+        String zone,
+        long span,
+        int trouble,
+        List<Seen> seen,
+        List<Stock> stocks,
+        List<Entered> entered,
+        List<Need> needs) {
     /**
      * Attempts at servers of one zone. Those that are slow are counted among the others too; those that are unreachable got
      * no connection, and count among the failed.
@@ -33,8 +42,16 @@
         }
 
         boolean isSound() {
-            return Who.isName(zone) && isClass(of) && ok >= 0 && slow >= 0 && unreachable >= 0 && unreachable <= failed
-                && sent <= MOST && ok <= sent && failed <= sent - ok && slow <= sent;
+            return Who.isName(zone)
+                    && isClass(of)
+                    && ok >= 0
+                    && slow >= 0
+                    && unreachable >= 0
+                    && unreachable <= failed
+                    && sent <= MOST
+                    && ok <= sent
+                    && failed <= sent - ok
+                    && slow <= sent;
         }
     }
 
@@ -57,8 +74,13 @@
         }
 
         boolean isSound() {
-            return Who.isName(zone) && ready >= 0 && ready <= MOST_READY && warm >= 0 && warm <= MOST && held >= 0
-                && held <= ready;
+            return Who.isName(zone)
+                    && ready >= 0
+                    && ready <= MOST_READY
+                    && warm >= 0
+                    && warm <= MOST
+                    && held >= 0
+                    && held <= ready;
         }
     }
 
@@ -77,7 +99,11 @@
      */
     public record Need(String group, String tenant, int wanted, int used) {
         boolean isSound() {
-            return Who.isName(group) && isClass(tenant) && used >= 0 && used <= wanted && wanted <= Budget.MOST_CONNECTIONS;
+            return Who.isName(group)
+                    && isClass(tenant)
+                    && used >= 0
+                    && used <= wanted
+                    && wanted <= Budget.MOST_CONNECTIONS;
         }
     }
 
@@ -85,6 +111,7 @@
     public static final long MOST = 1L << 32;
     /** The most rows of attempts and of classes: what fits the bytes of a report. */
     public static final int MOST_SEEN = 256, MOST_ENTERED = 64, MOST_NEEDS = 128;
+
     private static final int MOST_READY = 1 << 20;
 
     /** Copies. */
@@ -96,8 +123,16 @@
     }
 
     /** Without needs. */
-    public Report(long session, long sequence, String process, String zone, long span, int trouble, List<Seen> seen,
-                  List<Stock> stocks, List<Entered> entered) {
+    public Report(
+            long session,
+            long sequence,
+            String process,
+            String zone,
+            long span,
+            int trouble,
+            List<Seen> seen,
+            List<Stock> stocks,
+            List<Entered> entered) {
         this(session, sequence, process, zone, span, trouble, seen, stocks, entered, List.of());
     }
 
@@ -118,12 +153,24 @@
 
     /** Whether it can be true: names, bounds, counts that fit together. */
     public boolean isSound() {
-        return session > 0 && Who.isName(process) && Who.isName(zone) && span >= 0 && trouble >= 0 && trouble <= Plan.WHOLE
-            && seen.size() <= MOST_SEEN && stocks.size() <= Plan.MOST_ZONES && entered.size() <= MOST_ENTERED
-            && seen.stream().allMatch(Seen::isSound) && stocks.stream().allMatch(Stock::isSound)
-            && entered.stream().allMatch(Entered::isSound) && once(seen, each -> List.of(each.zone, each.of))
-            && once(stocks, Stock::zone) && once(entered, Entered::of) && needs.size() <= MOST_NEEDS
-            && needs.stream().allMatch(Need::isSound) && once(needs, each -> List.of(each.group, each.tenant));
+        return session > 0
+                && Who.isName(process)
+                && Who.isName(zone)
+                && span >= 0
+                && trouble >= 0
+                && trouble <= Plan.WHOLE
+                && seen.size() <= MOST_SEEN
+                && stocks.size() <= Plan.MOST_ZONES
+                && entered.size() <= MOST_ENTERED
+                && seen.stream().allMatch(Seen::isSound)
+                && stocks.stream().allMatch(Stock::isSound)
+                && entered.stream().allMatch(Entered::isSound)
+                && once(seen, each -> List.of(each.zone, each.of))
+                && once(stocks, Stock::zone)
+                && once(entered, Entered::of)
+                && needs.size() <= MOST_NEEDS
+                && needs.stream().allMatch(Need::isSound)
+                && once(needs, each -> List.of(each.group, each.tenant));
     }
 
     private static <T> boolean once(List<T> all, Function<T, Object> by) {
--- a/src/main/java/rushpin/accord/State.java
+++ b/src/main/java/rushpin/accord/State.java
@@ -10,15 +10,20 @@
  * @param now log time of the last entry
  * @param last the last session or fence given, without the era
  */
-public record State(long era, Terms terms, long now, long last, List<Session> sessions, List<Holder> holders, Plan plan,
-                    List<Budget> budgets) {
+public record State(
+        long era,
+        Terms terms,
+        long now,
+        long last,
+        List<Session> sessions,
+        List<Holder> holders,
+        Plan plan,
+        List<Budget> budgets) {
     /** A session; {@code until} is log time. */
-    public record Session(long number, Who who, long until) {
-    }
+    public record Session(long number, Who who, long until) {}
 
     /** Who holds a resource. */
-    public record Holder(String resource, long session, long fence) {
-    }
+    public record Holder(String resource, long session, long fence) {}
 
     /** Before the founding. */
     public static final State EMPTY = new State(0, null, 0, 0, List.of(), List.of(), Plan.NONE);
--- a/src/main/java/rushpin/accord/Terms.java
+++ b/src/main/java/rushpin/accord/Terms.java
@@ -17,10 +17,16 @@
 
     /** Checks the bounds. */
     public Terms {
-        if (lease <= 0 || lease > LONGEST || effect < 0 || effect > LONGEST || drift < 0 || drift >= MILLION / 2
-            || mostSessions < 1 || mostHeld < 1) {
+        if (lease <= 0
+                || lease > LONGEST
+                || effect < 0
+                || effect > LONGEST
+                || drift < 0
+                || drift >= MILLION / 2
+                || mostSessions < 1
+                || mostHeld < 1) {
             throw new IllegalArgumentException("terms out of bounds: lease " + lease + ", effect " + effect + ", drift "
-                + drift + ", sessions " + mostSessions + ", held " + mostHeld);
+                    + drift + ", sessions " + mostSessions + ", held " + mostHeld);
         }
     }
 
--- a/src/main/java/rushpin/accord/Who.java
+++ b/src/main/java/rushpin/accord/Who.java
@@ -20,8 +20,13 @@
         }
         for (int i = 0; i < name.length(); i++) {
             char letter = name.charAt(i);
-            boolean legal = letter >= 'a' && letter <= 'z' || letter >= 'A' && letter <= 'Z'
-                || letter >= '0' && letter <= '9' || letter == '.' || letter == '-' || letter == '_' || letter == ':';
+            boolean legal = letter >= 'a' && letter <= 'z'
+                    || letter >= 'A' && letter <= 'Z'
+                    || letter >= '0' && letter <= '9'
+                    || letter == '.'
+                    || letter == '-'
+                    || letter == '_'
+                    || letter == ':';
             if (!legal) {
                 return false;
             }
--- a/src/main/java/rushpin/accord/log/Copy.java
+++ b/src/main/java/rushpin/accord/log/Copy.java
@@ -77,6 +77,7 @@
     private final Ear ear;
     /** What the log waits for with each write to the disk. */
     private final Supplier<CompletableFuture<Void>> store;
+
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     /** The log's. */
     private volatile Path files;
@@ -138,7 +139,8 @@
             MD5FileUtil.verifySavedMD5(file, MD5FileUtil.computeMd5ForFile(file));
             state = encoding.state(Files.readAllBytes(file.toPath()));
         } catch (IOException | Encoding.Unreadable e) {
-            throw new IOException("snapshot " + file + " is damaged; empty the folder, and it comes back as a new voter", e);
+            throw new IOException(
+                    "snapshot " + file + " is damaged; empty the folder, and it comes back as a new voter", e);
         }
         machine = machines.apply(state);
         setLastAppliedTermIndex(snapshot.getTermIndex());
@@ -155,8 +157,8 @@
         File file = storage.getSnapshotFile(last.getTerm(), last.getIndex());
         Path next = file.toPath().resolveSibling("next." + file.getName());
         byte[] bytes = encoding.bytes(machine.state());
-        try (FileChannel channel = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-            StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel channel = FileChannel.open(
+                next, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer left = ByteBuffer.wrap(bytes);
             while (left.hasRemaining()) {
                 channel.write(left);
@@ -173,18 +175,24 @@
 
     @Override
     public TransactionContext startTransaction(RaftClientRequest request) {
-        // the stamp's place is left free until the entry's place in the log is known; nobody has read the bytes until then
+        // the stamp's place is left free until the entry's place in the log is known; nobody has read the bytes until
+        // then
         byte[] command = request.getMessage().getContent().toByteArray();
         byte[] entry = new byte[STAMP + command.length];
         System.arraycopy(command, 0, entry, STAMP, command.length);
-        return TransactionContext.newBuilder().setStateMachine(this).setClientRequest(request)
-            .setLogData(UnsafeByteOperations.unsafeWrap(entry)).setStateMachineContext(entry).build();
+        return TransactionContext.newBuilder()
+                .setStateMachine(this)
+                .setClientRequest(request)
+                .setLogData(UnsafeByteOperations.unsafeWrap(entry))
+                .setStateMachineContext(entry)
+                .build();
     }
 
     @Override
     public TransactionContext preAppendTransaction(TransactionContext transaction) {
         byte[] entry = (byte[]) transaction.getStateMachineContext();
-        ByteBuffer.wrap(entry).putLong(ear.appending(transaction.getClientRequest().getCallId()));
+        ByteBuffer.wrap(entry)
+                .putLong(ear.appending(transaction.getClientRequest().getCallId()));
         return transaction;
     }
 
@@ -193,7 +201,8 @@
         LogEntryProto entry = transaction.getLogEntry();
         ByteString bytes = entry.getStateMachineLogEntry().getLogData();
         long at = stamp(bytes);
-        byte[] body = bytes.size() < STAMP ? new byte[0] : bytes.substring(STAMP).toByteArray();
+        byte[] body =
+                bytes.size() < STAMP ? new byte[0] : bytes.substring(STAMP).toByteArray();
         Command command;
         try {
             command = encoding.command(body);
--- a/src/main/java/rushpin/accord/log/Folder.java
+++ b/src/main/java/rushpin/accord/log/Folder.java
@@ -53,11 +53,12 @@
         if (Files.exists(file)) {
             folder.read(file);
             if (folder.begun && !filled(folder.memory())) {
-                throw new IOException(path + ": voter " + folder.id + " has lost its log; empty the folder, and it comes back as a"
-                    + " new voter");
+                throw new IOException(path + ": voter " + folder.id
+                        + " has lost its log; empty the folder, and it comes back as a" + " new voter");
             }
         } else if (filled(path.resolve(LOG))) {
-            throw new IOException(path + ": a log, but no file that says whose; empty the folder, and a new voter comes of it");
+            throw new IOException(
+                    path + ": a log, but no file that says whose; empty the folder, and a new voter comes of it");
         }
         return folder;
     }
@@ -126,7 +127,9 @@
     /** Notes how far others' logs reached. Not forced to the disk: it is for starts anew, and a crash loses a few seconds of it. */
     void reached(Map<String, Long> reached) throws IOException {
         StringBuilder text = new StringBuilder();
-        new TreeMap<>(reached).forEach((of, index) -> text.append(of).append('=').append(index).append('\n'));
+        new TreeMap<>(reached)
+                .forEach(
+                        (of, index) -> text.append(of).append('=').append(index).append('\n'));
         Path next = path.resolve(REACHED_NEXT);
         Files.writeString(next, text);
         Files.move(next, path.resolve(REACHED), StandardCopyOption.ATOMIC_MOVE);
@@ -145,8 +148,8 @@
     private void write(String voter, long founding, UUID of, boolean log) throws IOException {
         String text = "id=" + voter + "\nera=" + founding + "\ngroup=" + of + "\nbegun=" + log + "\n";
         Path next = path.resolve(NEXT);
-        try (FileChannel channel = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-            StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel channel = FileChannel.open(
+                next, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
                 channel.write(bytes);
--- a/src/main/java/rushpin/accord/log/Hang.java
+++ b/src/main/java/rushpin/accord/log/Hang.java
@@ -12,6 +12,7 @@
     private int silent;
     /** The index that is waited for, and looks since it was seen first. */
     private long awaited = -1;
+
     private int waited;
 
     /** Hangs after {@code most} looks in a row without a sign of life. */
--- a/src/main/java/rushpin/accord/log/Replica.java
+++ b/src/main/java/rushpin/accord/log/Replica.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -49,7 +48,6 @@
 import org.apache.ratis.protocol.RaftPeerId;
 import org.apache.ratis.protocol.SetConfigurationRequest;
 import org.apache.ratis.protocol.TransferLeadershipRequest;
-import org.apache.ratis.server.DivisionInfo;
 import org.apache.ratis.server.RaftServer;
 import org.apache.ratis.server.raftlog.RaftLog;
 import org.apache.ratis.server.storage.RaftStorage;
@@ -91,6 +89,7 @@
     private static final int WAITS = 2;
     /** But not shorter: a connection that was refused is tried again after a second. */
     private static final long WAIT = 2_000 * MS;
+
     private static final long CLOSING = 5_000 * MS;
     /** How often it notes how far others' logs reached. */
     private static final long NOTE = 1_000 * MS;
@@ -101,8 +100,7 @@
      * @param id lives with the folder: a blank folder makes a new voter
      * @param name as in the operator's file; what a {@link Carrier} reaches it by
      */
-    public record Peer(String id, String name) {
-    }
+    public record Peer(String id, String name) {}
 
     /**
      * Which log, and who votes when it is founded. On a folder that knows better, by changes of the voters since, that holds. A
@@ -126,8 +124,8 @@
         /** Checks the bounds. */
         public Timing {
             if (heartbeat < MS || heartbeat > electionLeast / 2 || electionLeast >= electionMost) {
-                throw new IllegalArgumentException("timing out of bounds: heartbeat " + heartbeat + ", election " + electionLeast + " to "
-                    + electionMost);
+                throw new IllegalArgumentException("timing out of bounds: heartbeat " + heartbeat + ", election "
+                        + electionLeast + " to " + electionMost);
             }
         }
     }
@@ -216,12 +214,15 @@
     private final ScheduledThreadPoolExecutor keeper;
     /** Guarded by itself. */
     private final Stamp stamp = new Stamp();
+
     private volatile Folder folder;
     /** Where the vote and the log are. */
     private volatile Path files;
+
     private volatile RaftServer server;
     /** The library's part for this log. Tests hold its lock. */
     volatile RaftServer.Division division;
+
     private volatile boolean open;
     private volatile boolean hangs;
     private volatile boolean over;
@@ -229,6 +230,7 @@
     private volatile boolean putBack;
     /** Whether its folder is known to be the newest one: it is new, or a leader has not found otherwise. */
     private volatile boolean known;
+
     private volatile long opened;
     private volatile long proposed;
     /** Nanoseconds: a new voter is waited for no longer until it has stored that it is in. Tests take longer. */
@@ -251,14 +253,41 @@
      * @param machine what entries are applied to, from a snapshot; {@link State#EMPTY} at first
      * @param clock monotonic nanoseconds
      */
-    public Replica(Peer me, Group group, Path folder, Function<State, Applier> machine, Encoding encoding, Carrier carrier,
-        Timing timing, LongSupplier clock, Listener listener) {
-        this(me, group, folder, machine, encoding, carrier, timing, clock, listener, () -> CompletableFuture.completedFuture(null));
+    public Replica(
+            Peer me,
+            Group group,
+            Path folder,
+            Function<State, Applier> machine,
+            Encoding encoding,
+            Carrier carrier,
+            Timing timing,
+            LongSupplier clock,
+            Listener listener) {
+        this(
+                me,
+                group,
+                folder,
+                machine,
+                encoding,
+                carrier,
+                timing,
+                clock,
+                listener,
+                () -> CompletableFuture.completedFuture(null));
     }
 
     /** As above, with what the log waits for beside the disk at each write: so a disk can be made to hang. */
-    Replica(Peer me, Group group, Path folder, Function<State, Applier> machine, Encoding encoding, Carrier carrier,
-        Timing timing, LongSupplier clock, Listener listener, Supplier<CompletableFuture<Void>> store) {
+    Replica(
+            Peer me,
+            Group group,
+            Path folder,
+            Function<State, Applier> machine,
+            Encoding encoding,
+            Carrier carrier,
+            Timing timing,
+            LongSupplier clock,
+            Listener listener,
+            Supplier<CompletableFuture<Void>> store) {
         this.store = store;
         this.me = me;
         this.group = group;
@@ -269,19 +298,18 @@
         this.storing = ELECTIONS * timing.electionMost;
         this.clock = clock;
         this.listener = listener;
-        this.transport = new Transport(carrier, clock, timing.heartbeat, timing.electionMost,
-            new Transport.Memory() {
-                @Override
-                public void vote() throws IOException {
-                    mayVote();
-                    Folder.force(files);
-                }
+        this.transport = new Transport(carrier, clock, timing.heartbeat, timing.electionMost, new Transport.Memory() {
+            @Override
+            public void vote() throws IOException {
+                mayVote();
+                Folder.force(files);
+            }
 
-                @Override
-                public void reached(long index) throws IOException {
-                    remember(index);
-                }
-            });
+            @Override
+            public void reached(long index) throws IOException {
+                remember(index);
+            }
+        });
         this.raftGroup = RaftGroupId.valueOf(group.id);
         ThreadFactory threads = task -> {
             Thread thread = new Thread(task, "accord-log");
@@ -289,7 +317,8 @@
             return thread;
         };
         // all that comes is counted before: the queue holds proposals, requests, one change, one look, one note
-        speaker = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(PROPOSALS + REQUESTS + 3), threads);
+        speaker = new ThreadPoolExecutor(
+                1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(PROPOSALS + REQUESTS + 3), threads);
         keeper = new ScheduledThreadPoolExecutor(1, threads);
         keeper.setRemoveOnCancelPolicy(true);
     }
@@ -312,11 +341,14 @@
         Parameters parameters = new Parameters();
         parameters.put(Wire.TRANSPORT, transport, Transport.class);
         try {
-            server = RaftServer.newBuilder().setServerId(RaftPeerId.valueOf(me.id))
-                .setGroup(RaftGroup.valueOf(raftGroup, peers(group.voters)))
-                .setStateMachine(new Copy(machine, encoding, store, new Told()))
-                .setOption(RaftStorage.StartupOption.RECOVER)
-                .setProperties(Settings.of(folder.log(), timing)).setParameters(parameters).build();
+            server = RaftServer.newBuilder()
+                    .setServerId(RaftPeerId.valueOf(me.id))
+                    .setGroup(RaftGroup.valueOf(raftGroup, peers(group.voters)))
+                    .setStateMachine(new Copy(machine, encoding, store, new Told()))
+                    .setOption(RaftStorage.StartupOption.RECOVER)
+                    .setProperties(Settings.of(folder.log(), timing))
+                    .setParameters(parameters)
+                    .build();
             server.start();
             division = server.getDivision(raftGroup);
             folder.begin();
@@ -371,9 +403,14 @@
         if (proposal.outcome.isDone()) {
             return;
         }
-        RaftClientRequest request = RaftClientRequest.newBuilder().setClientId(client).setServerId(server.getId())
-            .setGroupId(raftGroup).setCallId(call).setType(RaftClientRequest.writeRequestType())
-            .setMessage(Message.valueOf(UnsafeByteOperations.unsafeWrap(bytes))).build();
+        RaftClientRequest request = RaftClientRequest.newBuilder()
+                .setClientId(client)
+                .setServerId(server.getId())
+                .setGroupId(raftGroup)
+                .setCallId(call)
+                .setType(RaftClientRequest.writeRequestType())
+                .setMessage(Message.valueOf(UnsafeByteOperations.unsafeWrap(bytes)))
+                .build();
         try {
             server.submitClientRequestAsync(request).whenComplete((reply, e) -> end(proposal, reply, e));
         } catch (IOException | RuntimeException e) {
@@ -385,8 +422,8 @@
         if (e == null && reply.isSuccess() && reply.getMessage() instanceof Copy.Said said) {
             proposal.outcome.complete(said.outcome());
         } else if (proposal.appended) {
-            proposal.outcome.completeExceptionally(new Uncertain("lost the lead before it was decided",
-                e != null ? e : reply.getException()));
+            proposal.outcome.completeExceptionally(
+                    new Uncertain("lost the lead before it was decided", e != null ? e : reply.getException()));
         } else {
             proposal.outcome.completeExceptionally(new NotLeading(leads() ? null : leader()));
         }
@@ -398,8 +435,12 @@
      */
     public boolean leads() {
         RaftServer.Division now = division;
-        return open && !hangs && !over && now != null && now.getInfo().isLeaderReady()
-            && transport.majority(now.getRaftConf().getCurrentPeers(), now.getId(), timing.electionMost);
+        return open
+                && !hangs
+                && !over
+                && now != null
+                && now.getInfo().isLeaderReady()
+                && transport.majority(now.getRaftConf().getCurrentPeers(), now.getId(), timing.electionMost);
     }
 
     /** Whether it takes no part any more, for good: closed, or a disk that failed. */
@@ -472,7 +513,9 @@
                 // the library writes the vote beside the one before and renames it
                 Folder.force(files);
                 return CompletableFuture.completedFuture(given.toBuilder()
-                    .setUnknownFields(transport.reminder(vote.getServerRequest().getRequestorId())).build());
+                        .setUnknownFields(
+                                transport.reminder(vote.getServerRequest().getRequestorId()))
+                        .build());
             }
             case APPEND: {
                 AppendEntriesRequestProto append = AppendEntriesRequestProto.parseFrom(body);
@@ -480,12 +523,15 @@
                 remember(Transport.reached(append));
                 known = true;
                 long own = clock.getAsLong();
-                CompletableFuture<AppendEntriesReplyProto> reply = server.appendEntriesAsync(Transport.withoutOwn(append));
-                return append.getEntriesCount() == 0 ? reply : reply.whenComplete((said, e) -> {
-                    if (e == null && said.getResult() == AppendResult.SUCCESS) {
-                        learned(append.getEntriesList(), own);
-                    }
-                });
+                CompletableFuture<AppendEntriesReplyProto> reply =
+                        server.appendEntriesAsync(Transport.withoutOwn(append));
+                return append.getEntriesCount() == 0
+                        ? reply
+                        : reply.whenComplete((said, e) -> {
+                            if (e == null && said.getResult() == AppendResult.SUCCESS) {
+                                learned(append.getEntriesList(), own);
+                            }
+                        });
             }
             case SNAPSHOT: {
                 InstallSnapshotRequestProto snapshot = InstallSnapshotRequestProto.parseFrom(body);
@@ -567,10 +613,13 @@
         Set<Peer> went = new HashSet<>(voters());
         came.removeAll(voters());
         went.removeAll(voters);
-        boolean one = came.size() + went.size() == 1 || came.size() == 1 && went.size() == 1
-            && came.iterator().next().name.equals(went.iterator().next().name);
+        boolean one = came.size() + went.size() == 1
+                || came.size() == 1
+                        && went.size() == 1
+                        && came.iterator().next().name.equals(went.iterator().next().name);
         if (!one) {
-            return CompletableFuture.failedFuture(new IllegalArgumentException("one voter at a time: " + came + " for " + went));
+            return CompletableFuture.failedFuture(
+                    new IllegalArgumentException("one voter at a time: " + came + " for " + went));
         }
         Collection<RaftPeer> peers = peers(voters);
         transport.addRaftPeers(peers);
@@ -578,19 +627,23 @@
         try {
             speaker.execute(() -> {
                 try {
-                    server.setConfigurationAsync(new SetConfigurationRequest(client, server.getId(), raftGroup,
-                        calls.incrementAndGet(), new ArrayList<>(peers))).whenComplete((reply, e) -> {
-                            if (e != null || !reply.isSuccess()) {
-                                done.completeExceptionally(e != null ? e : reply.getException());
-                            } else if (came.isEmpty()) {
-                                done.complete(null);
-                            } else {
-                                // An end for where this one is closed meanwhile.
-                                done.orTimeout(2 * storing, TimeUnit.NANOSECONDS);
-                                heard(RaftPeerId.valueOf(came.iterator().next().id), division.getRaftConf().getLogEntryIndex(),
-                                    clock.getAsLong(), done);
-                            }
-                        });
+                    server.setConfigurationAsync(new SetConfigurationRequest(
+                                    client, server.getId(), raftGroup, calls.incrementAndGet(), new ArrayList<>(peers)))
+                            .whenComplete((reply, e) -> {
+                                if (e != null || !reply.isSuccess()) {
+                                    done.completeExceptionally(e != null ? e : reply.getException());
+                                } else if (came.isEmpty()) {
+                                    done.complete(null);
+                                } else {
+                                    // An end for where this one is closed meanwhile.
+                                    done.orTimeout(2 * storing, TimeUnit.NANOSECONDS);
+                                    heard(
+                                            RaftPeerId.valueOf(came.iterator().next().id),
+                                            division.getRaftConf().getLogEntryIndex(),
+                                            clock.getAsLong(),
+                                            done);
+                                }
+                            });
                 } catch (IOException | RuntimeException e) {
                     done.completeExceptionally(e);
                 }
@@ -631,11 +684,20 @@
         try {
             speaker.execute(() -> {
                 try {
-                    RaftPeerId next = division.getInfo().getRoleInfoProto().getLeaderInfo().getFollowerInfoList().stream()
-                        .min(Comparator.comparingLong(ServerRpcProto::getLastRpcElapsedTimeMs))
-                        .map(heard -> RaftPeerId.valueOf(heard.getId().getId())).orElseThrow(() -> new IOException("no other voter"));
-                    server.transferLeadershipAsync(new TransferLeadershipRequest(client, server.getId(), raftGroup,
-                        calls.incrementAndGet(), next, Math.max(1, patience / MS))).whenComplete((reply, e) -> done.complete(null));
+                    RaftPeerId next =
+                            division.getInfo().getRoleInfoProto().getLeaderInfo().getFollowerInfoList().stream()
+                                    .min(Comparator.comparingLong(ServerRpcProto::getLastRpcElapsedTimeMs))
+                                    .map(heard ->
+                                            RaftPeerId.valueOf(heard.getId().getId()))
+                                    .orElseThrow(() -> new IOException("no other voter"));
+                    server.transferLeadershipAsync(new TransferLeadershipRequest(
+                                    client,
+                                    server.getId(),
+                                    raftGroup,
+                                    calls.incrementAndGet(),
+                                    next,
+                                    Math.max(1, patience / MS)))
+                            .whenComplete((reply, e) -> done.complete(null));
                 } catch (IOException | RuntimeException e) {
                     // The others choose one when they miss it.
                     done.complete(null);
@@ -662,8 +724,9 @@
     /** Whether this voter's vote counts, by voters that are not on the way from one set to the next. */
     public boolean counts() {
         RaftServer.Division now = division;
-        return now != null && now.getRaftConf().getPreviousPeers().isEmpty()
-            && voters().stream().anyMatch(each -> each.id().equals(me.id));
+        return now != null
+                && now.getRaftConf().getPreviousPeers().isEmpty()
+                && voters().stream().anyMatch(each -> each.id().equals(me.id));
     }
 
     /** Takes no part any more. What was proposed ends as uncertain. Blocks on the disk for a bounded time. */
@@ -860,7 +923,8 @@
     private static List<RaftPeer> peers(List<Peer> voters) {
         List<RaftPeer> peers = new ArrayList<>();
         for (Peer voter : voters) {
-            peers.add(RaftPeer.newBuilder().setId(voter.id).setAddress(voter.name).build());
+            peers.add(
+                    RaftPeer.newBuilder().setId(voter.id).setAddress(voter.name).build());
         }
         return peers;
     }
--- a/src/main/java/rushpin/accord/log/Sender.java
+++ b/src/main/java/rushpin/accord/log/Sender.java
@@ -39,14 +39,16 @@
      * this sender has to end while that lock is held. The chunk's term may so be of a moment after this lead; see {@link #ofThisLead}.
      */
     private static RaftServer.Division beside(RaftServer.Division server) {
-        return (RaftServer.Division) Proxy.newProxyInstance(RaftServer.Division.class.getClassLoader(),
-            new Class<?>[] {RaftServer.Division.class}, (self, method, arguments) -> {
-                try {
-                    return method.invoke(server, arguments);
-                } catch (InvocationTargetException e) {
-                    throw e.getCause();
-                }
-            });
+        return (RaftServer.Division) Proxy.newProxyInstance(
+                RaftServer.Division.class.getClassLoader(),
+                new Class<?>[] {RaftServer.Division.class},
+                (self, method, arguments) -> {
+                    try {
+                        return method.invoke(server, arguments);
+                    } catch (InvocationTargetException e) {
+                        throw e.getCause();
+                    }
+                });
     }
 
     @Override
@@ -107,7 +109,9 @@
                 getFollower().updateLastRpcResponseTime();
                 getFollower().updateLastRespondedAppendEntriesSendTime(sent);
                 getLeaderState().onFollowerCommitIndex(getFollower(), reply.getFollowerCommit());
-                answered(reply, request.getEntriesCount() > 0 ? request.getEntries(0).getIndex() : RaftLog.INVALID_LOG_INDEX);
+                answered(
+                        reply,
+                        request.getEntriesCount() > 0 ? request.getEntries(0).getIndex() : RaftLog.INVALID_LOG_INDEX);
                 return;
             } catch (InterruptedIOException e) {
                 throw e;
@@ -146,7 +150,8 @@
     private boolean snapshot(SnapshotInfo snapshot) throws InterruptedIOException {
         InstallSnapshotReplyProto reply = null;
         try {
-            for (InstallSnapshotRequestProto chunk : newInstallSnapshotRequests(UUID.randomUUID().toString(), snapshot)) {
+            for (InstallSnapshotRequestProto chunk :
+                    newInstallSnapshotRequests(UUID.randomUUID().toString(), snapshot)) {
                 if (!ofThisLead(chunk)) {
                     return false;
                 }
@@ -160,7 +165,9 @@
         } catch (InterruptedIOException e) {
             throw e;
         } catch (IOException | RuntimeException e) {
-            getServerRpc().handleException(getFollowerId(), e instanceof IOException ? (IOException) e : new IOException(e), false);
+            getServerRpc()
+                    .handleException(
+                            getFollowerId(), e instanceof IOException ? (IOException) e : new IOException(e), false);
             return false;
         }
         if (reply == null) {
@@ -173,7 +180,8 @@
         }
         switch (reply.getResult()) {
             case NOT_LEADER -> onFollowerTerm(reply.getTerm());
-            case SUCCESS, SNAPSHOT_UNAVAILABLE, ALREADY_INSTALLED, SNAPSHOT_EXPIRED -> getFollower().setAttemptedToInstallSnapshot();
+            case SUCCESS, SNAPSHOT_UNAVAILABLE, ALREADY_INSTALLED, SNAPSHOT_EXPIRED ->
+                getFollower().setAttemptedToInstallSnapshot();
             default -> {
                 // told again in the next round
             }
@@ -185,7 +193,9 @@
     boolean ofThisLead(InstallSnapshotRequestProto chunk) {
         try {
             return chunk.getLeaderTerm()
-                == getLeaderState().newAppendEntriesRequestProto(getFollower(), List.of(), null, CallId.getAndIncrement()).getLeaderTerm();
+                    == getLeaderState()
+                            .newAppendEntriesRequestProto(getFollower(), List.of(), null, CallId.getAndIncrement())
+                            .getLeaderTerm();
         } catch (IllegalStateException e) {
             // The server's term is no more that of this lead: it steps down already.
             return false;
--- a/src/main/java/rushpin/accord/log/Settings.java
+++ b/src/main/java/rushpin/accord/log/Settings.java
@@ -28,8 +28,7 @@
     /** Held here: a logger that nobody holds forgets its level. */
     private static final Logger LOGGER = Logger.getLogger("org.apache.ratis");
 
-    private Settings() {
-    }
+    private Settings() {}
 
     /**
      * The library ends the process where its disk fails, and puts a handler of its own to all threads. Neither is wanted in an edge
@@ -60,7 +59,8 @@
         RaftServerConfigKeys.Rpc.setRequestTimeout(keys, nanos(timing.heartbeat()));
         RaftServerConfigKeys.Rpc.setSleepTime(keys, nanos(timing.heartbeat()));
         RaftServerConfigKeys.LeaderElection.setPreVote(keys, true);
-        // A leader that lost its majority lets the others stand first, but it may have the only log that a majority votes for.
+        // A leader that lost its majority lets the others stand first, but it may have the only log that a majority
+        // votes for.
         RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(keys, most);
 
         RaftServerConfigKeys.Log.setSegmentSizeMax(keys, SizeInBytes.valueOf(SEGMENT));
--- a/src/main/java/rushpin/accord/log/Stamp.java
+++ b/src/main/java/rushpin/accord/log/Stamp.java
@@ -12,6 +12,7 @@
     private boolean known;
     /** The count at {@code at}. */
     private long count;
+
     private long at;
 
     /** An entry of the log was learned, or a snapshot whose last entry it is. */
--- a/src/main/java/rushpin/accord/log/Transport.java
+++ b/src/main/java/rushpin/accord/log/Transport.java
@@ -46,6 +46,7 @@
     private final Memory memory;
     /** Nanoseconds: for entries, as a rule, and for what is asked once or takes long. */
     private final long shortly;
+
     private final long writing;
     /** Voters' names by their ids. */
     private final Map<RaftPeerId, String> names = new ConcurrentHashMap<>();
@@ -57,10 +58,10 @@
     private final Map<RaftPeerId, Long> patience = new ConcurrentHashMap<>();
     /** When voters answered last, by the clock. */
     private final Map<RaftPeerId, Long> answers = new ConcurrentHashMap<>();
+
     private volatile boolean open;
 
-    private record Stored(long term, long index) {
-    }
+    private record Stored(long term, long index) {}
 
     /** What this voter has voted and stored. */
     interface Memory {
@@ -104,8 +105,12 @@
         memory.vote();
         ByteString to = request.getServerRequest().getReplyId();
         // asked once an election, which waits no longer itself
-        RequestVoteReplyProto reply = call(request.getServerRequest(), Carrier.Kind.VOTE,
-            request.toBuilder().setUnknownFields(reminder(to)).build(), RequestVoteReplyProto.parser(), writing);
+        RequestVoteReplyProto reply = call(
+                request.getServerRequest(),
+                Carrier.Kind.VOTE,
+                request.toBuilder().setUnknownFields(reminder(to)).build(),
+                RequestVoteReplyProto.parser(),
+                writing);
         memory.reached(reached(reply.getUnknownFields()));
         return reply;
     }
@@ -128,8 +133,8 @@
     private AppendEntriesReplyProto patiently(AppendEntriesRequestProto request, RaftPeerId to) throws IOException {
         long wait = patience.getOrDefault(to, shortly), sent = clock.getAsLong();
         try {
-            AppendEntriesReplyProto reply = call(request.getServerRequest(), Carrier.Kind.APPEND, request,
-                AppendEntriesReplyProto.parser(), wait);
+            AppendEntriesReplyProto reply = call(
+                    request.getServerRequest(), Carrier.Kind.APPEND, request, AppendEntriesReplyProto.parser(), wait);
             if (2 * (clock.getAsLong() - sent) < wait) {
                 patience.put(to, Math.max(shortly, wait / 2));
             }
@@ -159,9 +164,17 @@
      */
     private AppendEntriesRequestProto reminded(AppendEntriesRequestProto request, RaftPeerId to) {
         Stored of = stored.get(to);
-        long reached = Math.max(of == null || of.term != request.getLeaderTerm() ? -1 : of.index, noted.getOrDefault(to.toString(), -1L));
-        return reached < 0 ? request : request.toBuilder().addCommitInfos(CommitInfoProto.newBuilder().setCommitIndex(reached)
-            .setServer(RaftPeerProto.newBuilder().setId(request.getServerRequest().getReplyId()))).build();
+        long reached = Math.max(
+                of == null || of.term != request.getLeaderTerm() ? -1 : of.index,
+                noted.getOrDefault(to.toString(), -1L));
+        return reached < 0
+                ? request
+                : request.toBuilder()
+                        .addCommitInfos(CommitInfoProto.newBuilder()
+                                .setCommitIndex(reached)
+                                .setServer(RaftPeerProto.newBuilder()
+                                        .setId(request.getServerRequest().getReplyId())))
+                        .build();
     }
 
     /**
@@ -171,20 +184,33 @@
      */
     UnknownFieldSet reminder(ByteString voter) {
         Long reached = noted.get(voter.toStringUtf8());
-        return reached == null ? UnknownFieldSet.getDefaultInstance() : UnknownFieldSet.newBuilder()
-            .addField(REACHED, UnknownFieldSet.Field.newBuilder().addVarint(reached).build()).build();
+        return reached == null
+                ? UnknownFieldSet.getDefaultInstance()
+                : UnknownFieldSet.newBuilder()
+                        .addField(
+                                REACHED,
+                                UnknownFieldSet.Field.newBuilder()
+                                        .addVarint(reached)
+                                        .build())
+                        .build();
     }
 
     /** How far the log of a voter reached by a reminder; -1 if unknown. */
     static long reached(UnknownFieldSet reminder) {
-        return reminder.getField(REACHED).getVarintList().stream().mapToLong(Long::longValue).max().orElse(-1);
+        return reminder.getField(REACHED).getVarintList().stream()
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(-1);
     }
 
     /** How far the log of a voter reached by what it has said itself to whoever leads, or to a leader before; -1 if unknown. */
     static long reached(AppendEntriesRequestProto request) {
         ByteString to = request.getServerRequest().getReplyId();
-        return request.getCommitInfosList().stream().filter(info -> info.getServer().getId().equals(to))
-            .mapToLong(CommitInfoProto::getCommitIndex).max().orElse(-1);
+        return request.getCommitInfosList().stream()
+                .filter(info -> info.getServer().getId().equals(to))
+                .mapToLong(CommitInfoProto::getCommitIndex)
+                .max()
+                .orElse(-1);
     }
 
     /**
@@ -193,9 +219,15 @@
      */
     static AppendEntriesRequestProto withoutOwn(AppendEntriesRequestProto request) {
         ByteString to = request.getServerRequest().getReplyId();
-        List<CommitInfoProto> others = request.getCommitInfosList().stream().filter(info -> !info.getServer().getId().equals(to)).toList();
-        return others.size() == request.getCommitInfosCount() ? request
-            : request.toBuilder().clearCommitInfos().addAllCommitInfos(others).build();
+        List<CommitInfoProto> others = request.getCommitInfosList().stream()
+                .filter(info -> !info.getServer().getId().equals(to))
+                .toList();
+        return others.size() == request.getCommitInfosCount()
+                ? request
+                : request.toBuilder()
+                        .clearCommitInfos()
+                        .addAllCommitInfos(others)
+                        .build();
     }
 
     /**
@@ -208,24 +240,36 @@
             return reply;
         }
         int count = request.getEntriesCount();
-        long next = count > 0 ? request.getEntries(count - 1).getIndex() + 1
-            : request.hasPreviousLog() ? request.getPreviousLog().getIndex() + 1 : 0;
+        long next = count > 0
+                ? request.getEntries(count - 1).getIndex() + 1
+                : request.hasPreviousLog() ? request.getPreviousLog().getIndex() + 1 : 0;
         return reply.toBuilder().setNextIndex(next).build();
     }
 
     @Override
     public InstallSnapshotReplyProto installSnapshot(InstallSnapshotRequestProto request) throws IOException {
-        return call(request.getServerRequest(), Carrier.Kind.SNAPSHOT, request, InstallSnapshotReplyProto.parser(), writing);
+        return call(
+                request.getServerRequest(),
+                Carrier.Kind.SNAPSHOT,
+                request,
+                InstallSnapshotReplyProto.parser(),
+                writing);
     }
 
     @Override
-    public StartLeaderElectionReplyProto startLeaderElection(StartLeaderElectionRequestProto request) throws IOException {
-        return call(request.getServerRequest(), Carrier.Kind.START_ELECTION, request, StartLeaderElectionReplyProto.parser(),
-            shortly);
+    public StartLeaderElectionReplyProto startLeaderElection(StartLeaderElectionRequestProto request)
+            throws IOException {
+        return call(
+                request.getServerRequest(),
+                Carrier.Kind.START_ELECTION,
+                request,
+                StartLeaderElectionReplyProto.parser(),
+                shortly);
     }
 
-    private <T> T call(RaftRpcRequestProto head, Carrier.Kind kind, MessageLite request, Parser<T> parser, long patience)
-        throws IOException {
+    private <T> T call(
+            RaftRpcRequestProto head, Carrier.Kind kind, MessageLite request, Parser<T> parser, long patience)
+            throws IOException {
         RaftPeerId to = RaftPeerId.valueOf(head.getReplyId());
         String name = names.get(to);
         if (!open || name == null) {
--- a/src/main/java/rushpin/authority/Act.java
+++ b/src/main/java/rushpin/authority/Act.java
@@ -3,44 +3,34 @@
 /** What is to be done next, in order: answers to requests by their ids, attempts at the servers, words to the fleet. */
 public sealed interface Act<B> {
     /** Answer from the copy. */
-    record FromCopy<B>(long id, B body, Version version) implements Act<B> {
-    }
+    record FromCopy<B>(long id, B body, Version version) implements Act<B> {}
 
     /** Answer with what the servers said to a look-up that began after this one arrived. */
-    record FromServers<B>(long id, B body) implements Act<B> {
-    }
+    record FromServers<B>(long id, B body) implements Act<B> {}
 
     /** The order has run; the body is null where the servers gave none. */
-    record Done<B>(long id, B body) implements Act<B> {
-    }
+    record Done<B>(long id, B body) implements Act<B> {}
 
     /** Refused; nothing of it has run. */
-    record Refused<B>(long id, Why why, long returnIn) implements Act<B> {
-    }
+    record Refused<B>(long id, Why why, long returnIn) implements Act<B> {}
 
     /** An order that may have run; it is not sent again. */
-    record MayHaveRun<B>(long id) implements Act<B> {
-    }
+    record MayHaveRun<B>(long id) implements Act<B> {}
 
     /** Ask the servers for the object. */
-    record Look<B>(long number) implements Act<B> {
-    }
+    record Look<B>(long number) implements Act<B> {}
 
     /** Send the order to the servers, once; it must have no effect later than the longest effect from now. */
-    record Send<B>(long number, long id) implements Act<B> {
-    }
+    record Send<B>(long number, long id) implements Act<B> {}
 
     /** Ask the log to pass the object on, in one entry: nobody is told that it is free. */
-    record Pass<B>(long fence, String to) implements Act<B> {
-    }
+    record Pass<B>(long fence, String to) implements Act<B> {}
 
     /** Give the object back to the log. */
-    record GiveBack<B>(long fence) implements Act<B> {
-    }
+    record GiveBack<B>(long fence) implements Act<B> {}
 
     /** Send this to the next holder. */
-    record Give<B>(String to, Gift<B> gift) implements Act<B> {
-    }
+    record Give<B>(String to, Gift<B> gift) implements Act<B> {}
 
     /**
      * A copy's version: later holders' are greater, and so is each one of a holder.
--- a/src/main/java/rushpin/authority/Copy.java
+++ b/src/main/java/rushpin/authority/Copy.java
@@ -34,19 +34,24 @@
     private static final long NEVER = Long.MAX_VALUE;
 
     /** What became of an order, as its attempt heard it. */
-    public enum Outcome { DONE, NOT_RUN, UNKNOWN }
-
-    private enum Kept { IN_HAND, DONE, UNKNOWN }
-
-    private record Key<B>(Kept kept, B answer, long until) {
+    public enum Outcome {
+        DONE,
+        NOT_RUN,
+        UNKNOWN
     }
 
-    record Order(long id, String key) {
+    private enum Kept {
+        IN_HAND,
+        DONE,
+        UNKNOWN
     }
 
+    private record Key<B>(Kept kept, B answer, long until) {}
+
+    record Order(long id, String key) {}
+
     /** An attempt at the servers; {@code spoiled} if it may show an order whose client has not heard of it. */
-    record Out(long number, long fence, long begun, boolean spoiled, Order order) {
-    }
+    record Out(long number, long fence, long begun, boolean spoiled, Order order) {}
 
     final Rules rules;
     /** Under which it acts, 0 for none, and the last one. */
@@ -55,6 +60,7 @@
     private long clear, ordersFrom;
     /** Whether an order was begun under this fence, and when the copy was asked for, if it is known. */
     private boolean hasBegun, isKnown;
+
     private B body;
     private long asOf, count, numbers;
     private Out look, send;
@@ -63,6 +69,7 @@
     private final LinkedHashMap<String, Key<B>> keys = new LinkedHashMap<>();
     /** To whom it is handed over, or null, and since when that is asked for; NEVER for not yet. */
     private String to;
+
     private long passing = NEVER;
     /** The fence under which it asked for the object to be passed on: nothing is done by it any more. */
     private long stopped;
@@ -247,9 +254,12 @@
 
     /** When {@link #time} has something to do that nothing else would bring about. */
     public long next() {
-        long next = Math.min(send == null ? NEVER : send.begun + rules.effect() + 1,
-            look == null ? NEVER : look.begun + rules.effect() + 1);
-        return to == null ? next : Math.min(next, passing == NEVER ? Math.max(clear, ordersFrom) : passing + rules.effect());
+        long next = Math.min(
+                send == null ? NEVER : send.begun + rules.effect() + 1,
+                look == null ? NEVER : look.begun + rules.effect() + 1);
+        return to == null
+                ? next
+                : Math.min(next, passing == NEVER ? Math.max(clear, ordersFrom) : passing + rules.effect());
     }
 
     /** The holder is to be another process. Nothing new is taken, and when nothing is out any more the log is asked. */
@@ -275,7 +285,8 @@
         if (fence != 0 && passing != NEVER && from == fence) {
             List<Gift.Key<B>> given = new ArrayList<>();
             forgetKeys(now);
-            keys.forEach((key, kept) -> given.add(new Gift.Key<>(key, kept.answer, kept.kept == Kept.DONE, kept.until - now)));
+            keys.forEach((key, kept) ->
+                    given.add(new Gift.Key<>(key, kept.answer, kept.kept == Kept.DONE, kept.until - now)));
             acts.add(new Act.Give<>(to, new Gift<>(under, handed(), count, given)));
             lose(acts);
             keys.clear();
@@ -309,7 +320,8 @@
 
     private void accept(Gift<B> gift, long now, List<Act<B>> acts) {
         for (Gift.Key<B> key : gift.keys()) {
-            keys.putIfAbsent(key.key(), new Key<>(key.isDone() ? Kept.DONE : Kept.UNKNOWN, key.answer(), now + key.left()));
+            keys.putIfAbsent(
+                    key.key(), new Key<>(key.isDone() ? Kept.DONE : Kept.UNKNOWN, key.answer(), now + key.left()));
         }
         ordersFrom = Math.min(ordersFrom, now);
         if (maySkipTheWait()) {
@@ -337,7 +349,7 @@
     }
 
     private void forgetKeys(long now) {
-        for (Iterator<Map.Entry<String, Key<B>>> all = keys.entrySet().iterator(); all.hasNext();) {
+        for (Iterator<Map.Entry<String, Key<B>>> all = keys.entrySet().iterator(); all.hasNext(); ) {
             if (all.next().getValue().until <= now) {
                 all.remove();
             }
@@ -473,13 +485,33 @@
 
     /** All that its future depends on, times as distances: equal for copies with the same future. */
     List<Object> memory(long now) {
-        List<Object> memory = new ArrayList<>(List.of(fence, last, stopped, Math.max(0, clear - now), Math.max(0, ordersFrom - now),
-            hasBegun, isKnown, isKnown ? body : "", isKnown && !rules.strict() ? Math.max(-rules.age(), asOf - now) : 0,
-            waiting, next, List.copyOf(orders), to == null ? "" : to, passing == NEVER ? -1 : Math.min(rules.effect(), now - passing)));
-        for (Out out : look == null ? send == null ? List.<Out>of() : List.of(send) : send == null ? List.of(look) : List.of(look, send)) {
-            memory.add(List.of(out.fence, now - out.begun, out.spoiled, out.begun >= clear, out.order == null ? -1 : out.order.id));
+        List<Object> memory = new ArrayList<>(List.of(
+                fence,
+                last,
+                stopped,
+                Math.max(0, clear - now),
+                Math.max(0, ordersFrom - now),
+                hasBegun,
+                isKnown,
+                isKnown ? body : "",
+                isKnown && !rules.strict() ? Math.max(-rules.age(), asOf - now) : 0,
+                waiting,
+                next,
+                List.copyOf(orders),
+                to == null ? "" : to,
+                passing == NEVER ? -1 : Math.min(rules.effect(), now - passing)));
+        for (Out out : look == null
+                ? send == null ? List.<Out>of() : List.of(send)
+                : send == null ? List.of(look) : List.of(look, send)) {
+            memory.add(List.of(
+                    out.fence,
+                    now - out.begun,
+                    out.spoiled,
+                    out.begun >= clear,
+                    out.order == null ? -1 : out.order.id));
         }
-        keys.forEach((key, kept) -> memory.add(List.of(key, kept.kept.ordinal(), kept.until == NEVER ? NEVER : kept.until - now)));
+        keys.forEach((key, kept) ->
+                memory.add(List.of(key, kept.kept.ordinal(), kept.until == NEVER ? NEVER : kept.until - now)));
         memory.add(early == null ? "" : early);
         return memory;
     }
--- a/src/main/java/rushpin/authority/Gift.java
+++ b/src/main/java/rushpin/authority/Gift.java
@@ -17,8 +17,7 @@
      * @param isDone whether it has run; otherwise it may have
      * @param left for how long it must still be remembered
      */
-    public record Key<B>(String key, B answer, boolean isDone, long left) {
-    }
+    public record Key<B>(String key, B answer, boolean isDone, long left) {}
 
     /** Copies. */
     public Gift {
--- a/src/main/java/rushpin/authority/Way.java
+++ b/src/main/java/rushpin/authority/Way.java
@@ -3,20 +3,16 @@
 /** Where a request for an object goes from here. */
 public sealed interface Way {
     /** To this process's own copy. */
-    record Here() implements Way {
-    }
+    record Here() implements Way {}
 
     /** To the holder, as an ordinary attempt marked as passed on to this fence. */
-    record ToHolder(String holder, long fence) implements Way {
-    }
+    record ToHolder(String holder, long fence) implements Way {}
 
     /** To the servers, past any copy. */
-    record ToServers() implements Way {
-    }
+    record ToServers() implements Way {}
 
     /** Refused at once; it has not run. */
-    record Refused(long returnIn) implements Way {
-    }
+    record Refused(long returnIn) implements Way {}
 
     /**
      * A client's request. In mode strict nothing is sent without a word that counts: an order past the holder would be missing
--- a/src/main/java/rushpin/authority/finding/Assignment.java
+++ b/src/main/java/rushpin/authority/finding/Assignment.java
@@ -24,12 +24,10 @@
      *
      * @param since log time of the entry that made it so
      */
-    public record Held(String object, long session, long since) {
-    }
+    public record Held(String object, long session, long since) {}
 
     /** What is to be: an object and the session that holds it. */
-    public record Pick(String object, long session) {
-    }
+    public record Pick(String object, long session) {}
 
     /**
      * A next assignment, whole.
@@ -46,8 +44,9 @@
         private boolean isSound() {
             for (int i = 0; i < picks.size(); i++) {
                 Pick pick = picks.get(i);
-                if (!Who.isName(pick.object) || pick.session <= 0
-                    || i > 0 && picks.get(i - 1).object.compareTo(pick.object) >= 0) {
+                if (!Who.isName(pick.object)
+                        || pick.session <= 0
+                        || i > 0 && picks.get(i - 1).object.compareTo(pick.object) >= 0) {
                     return false;
                 }
             }
--- a/src/main/java/rushpin/authority/finding/Chooser.java
+++ b/src/main/java/rushpin/authority/finding/Chooser.java
@@ -30,6 +30,7 @@
         final Sight.Edge edge;
         /** As is filled; and as nobody makes it more alone, by which it is overfull. */
         long load, sure;
+
         int many;
 
         Spot(Sight.Edge edge) {
@@ -41,8 +42,9 @@
         }
 
         boolean takes(long more, Limits limits) {
-            return !edge.isSlow() && many < limits.mostEach()
-                && (load + more) * Limits.WHOLE <= edge.room() * limits.fill();
+            return !edge.isSlow()
+                    && many < limits.mostEach()
+                    && (load + more) * Limits.WHOLE <= edge.room() * limits.fill();
         }
 
         double filled(long more) {
@@ -50,8 +52,7 @@
         }
     }
 
-    private record Gain(String object, Spot to, double gain) {
-    }
+    private record Gain(String object, Spot to, double gain) {}
 
     /** One that replaces the coldest has to be so many times as hot. */
     private static final int HOTTER = 2;
@@ -64,9 +65,11 @@
     private final Map<String, String> regions = new HashMap<>();
     /** What the draft says so far, and which of it stands as it was. */
     private final Map<String, Spot> held = new TreeMap<>();
+
     private final Map<String, Held> before = new TreeMap<>();
     /** What lost its holder and has to wait for a step. */
     private final Map<String, Long> lost = new TreeMap<>();
+
     private int steps;
 
     private Chooser(Assignment inForce, Sight sight, Limits limits, long now) {
@@ -111,8 +114,11 @@
         }
         Map<String, Long> all = new TreeMap<>(lost);
         held.forEach((object, spot) -> all.put(object, spot.edge.session()));
-        return Optional.of(new Assignment.Draft(inForce.number(),
-            all.entrySet().stream().map(each -> new Pick(each.getKey(), each.getValue())).toList()));
+        return Optional.of(new Assignment.Draft(
+                inForce.number(),
+                all.entrySet().stream()
+                        .map(each -> new Pick(each.getKey(), each.getValue()))
+                        .toList()));
     }
 
     private void replaceTheLost() {
@@ -155,7 +161,9 @@
                 continue;
             }
             int most = limits.slowSteps();
-            for (String object : hottest(held.keySet().stream().filter(each -> held.get(each) == spot).toList())) {
+            for (String object : hottest(held.keySet().stream()
+                    .filter(each -> held.get(each) == spot)
+                    .toList())) {
                 if (steps == 0 || most == 0 || !isSlow && !spot.isOverfull()) {
                     break;
                 }
@@ -189,7 +197,10 @@
             while (isFull && last >= 0 && (held.get(cold.get(last)) == null || !isSettled(cold.get(last)))) {
                 last--;
             }
-            if (isFull && (last < 0 || steps < 2 || heat < HOTTER * sight.of(cold.get(last)).heat())) {
+            if (isFull
+                    && (last < 0
+                            || steps < 2
+                            || heat < HOTTER * sight.of(cold.get(last)).heat())) {
                 return;
             }
             Spot to = best(object, null);
@@ -242,7 +253,7 @@
         double cost = 0;
         for (Map.Entry<String, Sight.Part> each : demand.zones().entrySet()) {
             cost += (double) each.getValue().fair()
-                * Limits.distance(each.getKey(), regions.getOrDefault(each.getKey(), ""), at);
+                    * Limits.distance(each.getKey(), regions.getOrDefault(each.getKey(), ""), at);
         }
         return cost;
     }
@@ -271,7 +282,10 @@
     private boolean isSettled(String object) {
         Held old = before.get(object);
         Spot spot = held.get(object);
-        return old != null && spot != null && spot.edge.session() == old.session() && now - old.since() >= limits.stay();
+        return old != null
+                && spot != null
+                && spot.edge.session() == old.session()
+                && now - old.since() >= limits.stay();
     }
 
     private void put(String object, Spot spot) {
@@ -292,7 +306,9 @@
     private List<String> hottest(Iterable<String> objects) {
         List<String> sorted = new ArrayList<>();
         objects.forEach(sorted::add);
-        sorted.sort(Comparator.comparingLong((String object) -> -sight.of(object).heat()).thenComparing(object -> object));
+        sorted.sort(
+                Comparator.comparingLong((String object) -> -sight.of(object).heat())
+                        .thenComparing(object -> object));
         return sorted;
     }
 }
--- a/src/main/java/rushpin/authority/finding/Finder.java
+++ b/src/main/java/rushpin/authority/finding/Finder.java
@@ -25,6 +25,7 @@
 
     /** Counts fade: a single request is to be worth something for some turns. */
     private static final long PARTS = 256;
+
     private static final double SECOND = 1e9;
     private static final long PRIME = (1L << 61) - 1;
 
@@ -114,10 +115,11 @@
         }
         sketch = next;
         rows.sort(Comparator.comparingInt((Told.Row row) -> Long.numberOfLeadingZeros(row.heat()))
-            .thenComparing(Told.Row::object));
+                .thenComparing(Told.Row::object));
         int bytes = 0, many = 0;
-        while (many < rows.size() && many < Told.MOST_ROWS
-            && (bytes += rows.get(many).object().length() + Told.ROW_BYTES) <= Told.MOST_BYTES) {
+        while (many < rows.size()
+                && many < Told.MOST_ROWS
+                && (bytes += rows.get(many).object().length() + Told.ROW_BYTES) <= Told.MOST_BYTES) {
             many++;
         }
         return List.copyOf(rows.subList(0, many));
--- a/src/main/java/rushpin/authority/finding/Heard.java
+++ b/src/main/java/rushpin/authority/finding/Heard.java
@@ -18,14 +18,17 @@
  */
 public final class Heard {
     /** What became of what was told. */
-    public enum Taken { YES, NOT_NEWER, UNSOUND, NO_ROOM }
+    public enum Taken {
+        YES,
+        NOT_NEWER,
+        UNSOUND,
+        NO_ROOM
+    }
 
     /** A process that may hold objects, by the log: its session lives. */
-    public record Member(long session, String zone, String region) {
-    }
+    public record Member(long session, String zone, String region) {}
 
-    private record Kept(Told told, long at) {
-    }
+    private record Kept(Told told, long at) {}
 
     /** Of one object, over all who tell. */
     private static final class Sum {
@@ -49,8 +52,8 @@
 
         Sight.Demand demand() {
             Map<String, Sight.Part> parts = new TreeMap<>();
-            zones.forEach((zone, part) -> parts.put(zone,
-                new Sight.Part(part[0], part[1], zone.equals(where) ? part[0] - first + second : part[0])));
+            zones.forEach((zone, part) -> parts.put(
+                    zone, new Sight.Part(part[0], part[1], zone.equals(where) ? part[0] - first + second : part[0])));
             return new Sight.Demand(all - first, all - first + second, parts);
         }
     }
@@ -133,8 +136,14 @@
                 continue;
             }
             rooms.put(member.session, each.told.room());
-            each.told.rows().forEach(row -> sums.computeIfAbsent(row.object(), any -> new Sum()).add(member.zone, row.heat()));
-            each.told.holders().forEach(one -> answers.computeIfAbsent(one.holder(), any -> new Answers()).add(one));
+            each.told
+                    .rows()
+                    .forEach(row ->
+                            sums.computeIfAbsent(row.object(), any -> new Sum()).add(member.zone, row.heat()));
+            each.told
+                    .holders()
+                    .forEach(one -> answers.computeIfAbsent(one.holder(), any -> new Answers())
+                            .add(one));
         }
         long[] sorted = rooms.values().stream().mapToLong(room -> room).sorted().toArray();
         long mostRoom = sorted.length == 0 ? 0 : ROOMS * sorted[(sorted.length - 1) / 2];
@@ -146,8 +155,9 @@
             if (isSlow) {
                 slow.put(member.session, now);
             }
-            long room = slow.containsKey(member.session) ? Sight.UNKNOWN
-                : Math.min(mostRoom, rooms.getOrDefault(member.session, Sight.UNKNOWN));
+            long room = slow.containsKey(member.session)
+                    ? Sight.UNKNOWN
+                    : Math.min(mostRoom, rooms.getOrDefault(member.session, Sight.UNKNOWN));
             edges.add(new Sight.Edge(member.session, member.zone, member.region, room, isSlow));
         }
         Map<String, Sight.Demand> demands = new HashMap<>();
--- a/src/main/java/rushpin/authority/finding/Limits.java
+++ b/src/main/java/rushpin/authority/finding/Limits.java
@@ -17,8 +17,18 @@
  *     for as long
  * @param pause for so long an object's requests wait when it moves
  */
-public record Limits(long hot, long cool, int most, int mostEach, int fill, int steps, int slowSteps, int slowPart, long calm,
-                     long stay, long pause) {
+public record Limits(
+        long hot,
+        long cool,
+        int most,
+        int mostEach,
+        int fill,
+        int steps,
+        int slowSteps,
+        int slowPart,
+        long calm,
+        long stay,
+        long pause) {
     private static final long SECOND = 1_000_000_000L;
     static final int WHOLE = 1_000;
     /** How far it is to another zone of the region, and to another region. */
@@ -29,9 +39,20 @@
 
     /** Throws where one can't be. */
     public Limits {
-        if (cool <= 0 || cool >= hot || most < 1 || most > Assignment.MOST || mostEach < 1 || fill < 1 || fill > WHOLE
-            || steps < 2 || slowSteps < 1 || calm <= 0 || stay < calm || pause < 0) {
-            throw new IllegalArgumentException("limits of hot objects can't be these: " + hot + " " + cool + " " + most);
+        if (cool <= 0
+                || cool >= hot
+                || most < 1
+                || most > Assignment.MOST
+                || mostEach < 1
+                || fill < 1
+                || fill > WHOLE
+                || steps < 2
+                || slowSteps < 1
+                || calm <= 0
+                || stay < calm
+                || pause < 0) {
+            throw new IllegalArgumentException(
+                    "limits of hot objects can't be these: " + hot + " " + cool + " " + most);
         }
     }
 
--- a/src/main/java/rushpin/authority/finding/Sight.java
+++ b/src/main/java/rushpin/authority/finding/Sight.java
@@ -23,8 +23,7 @@
      * @param room what it may hold, in weight a second; below 0 if that is not known: it gets nothing and is not overfull
      * @param isSlow by what others say of it
      */
-    public record Edge(long session, String zone, String region, long room, boolean isSlow) {
-    }
+    public record Edge(long session, String zone, String region, long room, boolean isSlow) {}
 
     /**
      * What is asked for, in weight a second.
@@ -33,8 +32,7 @@
      * @param load what its holder will get: of all, where nobody counts for more than the one next to him
      * @param zones where it is asked for
      */
-    public record Demand(long heat, long load, Map<String, Part> zones) {
-    }
+    public record Demand(long heat, long load, Map<String, Part> zones) {}
 
     /**
      * In one zone.
@@ -43,8 +41,7 @@
      * @param greatest what one of them tells at most
      * @param fair their sum, where nobody in the fleet counts for more than the one next to him
      */
-    public record Part(long sum, long greatest, long fair) {
-    }
+    public record Part(long sum, long greatest, long fair) {}
 
     /** Copies. */
     public Sight {
--- a/src/main/java/rushpin/authority/finding/Told.java
+++ b/src/main/java/rushpin/authority/finding/Told.java
@@ -24,16 +24,14 @@
     static final int ROW_BYTES = 8;
 
     /** Of an object: the weight of requests a second. */
-    public record Row(String object, long heat) {
-    }
+    public record Row(String object, long heat) {}
 
     /**
      * Attempts at one holder that ended since the last report, and how many of them were slow or ended without an answer.
      *
      * @param holder its session
      */
-    public record Answered(long holder, long sent, long slow) {
-    }
+    public record Answered(long holder, long sent, long slow) {}
 
     /** Copies. */
     public Told {
@@ -43,12 +41,24 @@
 
     /** Whether it can be true: names, bounds, counts that fit together. */
     public boolean isSound() {
-        return session > 0 && room >= 0 && room <= MOST && rows.size() <= MOST_ROWS && holders.size() <= MOST_HOLDERS
-            && rows.stream().allMatch(row -> Who.isName(row.object) && row.heat > 0 && row.heat <= MOST)
-            && rows.stream().mapToInt(row -> row.object.length() + ROW_BYTES).sum() <= MOST_BYTES
-            && holders.stream().allMatch(each -> each.holder > 0 && each.holder != session && each.slow >= 0
-                && each.slow <= each.sent && each.sent <= MOST)
-            && once(rows, Row::object) && once(holders, Answered::holder);
+        return session > 0
+                && room >= 0
+                && room <= MOST
+                && rows.size() <= MOST_ROWS
+                && holders.size() <= MOST_HOLDERS
+                && rows.stream().allMatch(row -> Who.isName(row.object) && row.heat > 0 && row.heat <= MOST)
+                && rows.stream()
+                                .mapToInt(row -> row.object.length() + ROW_BYTES)
+                                .sum()
+                        <= MOST_BYTES
+                && holders.stream()
+                        .allMatch(each -> each.holder > 0
+                                && each.holder != session
+                                && each.slow >= 0
+                                && each.slow <= each.sent
+                                && each.sent <= MOST)
+                && once(rows, Row::object)
+                && once(holders, Answered::holder);
     }
 
     private static <T> boolean once(List<T> all, Function<T, Object> by) {
--- a/src/main/java/rushpin/budget/Lender.java
+++ b/src/main/java/rushpin/budget/Lender.java
@@ -36,6 +36,7 @@
 
     /** In the order in which they wait: who was served goes to the end. */
     private final Map<String, Borrower> borrowers = new LinkedHashMap<>();
+
     private long total;
 
     /** Deals out so many units. */
@@ -115,14 +116,18 @@
 
     /** Lent units that each of those who have or want some may count on. */
     private long fair() {
-        long rest = total - borrowers.values().stream().mapToLong(b -> b.guaranteed).sum();
-        long users = borrowers.values().stream().filter(b -> b.loan() > 0 || b.wanted > 0).count();
+        long rest =
+                total - borrowers.values().stream().mapToLong(b -> b.guaranteed).sum();
+        long users = borrowers.values().stream()
+                .filter(b -> b.loan() > 0 || b.wanted > 0)
+                .count();
         return Math.max(0, rest) / Math.max(1, users);
     }
 
     /** Calls units back, from the greatest loan first, until so many are on their way. */
     private void callBack(long units, long leave) {
-        long open = units - borrowers.values().stream().mapToLong(b -> b.recalled).sum();
+        long open =
+                units - borrowers.values().stream().mapToLong(b -> b.recalled).sum();
         while (open > 0) {
             Borrower greatest = null;
             for (Borrower borrower : borrowers.values()) {
--- a/src/main/java/rushpin/budget/Ration.java
+++ b/src/main/java/rushpin/budget/Ration.java
@@ -39,6 +39,7 @@
     private final Map<String, Tenant<W>> tenants = new TreeMap<>();
     /** In turn: who was served last comes last of those that are as full. */
     private final List<Tenant<W>> turns = new ArrayList<>();
+
     private Map<String, Integer> parts = Map.of();
     private int most, open, leaving, waiting;
 
@@ -156,7 +157,7 @@
         boolean again = waiting > 0;
         while (again) {
             again = false;
-            for (Iterator<String> names = inTurn().iterator(); !again && names.hasNext();) {
+            for (Iterator<String> names = inTurn().iterator(); !again && names.hasNext(); ) {
                 String name = names.next();
                 again = serveOne(tenants.get(name), name, begins);
             }
@@ -220,8 +221,10 @@
             tenant.most = tenant.carried;
         }
         // Told once, whoever has no part and is not there any more is forgotten.
-        tenants.entrySet().removeIf(each -> !parts.containsKey(each.getKey()) && each.getValue().peak == 0
-            && turns.remove(each.getValue()));
+        tenants.entrySet()
+                .removeIf(each -> !parts.containsKey(each.getKey())
+                        && each.getValue().peak == 0
+                        && turns.remove(each.getValue()));
         return all;
     }
 
@@ -231,6 +234,5 @@
      * @param wanted those that carried its requests and those that would have
      * @param used those that did
      */
-    public record Use(int wanted, int used) {
-    }
+    public record Use(int wanted, int used) {}
 }
--- a/src/main/java/rushpin/cli/Main.java
+++ b/src/main/java/rushpin/cli/Main.java
@@ -22,11 +22,12 @@
 public final class Main {
     /** How long a start's rehearsal is: so many requests, or so many milliseconds where these take longer. */
     private static final int REHEARSED = 1_000;
+
     private static final long REHEARSAL_MS = 2_000;
-    private static final String USAGE = "usage: rushpin.jar serve [--operator FILE] | check FILE | rig [NAME] | model | drill";
+    private static final String USAGE =
+            "usage: rushpin.jar serve [--operator FILE] | check FILE | rig [NAME] | model | drill";
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Picks the word. */
     public static void main(String[] args) {
@@ -61,9 +62,10 @@
         }
         try {
             String platform = System.getenv("GW_CONFIG");
-            Operator read = OperatorFile.read(Path.of(args[1]),
-                platform == null || platform.isEmpty() ? null : Config.read(Path.of(platform)));
-            System.out.println(args[1] + ": good, " + read.pools().size() + " pools, " + read.routes().size() + " routes");
+            Operator read = OperatorFile.read(
+                    Path.of(args[1]), platform == null || platform.isEmpty() ? null : Config.read(Path.of(platform)));
+            System.out.println(args[1] + ": good, " + read.pools().size() + " pools, "
+                    + read.routes().size() + " routes");
             return 0;
         } catch (Operator.Faulty e) {
             e.faults().forEach(fault -> System.out.println(args[1] + ": " + fault));
@@ -108,13 +110,13 @@
             }
             long begun = System.nanoTime();
             int rehearsed = Rehearsal.hold(first, REHEARSED, REHEARSAL_MS, Path.of(folder));
-            System.out.println("rehearsed with " + rehearsed + " requests in "
-                + (System.nanoTime() - begun) / 1_000_000 + " ms");
+            System.out.println(
+                    "rehearsed with " + rehearsed + " requests in " + (System.nanoTime() - begun) / 1_000_000 + " ms");
             // The file is read again: a signal may have come meanwhile. One that comes from now on is heard at the end.
             int before = hangups.get();
             Config config = Config.read(path);
-            EdgeNode node = new EdgeNode(config, operator == null ? null : OperatorFile.read(operator, config),
-                desk.get());
+            EdgeNode node =
+                    new EdgeNode(config, operator == null ? null : OperatorFile.read(operator, config), desk.get());
             running.set(config);
             serving.set(node);
             node.start();
@@ -142,7 +144,8 @@
     private static void onHangup(Runnable then) {
         sun.misc.SignalHandler before = sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> then.run());
         if (before == sun.misc.SignalHandler.SIG_IGN) {
-            System.out.println("SIGHUP is ignored, as this process was started so: no configuration will be read again");
+            System.out.println(
+                    "SIGHUP is ignored, as this process was started so: no configuration will be read again");
         }
     }
 
--- a/src/main/java/rushpin/cli/ModelCommand.java
+++ b/src/main/java/rushpin/cli/ModelCommand.java
@@ -30,20 +30,32 @@
 import rushpin.traffic.Recorded;
 
 /** {@code model ...}: the fleet in simulated time. Exit 0: done, 1: a file can't be used or a claim falls short, 2: wrong words. */
-@Command(name = "model", mixinStandardHelpOptions = true, subcommands = {ModelCommand.FitCommand.class,
-    ModelCommand.PlayCommand.class, ModelCommand.CompareCommand.class, ModelCommand.SweepCommand.class,
-    ModelCommand.CalibrateCommand.class, ModelCommand.ValidateCommand.class},
-    description = "Plays a fleet in simulated time round the modules that serve, and compares choices.")
+@Command(
+        name = "model",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            ModelCommand.FitCommand.class,
+            ModelCommand.PlayCommand.class,
+            ModelCommand.CompareCommand.class,
+            ModelCommand.SweepCommand.class,
+            ModelCommand.CalibrateCommand.class,
+            ModelCommand.ValidateCommand.class
+        },
+        description = "Plays a fleet in simulated time round the modules that serve, and compares choices.")
 final class ModelCommand implements Runnable {
     static int run(String[] args) {
-        return new CommandLine(new ModelCommand()).setExecutionExceptionHandler((e, line, result) -> {
-            if (!(e instanceof Unusable || e instanceof Recorded.Unreadable || e instanceof IllegalArgumentException
-                || e instanceof IOException)) {
-                throw e;
-            }
-            System.err.println(e.getMessage());
-            return 1;
-        }).execute(args);
+        return new CommandLine(new ModelCommand())
+                .setExecutionExceptionHandler((e, line, result) -> {
+                    if (!(e instanceof Unusable
+                            || e instanceof Recorded.Unreadable
+                            || e instanceof IllegalArgumentException
+                            || e instanceof IOException)) {
+                        throw e;
+                    }
+                    System.err.println(e.getMessage());
+                    return 1;
+                })
+                .execute(args);
     }
 
     private static String number(double x) {
@@ -62,10 +74,17 @@
 
     /** What all that play a day are told. */
     static final class OnADay {
-        @Option(names = "--day", required = true, paramLabel = "FILE", description = "The day, TOML; model fit writes one.")
+        @Option(
+                names = "--day",
+                required = true,
+                paramLabel = "FILE",
+                description = "The day, TOML; model fit writes one.")
         private Path day;
 
-        @Option(names = "--settings", paramLabel = "FILE", description = "Settings in the platform's form, where a choice names none.")
+        @Option(
+                names = "--settings",
+                paramLabel = "FILE",
+                description = "Settings in the platform's form, where a choice names none.")
         private Path settings;
 
         @Option(names = "--records", paramLabel = "FOLDER", description = "Replay the first tries recorded there.")
@@ -77,11 +96,17 @@
         @Option(names = "--seed", paramLabel = "N", defaultValue = "0", description = "Seeds are those after it (0).")
         private long seed;
 
-        @Option(names = "--threads", paramLabel = "N", description = "Threads; all cores unless said. Changes no figure.")
+        @Option(
+                names = "--threads",
+                paramLabel = "N",
+                description = "Threads; all cores unless said. Changes no figure.")
         private int threads;
 
-        @Option(names = "--run-s", paramLabel = "S", defaultValue = "120",
-            description = "Real seconds after which a run has failed (120).")
+        @Option(
+                names = "--run-s",
+                paramLabel = "S",
+                defaultValue = "120",
+                description = "Real seconds after which a run has failed (120).")
         private long runSeconds;
 
         Map<String, String> pairs() throws Unusable {
@@ -99,15 +124,17 @@
                 return null;
             }
             Fit fit = new Fit(Recorded.read(records), by.settings(), on, pool);
-            fit.notes().stream().filter(note -> note.contains("left out") || note.contains("not written"))
-                .forEach(note -> System.out.println("replay: " + note));
+            fit.notes().stream()
+                    .filter(note -> note.contains("left out") || note.contains("not written"))
+                    .forEach(note -> System.out.println("replay: " + note));
             return fit.columns();
         }
 
         /** Plays what is asked on the day, as it is for a choice that records are read by. */
         <T> T study(Choice by, Study.Options options, Asked<T> asked) throws Exception {
             Map<String, String> pairs = pairs();
-            try (Runner runner = new Runner(threads > 0 ? threads : Runtime.getRuntime().availableProcessors(), runSeconds)) {
+            try (Runner runner =
+                    new Runner(threads > 0 ? threads : Runtime.getRuntime().availableProcessors(), runSeconds)) {
                 return asked.of(new Study(runner, pairs, replay(by, pairs), options), runner);
             }
         }
@@ -118,8 +145,11 @@
         @Option(names = "--level", paramLabel = "P", defaultValue = "0.95", description = "Of the verdict (0.95).")
         private double level;
 
-        @Option(names = "--width", paramLabel = "W", defaultValue = "0.005",
-            description = "Seeds are added until service is known to so much on each side (0.005).")
+        @Option(
+                names = "--width",
+                paramLabel = "W",
+                defaultValue = "0.005",
+                description = "Seeds are added until service is known to so much on each side (0.005).")
         private double width;
 
         @Option(names = "--budget", paramLabel = "N", defaultValue = "60", description = "Most seeds (60).")
@@ -130,7 +160,8 @@
 
         Study.Options options(long seed) throws Unusable {
             if (!(level >= 0.5 && level < 1) || !(width > 0) || budget < 1 || budget > 10_000) {
-                throw new Unusable("allowed are --level from 0.5 to below 1, --width above 0, --budget from 1 to 10000");
+                throw new Unusable(
+                        "allowed are --level from 0.5 to below 1, --width above 0, --budget from 1 to 10000");
             }
             return new Study.Options(level, width, 10, budget, seed, independent);
         }
@@ -141,22 +172,33 @@
         @Parameters(index = "0", paramLabel = "RECORDS", description = "A folder of records, or one file.")
         private Path records;
 
-        @Option(names = "--settings", required = true, paramLabel = "FILE", description = "The settings they were made under.")
+        @Option(
+                names = "--settings",
+                required = true,
+                paramLabel = "FILE",
+                description = "The settings they were made under.")
         private Path settings;
 
-        @Option(names = "--given", required = true, paramLabel = "FILE",
-            description = "A day with what records can't tell, servers.cores at least.")
+        @Option(
+                names = "--given",
+                required = true,
+                paramLabel = "FILE",
+                description = "A day with what records can't tell, servers.cores at least.")
         private Path given;
 
         @Option(names = "--pool", paramLabel = "NAME", defaultValue = "", description = "Whose requests are meant.")
         private String pool;
 
-        @Option(names = {"-o", "--out"}, paramLabel = "FILE", description = "Where the day goes; else to standard output.")
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "FILE",
+                description = "Where the day goes; else to standard output.")
         private Path out;
 
         @Override
         public Integer call() throws Exception {
-            Fit fit = new Fit(Recorded.read(records), Choice.of(settings.toString(), null).settings(), DayFile.read(given), pool);
+            Fit fit = new Fit(
+                    Recorded.read(records), Choice.of(settings.toString(), null).settings(), DayFile.read(given), pool);
             fit.notes().forEach(note -> System.err.println(note));
             String text = DayFile.text(fit.day(), fit.notes());
             Day day = Day.of(fit.day());
@@ -170,9 +212,15 @@
         }
     }
 
-    @Command(name = "play", mixinStandardHelpOptions = true, description = "Plays one choice; each figure with where one run lies.")
+    @Command(
+            name = "play",
+            mixinStandardHelpOptions = true,
+            description = "Plays one choice; each figure with where one run lies.")
     static final class PlayCommand implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "CHOICE", description = "FILE.json, FILE.jar, KEY=VALUE, day.KEY=VALUE or as-is, joined by commas.")
+        @Parameters(
+                index = "0",
+                paramLabel = "CHOICE",
+                description = "FILE.json, FILE.jar, KEY=VALUE, day.KEY=VALUE or as-is, joined by commas.")
         private String word;
 
         @Mixin
@@ -195,18 +243,31 @@
                     }
                 }
                 Columns.lines(rows).forEach(System.out::println);
-                runs.stream().map(run -> (String) run.get("breach")).filter(breach -> !breach.isEmpty()).limit(5)
-                    .forEach(breach -> System.out.println("broken: " + breach));
-                System.out.printf(Locale.ROOT, "%d runs; 95 of 100 further runs lie between least and most; %.0f us of one core a "
-                    + "simulated try%n", runs.size(), runner.microsPerTry());
+                runs.stream()
+                        .map(run -> (String) run.get("breach"))
+                        .filter(breach -> !breach.isEmpty())
+                        .limit(5)
+                        .forEach(breach -> System.out.println("broken: " + breach));
+                System.out.printf(
+                        Locale.ROOT,
+                        "%d runs; 95 of 100 further runs lie between least and most; %.0f us of one core a "
+                                + "simulated try%n",
+                        runs.size(),
+                        runner.microsPerTry());
                 return 0;
             });
         }
     }
 
-    @Command(name = "compare", mixinStandardHelpOptions = true, description = "Plays two choices on the same seeds: A, B or cannot tell.")
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
+            description = "Plays two choices on the same seeds: A, B or cannot tell.")
     static final class CompareCommand implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "A", description = "FILE.json, FILE.jar, KEY=VALUE, day.KEY=VALUE or as-is, joined by commas.")
+        @Parameters(
+                index = "0",
+                paramLabel = "A",
+                description = "FILE.json, FILE.jar, KEY=VALUE, day.KEY=VALUE or as-is, joined by commas.")
         private String a;
 
         @Parameters(index = "1", paramLabel = "B")
@@ -239,12 +300,18 @@
         }
     }
 
-    @Command(name = "sweep", mixinStandardHelpOptions = true, description = "One setting over values, each against the choice as it stands.")
+    @Command(
+            name = "sweep",
+            mixinStandardHelpOptions = true,
+            description = "One setting over values, each against the choice as it stands.")
     static final class SweepCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CHOICE")
         private String word;
 
-        @Parameters(index = "1", paramLabel = "KEY", description = "As under settings, points between: caps.max-attempts.")
+        @Parameters(
+                index = "1",
+                paramLabel = "KEY",
+                description = "As under settings, points between: caps.max-attempts.")
         private String key;
 
         @Parameters(index = "2..*", arity = "1..*", paramLabel = "VALUE")
@@ -259,23 +326,30 @@
         @Override
         public Integer call() throws Exception {
             Choice choice = on.choice(word);
-            List<Comparison> all = on.study(choice, sure.options(on.seed), (study, runner) -> study.sweep(choice, key, values));
-            List<List<String>> rows = new ArrayList<>(List.of(List.of(key, "service", "less as-is", "from", "to", "seeds", "verdict")));
+            List<Comparison> all =
+                    on.study(choice, sure.options(on.seed), (study, runner) -> study.sweep(choice, key, values));
+            List<List<String>> rows =
+                    new ArrayList<>(List.of(List.of(key, "service", "less as-is", "from", "to", "seeds", "verdict")));
             for (int i = 0; i < all.size(); i++) {
                 Comparison one = all.get(i);
                 List<String> row = new ArrayList<>(List.of(values.get(i)));
                 if (one.seeds() > 0) {
                     Comparison.Figure f = one.figures().get(0);
-                    row.addAll(List.of(number(f.b()), number(f.difference().middle()), number(f.difference().low()),
-                        number(f.difference().high())));
+                    row.addAll(List.of(
+                            number(f.b()),
+                            number(f.difference().middle()),
+                            number(f.difference().low()),
+                            number(f.difference().high())));
                 } else {
                     row.addAll(List.of("", "", "", ""));
                 }
-                row.addAll(List.of(String.valueOf(one.seeds()), switch (one.verdict()) {
-                    case A -> "worse";
-                    case B -> "better";
-                    case CANNOT_TELL -> "cannot tell";
-                }));
+                row.addAll(List.of(
+                        String.valueOf(one.seeds()),
+                        switch (one.verdict()) {
+                            case A -> "worse";
+                            case B -> "better";
+                            case CANNOT_TELL -> "cannot tell";
+                        }));
                 rows.add(row);
             }
             Columns.lines(rows).forEach(System.out::println);
@@ -287,8 +361,10 @@
         }
     }
 
-    @Command(name = "calibrate", mixinStandardHelpOptions = true,
-        description = "Compares a choice with itself on seeds of its own: how often it is said to differ.")
+    @Command(
+            name = "calibrate",
+            mixinStandardHelpOptions = true,
+            description = "Compares a choice with itself on seeds of its own: how often it is said to differ.")
     static final class CalibrateCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CHOICE")
         private String word;
@@ -310,17 +386,31 @@
             BinomialDistribution said = new BinomialDistribution(null, comparisons, 1 - options.level());
             int most = said.inverseCumulativeProbability(0.995);
             boolean holds = differs <= most;
-            System.out.printf(Locale.ROOT, "%d of %d comparisons of %s with itself differ; the level lets %d to %d pass, and fewer "
-                + "where figures are whole%nverdict: %s%n", differs, comparisons, word, said.inverseCumulativeProbability(0.005), most,
-                holds ? "holds" : "falls short: the method says more than it knows");
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d of %d comparisons of %s with itself differ; the level lets %d to %d pass, and fewer "
+                            + "where figures are whole%nverdict: %s%n",
+                    differs,
+                    comparisons,
+                    word,
+                    said.inverseCumulativeProbability(0.005),
+                    most,
+                    holds ? "holds" : "falls short: the method says more than it knows");
             return holds ? 0 : 1;
         }
     }
 
-    @Command(name = "validate", mixinStandardHelpOptions = true,
-        description = "Plays a real loopback fleet, records and fits it, and holds the forecast against further real runs.")
+    @Command(
+            name = "validate",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays a real loopback fleet, records and fits it, and holds the forecast against further real runs.")
     static final class ValidateCommand implements Callable<Integer> {
-        @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Where all chance comes from (1).")
+        @Option(
+                names = "--seed",
+                paramLabel = "N",
+                defaultValue = "1",
+                description = "Where all chance comes from (1).")
         private long seed;
 
         @Option(names = "--short", description = "Fewer and shorter runs.")
--- a/src/main/java/rushpin/cli/RigCommand.java
+++ b/src/main/java/rushpin/cli/RigCommand.java
@@ -11,8 +11,10 @@
 import rushpin.rig.Scenario;
 
 /** {@code rig NAME}: plays a scenario on loopback, with stand-ins of this program. */
-@Command(name = "rig", mixinStandardHelpOptions = true,
-    description = "Plays a scenario; without a name, lists them. Exit 0: holds, 1: falls short, 2: wrong words.")
+@Command(
+        name = "rig",
+        mixinStandardHelpOptions = true,
+        description = "Plays a scenario; without a name, lists them. Exit 0: holds, 1: falls short, 2: wrong words.")
 final class RigCommand implements Callable<Integer> {
     /** A process takes some 150 MB. */
     private static final int FLEET_MOST = 60;
@@ -32,12 +34,18 @@
     @Option(names = "--other", paramLabel = "JAR", description = "cost: another build to compare with.")
     private Path other;
 
-    @Option(names = "--flood", paramLabel = "N", defaultValue = "5",
-        description = "pools: how many times its quota the flooded pool is asked for (5).")
+    @Option(
+            names = "--flood",
+            paramLabel = "N",
+            defaultValue = "5",
+            description = "pools: how many times its quota the flooded pool is asked for (5).")
     private double flood;
 
-    @Option(names = "--size", paramLabel = "N", defaultValue = "0",
-        description = "cost: of [fleet], off and on, at 5, 20 and 60 processes up to N instead.")
+    @Option(
+            names = "--size",
+            paramLabel = "N",
+            defaultValue = "0",
+            description = "cost: of [fleet], off and on, at 5, 20 and 60 processes up to N instead.")
     private int size;
 
     static int run(String[] args) {
--- a/src/main/java/rushpin/config/Config.java
+++ b/src/main/java/rushpin/config/Config.java
@@ -36,19 +36,53 @@
  * @param console where operators call; null where nobody does
  * @param keys the keys that the file has, at its top and in the settings' tables
  */
-public record Config(String name, SocketAddress listen, SocketAddress discovery, SocketAddress counter, long seed, int sockets,
-              long memory, Roll known, long connectTimeout, long keepAlive, Names names,
-              Settings settings, SocketAddress console, Set<String> keys) {
+public record Config(
+        String name,
+        SocketAddress listen,
+        SocketAddress discovery,
+        SocketAddress counter,
+        long seed,
+        int sockets,
+        long memory,
+        Roll known,
+        long connectTimeout,
+        long keepAlive,
+        Names names,
+        Settings settings,
+        SocketAddress console,
+        Set<String> keys) {
 
     /** A configuration of a node that no operator calls. */
-    public Config(String name, SocketAddress listen, SocketAddress discovery, SocketAddress counter, long seed,
-                  int sockets, long memory, Roll known, long connectTimeout, long keepAlive, Names names,
-                  Settings settings) {
-        this(name, listen, discovery, counter, seed, sockets, memory, known, connectTimeout, keepAlive, names, settings,
-            null, Set.of());
+    public Config(
+            String name,
+            SocketAddress listen,
+            SocketAddress discovery,
+            SocketAddress counter,
+            long seed,
+            int sockets,
+            long memory,
+            Roll known,
+            long connectTimeout,
+            long keepAlive,
+            Names names,
+            Settings settings) {
+        this(
+                name,
+                listen,
+                discovery,
+                counter,
+                seed,
+                sockets,
+                memory,
+                known,
+                connectTimeout,
+                keepAlive,
+                names,
+                settings,
+                null,
+                Set.of());
     }
 
-
     /** A configuration that cannot be used; the message is one plain line that names the key. */
     public static final class Invalid extends Exception {
         private static final long serialVersionUID = 1L;
@@ -74,7 +108,7 @@
         missing.removeAll(read.keys());
         if (!missing.isEmpty()) {
             throw new Invalid(String.join(", ", missing) + (missing.size() == 1 ? " is" : " are")
-                + " missing: the configuration that runs has it");
+                    + " missing: the configuration that runs has it");
         }
         return read;
     }
@@ -86,7 +120,9 @@
         for (Map.Entry<String, JsonNode> table : root.path("settings").properties()) {
             keys.add("settings." + table.getKey());
             if (table.getValue().isObject()) {
-                table.getValue().fieldNames().forEachRemaining(key -> keys.add("settings." + table.getKey() + "." + key));
+                table.getValue()
+                        .fieldNames()
+                        .forEachRemaining(key -> keys.add("settings." + table.getKey() + "." + key));
             }
         }
         return Set.copyOf(keys);
@@ -128,7 +164,8 @@
         try {
             return parse(Json.read(text), pool);
         } catch (JsonProcessingException e) {
-            throw new Invalid("the configuration is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
+            throw new Invalid(
+                    "the configuration is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
         } catch (IOException e) {
             throw new Invalid("the configuration cannot be read: " + e.getMessage());
         } catch (RollReader.Malformed e) {
@@ -140,13 +177,28 @@
         Map<String, String> pairs = new HashMap<>();
         List<String> faults = new ArrayList<>();
         flatten("settings", RollReader.present(root, "settings"), pairs);
-        List<String> required = new ArrayList<>(List.of("my-number", "siblings", "my-zone", "tick-ns",
-            "caps.max-attempts", "caps.max-open", "caps.connect-timeout-ns", "caps.keepalive-ns",
-            "domain.count-wait-ns", "domain.units-top", "rules.answer-slack-ns", "rules.cold-from", "rules.ramp-time-ns",
-            "rules.overload-factor", "rules.tip-after-ns"));
+        List<String> required = new ArrayList<>(List.of(
+                "my-number",
+                "siblings",
+                "my-zone",
+                "tick-ns",
+                "caps.max-attempts",
+                "caps.max-open",
+                "caps.connect-timeout-ns",
+                "caps.keepalive-ns",
+                "domain.count-wait-ns",
+                "domain.units-top",
+                "rules.answer-slack-ns",
+                "rules.cold-from",
+                "rules.ramp-time-ns",
+                "rules.overload-factor",
+                "rules.tip-after-ns"));
         JsonNode settings = root.path("settings");
-        Names names = new Names(namesOf(settings, "classes"), namesOf(settings, "tariffs"),
-            textsOf(settings, "failure-domains"), textsOf(settings, "skus"));
+        Names names = new Names(
+                namesOf(settings, "classes"),
+                namesOf(settings, "tariffs"),
+                textsOf(settings, "failure-domains"),
+                textsOf(settings, "skus"));
         for (int i = 0; i < names.classes().size(); i++) {
             for (String key : List.of("aim-ns", "deadline-ns", "worth")) {
                 required.add("classes." + i + "." + key);
@@ -184,11 +236,12 @@
             // As it stands, no word in quotes: what came of a slip of the pen is not to be guessed.
             if (number(pairs, key) < (key.endsWith("attempts") ? 1 : Double.MIN_VALUE) || textual(settings, key)) {
                 throw new Invalid("settings." + key + " is " + pairs.get(key) + ": allowed is a number "
-                    + (key.endsWith("attempts") ? "from 1" : "above 0"));
+                        + (key.endsWith("attempts") ? "from 1" : "above 0"));
             }
         }
         for (int i = 0; i < names.classes().size(); i++) {
-            if (pairs.get("classes." + i + ".idempotency").equals("dedup") && !pairs.containsKey("classes." + i + ".key-ttl-ns")) {
+            if (pairs.get("classes." + i + ".idempotency").equals("dedup")
+                    && !pairs.containsKey("classes." + i + ".key-ttl-ns")) {
                 throw new Invalid("settings.classes." + i + ".key-ttl-ns is missing: the class is dedup");
             }
         }
@@ -196,7 +249,8 @@
             throw new Invalid("settings.classes has a name twice");
         }
         if (number(pairs, "domain.units-top") == 0) {
-            throw new Invalid("settings.domain.units-top is 0, and so no request could be taken: allowed is a number above 0");
+            throw new Invalid(
+                    "settings.domain.units-top is 0, and so no request could be taken: allowed is a number above 0");
         }
         Settings read;
         try {
@@ -205,13 +259,21 @@
             throw new Invalid("settings." + e.getMessage());
         }
         boolean counted = read.counter().present();
-        return new Config(root.path("name").asText(""), addressOf(root, "listen", pool), addressOf(root, "discovery", pool),
-            counted ? addressOf(root, "counter", pool) : null,
-            pool && !root.hasNonNull("seed") ? 0 : seed(RollReader.present(root, "seed")),
-            root.path("limits").path("sockets").asInt(256), root.path("limits").path("memory_mb").asLong(64) << 20,
-            root.hasNonNull("known") ? RollReader.read(root.get("known"), names) : new Roll(0, true, List.of()),
-            (long) number(pairs, "caps.connect-timeout-ns"), (long) number(pairs, "caps.keepalive-ns"),
-            names, read, pool ? null : addressOf(root, "console", true), keysOf(root));
+        return new Config(
+                root.path("name").asText(""),
+                addressOf(root, "listen", pool),
+                addressOf(root, "discovery", pool),
+                counted ? addressOf(root, "counter", pool) : null,
+                pool && !root.hasNonNull("seed") ? 0 : seed(RollReader.present(root, "seed")),
+                root.path("limits").path("sockets").asInt(256),
+                root.path("limits").path("memory_mb").asLong(64) << 20,
+                root.hasNonNull("known") ? RollReader.read(root.get("known"), names) : new Roll(0, true, List.of()),
+                (long) number(pairs, "caps.connect-timeout-ns"),
+                (long) number(pairs, "caps.keepalive-ns"),
+                names,
+                read,
+                pool ? null : addressOf(root, "console", true),
+                keysOf(root));
     }
 
     private static List<String> positive(Names names) {
@@ -246,7 +308,8 @@
             return file.console();
         }
         try {
-            return RollReader.address(JsonNodeFactory.instance.objectNode().put("GW_CONSOLE", environment), "GW_CONSOLE");
+            return RollReader.address(
+                    JsonNodeFactory.instance.objectNode().put("GW_CONSOLE", environment), "GW_CONSOLE");
         } catch (RollReader.Malformed e) {
             throw new Invalid(e.getMessage());
         }
@@ -258,8 +321,16 @@
 
     /** What the sockets towards app servers, counter and discovery need of this. */
     public Upstream upstream() {
-        return new Upstream(discovery, counter, settings.counter().timeout(), connectTimeout, keepAlive,
-            settings.counter().largest(), names, "", "app.svc");
+        return new Upstream(
+                discovery,
+                counter,
+                settings.counter().timeout(),
+                connectTimeout,
+                keepAlive,
+                settings.counter().largest(),
+                names,
+                "",
+                "app.svc");
     }
 
     private static void flatten(String path, JsonNode node, Map<String, String> into) {
@@ -296,8 +367,7 @@
         throw new Invalid("settings." + key + " is not a number from 0: " + pairs.get(key));
     }
 
-    private static List<String> namesOf(JsonNode settings, String list)
-        throws Invalid, RollReader.Malformed {
+    private static List<String> namesOf(JsonNode settings, String list) throws Invalid, RollReader.Malformed {
         List<String> names = new ArrayList<>();
         for (JsonNode item : RollReader.present(settings, list)) {
             names.add(RollReader.present(item, "name").asText());
--- a/src/main/java/rushpin/config/FleetKeys.java
+++ b/src/main/java/rushpin/config/FleetKeys.java
@@ -19,10 +19,10 @@
     private static final int PERCENT = 10_000;
     /** A hundredth in thousandths. */
     private static final int TENTHS = 10, MOST_REGIONS = 32;
+
     private static final String VOTER = "voter", LISTEN = "listen", STATE = "state", REGION = "region", ZONES = "zones";
 
-    private FleetKeys() {
-    }
+    private FleetKeys() {}
 
     static FleetPlan read(Keys fleet, Path folder, Config platform) {
         String said = name(fleet, "name", false);
@@ -40,17 +40,30 @@
         List<FleetPlan.Voter> voters = voters(fleet);
         // A word for one, or tables for all: then the process's own is the one that lists its zone.
         Geography geography = fleet.isText(REGION) ? new Geography(List.of()) : geography(fleet);
-        String region = fleet.isText(REGION) ? name(fleet, REGION, false) : geography == null || zone == null ? null
-            : region(fleet, geography, zone);
+        String region = fleet.isText(REGION)
+                ? name(fleet, REGION, false)
+                : geography == null || zone == null ? null : region(fleet, geography, zone);
         Limits limits = limits(fleet.table(ZONES));
         List<GroupPlan> groups = GroupKeys.read(fleet, lease);
         fleet.done();
         if (name != null && !voters.isEmpty()) {
-            checkPlace(fleet, name, voters.stream().anyMatch(voter -> voter.name().equals(name)));
+            checkPlace(
+                    fleet, name, voters.stream().anyMatch(voter -> voter.name().equals(name)));
         }
-        return new FleetPlan(name, zone, region == null ? "local" : region, era, listen,
-            state == null ? null : folder.resolve(state), lease * MS, effect * MS, (int) drift * PERCENT, voters, geography,
-            limits, groups);
+        return new FleetPlan(
+                name,
+                zone,
+                region == null ? "local" : region,
+                era,
+                listen,
+                state == null ? null : folder.resolve(state),
+                lease * MS,
+                effect * MS,
+                (int) drift * PERCENT,
+                voters,
+                geography,
+                limits,
+                groups);
     }
 
     /** Regions with their zones; null with a fault. */
@@ -66,7 +79,8 @@
             }
             List<String> listed = table.texts(ZONES, Plan.MOST_ZONES);
             if (!table.has(ZONES)) {
-                table.fault(ZONES, "is missing", "a list of 1 to " + Plan.MOST_ZONES + " zones, in order of preference");
+                table.fault(
+                        ZONES, "is missing", "a list of 1 to " + Plan.MOST_ZONES + " zones, in order of preference");
             }
             table.done();
             whole &= name != null && !listed.isEmpty();
@@ -75,8 +89,10 @@
                 if (!isName(zone)) {
                     table.fault(ZONES, "found \"" + zone + "\"", names());
                 } else if (other != null) {
-                    table.fault(ZONES, "zone " + zone + " stands in region " + other + " too",
-                        "each zone once over all regions");
+                    table.fault(
+                            ZONES,
+                            "zone " + zone + " stands in region " + other + " too",
+                            "each zone once over all regions");
                 }
                 whole &= other == null && isName(zone);
             }
@@ -92,11 +108,16 @@
 
     /** The region that the process's zone is listed in; null where none are listed, or with a fault. */
     private static String region(Keys fleet, Geography geography, String zone) {
-        String own = geography.regions().stream().filter(each -> each.zones().contains(zone)).map(Geography.Region::name)
-            .findFirst().orElse(null);
+        String own = geography.regions().stream()
+                .filter(each -> each.zones().contains(zone))
+                .map(Geography.Region::name)
+                .findFirst()
+                .orElse(null);
         if (own == null && !geography.regions().isEmpty()) {
-            fleet.fault("zone", "found \"" + zone + "\", which no region lists",
-                "one of " + String.join(", ", geography.zones()));
+            fleet.fault(
+                    "zone",
+                    "found \"" + zone + "\", which no region lists",
+                    "one of " + String.join(", ", geography.zones()));
         }
         return own;
     }
@@ -130,8 +151,12 @@
     private static List<FleetPlan.Voter> voters(Keys fleet) {
         List<Keys> tables = fleet.tables(VOTER, MOST_VOTERS);
         if (tables.size() < LEAST_VOTERS) {
-            fleet.fault(VOTER, tables.isEmpty() ? "there is none" : "has " + tables.size() + (tables.size() == 1 ? " entry"
-                : " entries"), "3 or 5 tables [[fleet.voter]]; 4 on the way from one to the other");
+            fleet.fault(
+                    VOTER,
+                    tables.isEmpty()
+                            ? "there is none"
+                            : "has " + tables.size() + (tables.size() == 1 ? " entry" : " entries"),
+                    "3 or 5 tables [[fleet.voter]]; 4 on the way from one to the other");
         }
         List<FleetPlan.Voter> voters = new ArrayList<>();
         Map<String, Integer> names = new HashMap<>();
@@ -185,7 +210,9 @@
             String host = address.getHostString();
             if (address.getPort() > 0) {
                 // A name is looked up by who connects, as often as it has to.
-                return host.matches("[0-9.]+|.*:.*") ? address : InetSocketAddress.createUnresolved(host, address.getPort());
+                return host.matches("[0-9.]+|.*:.*")
+                        ? address
+                        : InetSocketAddress.createUnresolved(host, address.getPort());
             }
         } catch (RollReader.Malformed e) {
             // Said below.
--- a/src/main/java/rushpin/config/FleetPlan.java
+++ b/src/main/java/rushpin/config/FleetPlan.java
@@ -27,11 +27,22 @@
  * @param limits what plans keep to
  * @param groups of app servers that take a number of connections from all processes together
  */
-public record FleetPlan(String name, String zone, String region, long era, InetSocketAddress listen, Path state, long lease,
-                        long effect, int drift, List<Voter> voters, Geography geography, Limits limits, List<GroupPlan> groups) {
+public record FleetPlan(
+        String name,
+        String zone,
+        String region,
+        long era,
+        InetSocketAddress listen,
+        Path state,
+        long lease,
+        long effect,
+        int drift,
+        List<Voter> voters,
+        Geography geography,
+        Limits limits,
+        List<GroupPlan> groups) {
     /** One of those who agree; the address is how <em>this</em> process reaches it. */
-    public record Voter(String name, InetSocketAddress address) {
-    }
+    public record Voter(String name, InetSocketAddress address) {}
 
     /** Copies. */
     public FleetPlan {
@@ -41,7 +52,10 @@
 
     /** A group by its name; null for none. */
     public GroupPlan group(String called) {
-        return groups.stream().filter(each -> each.name().equals(called)).findFirst().orElse(null);
+        return groups.stream()
+                .filter(each -> each.name().equals(called))
+                .findFirst()
+                .orElse(null);
     }
 
     /** Whether this process is one of those who agree. */
@@ -58,20 +72,37 @@
 
     /** Throws if a process can't go over from this to the next while it runs: one voter comes and one goes at most. */
     public void checkNext(FleetPlan next) throws Operator.Faulty {
-        List<String> now = new ArrayList<>(addresses().keySet()), then = new ArrayList<>(next.addresses().keySet());
+        List<String> now = new ArrayList<>(addresses().keySet()),
+                then = new ArrayList<>(next.addresses().keySet());
         List<String> gone = new ArrayList<>(now), come = new ArrayList<>(then);
         gone.removeAll(then);
         come.removeAll(now);
         if (gone.size() > 1 || come.size() > 1) {
-            throw new Operator.Faulty(List.of(new Fault("fleet.voter", 0, "changes from " + String.join(", ", now) + " to "
-                + String.join(", ", then) + " while the process runs", "one voter that comes and one that goes at a time")));
+            throw new Operator.Faulty(List.of(new Fault(
+                    "fleet.voter",
+                    0,
+                    "changes from " + String.join(", ", now) + " to " + String.join(", ", then)
+                            + " while the process runs",
+                    "one voter that comes and one that goes at a time")));
         }
     }
 
     /** What a running process goes over to: voters, regions, limits and groups are the next's, all else stays. */
     public FleetPlan taking(FleetPlan next) {
-        return new FleetPlan(name, zone, region, era, listen, state, lease, effect, drift, next.voters, next.geography,
-            next.limits, next.groups);
+        return new FleetPlan(
+                name,
+                zone,
+                region,
+                era,
+                listen,
+                state,
+                lease,
+                effect,
+                drift,
+                next.voters,
+                next.geography,
+                next.limits,
+                next.groups);
     }
 
     /** Keys that differ and are taken with the next start only. */
--- a/src/main/java/rushpin/config/GroupKeys.java
+++ b/src/main/java/rushpin/config/GroupKeys.java
@@ -7,13 +7,15 @@
 
 /** The tables {@code [[fleet.group]]} of the operator's file. */
 final class GroupKeys {
-    private static final int MOST_GROUPS = 16, MOST_TENANTS = 63, MOST_PLANS = 64, MOST_CUSTOMERS = 64,
-        MOST = GroupPlan.MOST;
+    private static final int MOST_GROUPS = 16,
+            MOST_TENANTS = 63,
+            MOST_PLANS = 64,
+            MOST_CUSTOMERS = 64,
+            MOST = GroupPlan.MOST;
     private static final long MS = 1_000_000L, HALF_OPEN_MS = 10_000, FORGET_MS = 60_000, LONGEST_MS = 30_000;
     private static final String CUSTOMERS = "customers", PLANS = "plans";
 
-    private GroupKeys() {
-    }
+    private GroupKeys() {}
 
     static List<GroupPlan> read(Keys fleet, long leaseMs) {
         List<GroupPlan> groups = new ArrayList<>();
@@ -39,8 +41,10 @@
             List<GroupPlan.Tenant> tenants = tenants(table);
             long floors = tenants.stream().mapToLong(GroupPlan.Tenant::floor).sum();
             if (most > 0 && floors > most - reserve) {
-                table.fault("tenant", "the floors add up to " + floors, "most-connections less reserve, "
-                    + (most - reserve) + ", at most");
+                table.fault(
+                        "tenant",
+                        "the floors add up to " + floors,
+                        "most-connections less reserve, " + (most - reserve) + ", at most");
             }
             table.done();
             if (name != null) {
@@ -68,7 +72,10 @@
                 if (customer.matches("[0-9a-f]{16}") && Long.parseUnsignedLong(customer, 16) >= 0) {
                     own.add(Long.parseUnsignedLong(customer, 16));
                 } else {
-                    table.fault(CUSTOMERS, "found \"" + customer + "\"", "16 digits of 0-9 and a-f, as the cookie has them");
+                    table.fault(
+                            CUSTOMERS,
+                            "found \"" + customer + "\"",
+                            "16 digits of 0-9 and a-f, as the cookie has them");
                 }
             }
             if (!table.has(PLANS) && !table.has(CUSTOMERS) && name != null && !name.equals(GroupPlan.OTHERS)) {
--- a/src/main/java/rushpin/config/GroupPlan.java
+++ b/src/main/java/rushpin/config/GroupPlan.java
@@ -14,7 +14,8 @@
  * @param halfOpen after so long, nanoseconds, servers end a connection on which nothing comes
  * @param tenants who has a part of its own, in the order of the file
  */
-public record GroupPlan(String name, int most, int reserve, int own, long forget, long longest, long halfOpen, List<Tenant> tenants) {
+public record GroupPlan(
+        String name, int most, int reserve, int own, long forget, long longest, long halfOpen, List<Tenant> tenants) {
     /** The tenant of all that belong to no other; the operator may give it a table like any. */
     public static final String OTHERS = "others";
     /** No fewer connections than there can be. */
--- a/src/main/java/rushpin/config/Keys.java
+++ b/src/main/java/rushpin/config/Keys.java
@@ -49,8 +49,11 @@
     }
 
     private static String kind(Object value) {
-        return value instanceof TomlTable ? "a table" : value instanceof TomlArray ? "a list"
-            : value instanceof String text ? "\"" + text + "\"" : String.valueOf(value);
+        return value instanceof TomlTable
+                ? "a table"
+                : value instanceof TomlArray
+                        ? "a list"
+                        : value instanceof String text ? "\"" + text + "\"" : String.valueOf(value);
     }
 
     /** Whether a text stands there. */
@@ -100,8 +103,10 @@
         if (value == null) {
             return List.of();
         }
-        if (!(value instanceof TomlArray array) || array.size() > most || array.isEmpty()
-            || !array.toList().stream().allMatch(String.class::isInstance)) {
+        if (!(value instanceof TomlArray array)
+                || array.size() > most
+                || array.isEmpty()
+                || !array.toList().stream().allMatch(String.class::isInstance)) {
             fault(key, "found " + kind(value), "a list of 1 to " + most + " texts");
             return List.of();
         }
@@ -142,7 +147,11 @@
             fault(key, "has " + array.size() + " entries", most + " at most");
         }
         for (int i = 0; i < Math.min(most, array.size()); i++) {
-            all.add(new Keys(array.getTable(i), path(key) + "[" + (i + 1) + "]", array.inputPositionOf(i).line(), faults));
+            all.add(new Keys(
+                    array.getTable(i),
+                    path(key) + "[" + (i + 1) + "]",
+                    array.inputPositionOf(i).line(),
+                    faults));
         }
         return all;
     }
--- a/src/main/java/rushpin/config/Operator.java
+++ b/src/main/java/rushpin/config/Operator.java
@@ -16,8 +16,14 @@
  * @param records where traffic is written down; null for nowhere
  * @param fleet what this process shares with others; null for nothing
  */
-public record Operator(Listener listener, Path state, Grants total, List<PoolPlan> pools, List<Route> routes,
-                       Keeping records, FleetPlan fleet) {
+public record Operator(
+        Listener listener,
+        Path state,
+        Grants total,
+        List<PoolPlan> pools,
+        List<Route> routes,
+        Keeping records,
+        FleetPlan fleet) {
     /** Whose listening socket the process serves on. */
     public enum Listener {
         /** Its own, and nobody else's. */
@@ -32,8 +38,10 @@
     public record Fault(String key, int line, String found, String allowed) {
         @Override
         public String toString() {
-            return (line > 0 ? "line " + line + ": " : "") + (key.isEmpty() ? "" : key + ": ") + found
-                + (allowed.isEmpty() ? "" : "; allowed: " + allowed);
+            return (line > 0 ? "line " + line + ": " : "")
+                    + (key.isEmpty() ? "" : key + ": ")
+                    + found
+                    + (allowed.isEmpty() ? "" : "; allowed: " + allowed);
         }
     }
 
@@ -44,8 +52,10 @@
 
         /** Names the faults, in the order of the file. */
         public Faulty(List<Fault> faults) {
-            super(faults.size() == 1 ? faults.get(0).toString()
-                : faults.size() + " faults, the first: " + faults.get(0));
+            super(
+                    faults.size() == 1
+                            ? faults.get(0).toString()
+                            : faults.size() + " faults, the first: " + faults.get(0));
             this.faults = List.copyOf(faults);
         }
 
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -38,6 +38,7 @@
 public final class OperatorFile {
     /** Bounds that keep a slip of the pen from becoming a process that never starts. */
     private static final int MOST_POOLS = 32, MOST_ROUTES = 1_000, MOST_NAME = 32;
+
     private static final long MOST = 1L << 40;
     private static final String PLATFORM = "platform", NONE = "none";
 
@@ -62,8 +63,8 @@
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new Operator.Faulty(List.of(new Fault("", 0, "the operator's file " + file + " cannot be read: "
-                + e.getMessage(), "")));
+            throw new Operator.Faulty(List.of(
+                    new Fault("", 0, "the operator's file " + file + " cannot be read: " + e.getMessage(), "")));
         }
         Path folder = file.toAbsolutePath().getParent();
         return parse(text, folder, platform);
@@ -77,17 +78,29 @@
     private Operator read(String text) throws Operator.Faulty {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new Operator.Faulty(toml.errors().stream().map(e -> new Fault("", e.position().line(),
-                "this is not TOML: " + e.getMessage().replace('\n', ' '), "")).toList());
+            throw new Operator.Faulty(toml.errors().stream()
+                    .map(e -> new Fault(
+                            "",
+                            e.position().line(),
+                            "this is not TOML: " + e.getMessage().replace('\n', ' '),
+                            ""))
+                    .toList());
         }
         Keys root = new Keys(toml, "", 0, faults);
         Keys process = root.table("process");
         int sockets = platform == null ? 1024 : platform.sockets();
         long memory = platform == null ? 128L << 20 : platform.memory();
-        Grants total = grants(process, new Grants(sockets, Descriptors.of(sockets).servers(),
-            ByteBudget.most(memory) / 2, Math.max(8, sockets / 16)), new Grants(MOST, MOST, MOST, MOST));
-        Operator.Listener listener = Operator.Listener.valueOf(process.word("listener", "own",
-            List.of("own", "reuseport", "inherited")).toUpperCase(Locale.ROOT));
+        Grants total = grants(
+                process,
+                new Grants(
+                        sockets,
+                        Descriptors.of(sockets).servers(),
+                        ByteBudget.most(memory) / 2,
+                        Math.max(8, sockets / 16)),
+                new Grants(MOST, MOST, MOST, MOST));
+        Operator.Listener listener =
+                Operator.Listener.valueOf(process.word("listener", "own", List.of("own", "reuseport", "inherited"))
+                        .toUpperCase(Locale.ROOT));
         String state = process.text("state", false);
         process.done();
         Keeping records = root.has("records") ? records(root.table("records")) : null;
@@ -117,8 +130,14 @@
             faults.sort((a, b) -> Integer.compare(a.line(), b.line()));
             throw new Operator.Faulty(faults);
         }
-        return new Operator(listener, state == null ? null : folder.resolve(state), total, List.copyOf(plans),
-            List.copyOf(routes), records, fleet);
+        return new Operator(
+                listener,
+                state == null ? null : folder.resolve(state),
+                total,
+                List.copyOf(plans),
+                List.copyOf(routes),
+                records,
+                fleet);
     }
 
     /** Where traffic is written down; faults are told of a key that pseudonyms can't be made with. */
@@ -135,22 +154,27 @@
             at.fault("pseudonym-key", key + " " + why, "a file of 16 bytes or more, the same at all nodes");
         }
         at.done();
-        return to == null || key == null ? null
-            : new Keeping(folder.resolve(to), folder.resolve(key), file, most, perSecond);
+        return to == null || key == null
+                ? null
+                : new Keeping(folder.resolve(to), folder.resolve(key), file, most, perSecond);
     }
 
     private static Grants grants(Keys at, Grants otherwise, Grants most) {
-        return new Grants(at.whole("requests", otherwise.requests(), 1, most.requests()),
-            at.whole("connections", otherwise.connections(), 1, most.connections()),
-            at.whole("body-bytes", otherwise.bytes(), 1, most.bytes()),
-            at.whole("connects", otherwise.connects(), 1, most.connects()));
+        return new Grants(
+                at.whole("requests", otherwise.requests(), 1, most.requests()),
+                at.whole("connections", otherwise.connections(), 1, most.connections()),
+                at.whole("body-bytes", otherwise.bytes(), 1, most.bytes()),
+                at.whole("connects", otherwise.connects(), 1, most.connects()));
     }
 
     private PoolPlan pool(Keys pool, Grants total, int count) {
         int before = faults.size();
         String name = pool.text("name", true);
         if (name != null && (!name.matches("[a-z0-9][a-z0-9-]*") || name.length() > MOST_NAME)) {
-            pool.fault("name", "found \"" + name + "\"", "up to " + MOST_NAME + " of a-z, 0-9 and '-', a letter or digit first");
+            pool.fault(
+                    "name",
+                    "found \"" + name + "\"",
+                    "up to " + MOST_NAME + " of a-z, 0-9 and '-', a letter or digit first");
         } else if (name != null && pools.putIfAbsent(name, pool) != null) {
             pool.fault("name", "pool " + name + " stands there twice", "each name once");
         }
@@ -169,8 +193,14 @@
         boolean inXds = pool.has("xds");
         XdsPlan xds = inXds && name != null ? XdsKeys.read(pool.table("xds"), name, folder, platform) : null;
         Keys guaranteed = pool.table("guaranteed");
-        Grants part = grants(guaranteed, new Grants(half(total.requests(), count), half(total.connections(), count),
-            half(total.bytes(), count), half(total.connects(), count)), total);
+        Grants part = grants(
+                guaranteed,
+                new Grants(
+                        half(total.requests(), count),
+                        half(total.connections(), count),
+                        half(total.bytes(), count),
+                        half(total.connects(), count)),
+                total);
         guaranteed.done();
         SocketAddress watched = config == null ? null : address(pool, "discovery", discovery, config.discovery());
         SocketAddress counts = config == null ? null : address(pool, "counter", counter, config.counter());
@@ -188,23 +218,53 @@
         if (inXds) {
             watched = null;
         } else if (watched == null && config.known().members().stream().noneMatch(Member::isReady)) {
-            pool.fault("discovery", "there is none and the settings list no server that is ready",
-                "host:port, or a list under \"known\" in the settings");
+            pool.fault(
+                    "discovery",
+                    "there is none and the settings list no server that is ready",
+                    "host:port, or a list under \"known\" in the settings");
             return null;
         }
-        Upstream upstream = new Upstream(watched, config.settings().counter().present() ? counts : null,
-            config.settings().counter().timeout(), config.connectTimeout(), config.keepAlive(),
-            config.settings().counter().largest(), config.names(), (space == null ? name : space) + ".",
-            host);
-        return new PoolPlan(name, upstream, first ? countingFirst(config.settings()) : config.settings(), seed(config, name),
-            config.known(), loop.equals("own"), part, xds, group);
+        Upstream upstream = new Upstream(
+                watched,
+                config.settings().counter().present() ? counts : null,
+                config.settings().counter().timeout(),
+                config.connectTimeout(),
+                config.keepAlive(),
+                config.settings().counter().largest(),
+                config.names(),
+                (space == null ? name : space) + ".",
+                host);
+        return new PoolPlan(
+                name,
+                upstream,
+                first ? countingFirst(config.settings()) : config.settings(),
+                seed(config, name),
+                config.known(),
+                loop.equals("own"),
+                part,
+                xds,
+                group);
     }
 
     private static Settings countingFirst(Settings of) {
-        Counter counter = new Counter(of.counter().present(), of.counter().timeout(), of.counter().settles(),
-            of.counter().largest(), true);
-        return new Settings(of.me(), of.siblings(), of.zone(), of.tick(), of.sizesTell(), of.reports(), of.classes(),
-            of.plans(), of.limits(), counter, of.rules());
+        Counter counter = new Counter(
+                of.counter().present(),
+                of.counter().timeout(),
+                of.counter().settles(),
+                of.counter().largest(),
+                true);
+        return new Settings(
+                of.me(),
+                of.siblings(),
+                of.zone(),
+                of.tick(),
+                of.sizesTell(),
+                of.reports(),
+                of.classes(),
+                of.plans(),
+                of.limits(),
+                counter,
+                of.rules());
     }
 
     /** Chance of its own for each pool of each node and each start: the platform's seed is new with each. */
@@ -219,8 +279,10 @@
     private Config settings(Keys pool, String from) {
         if (from.equals(PLATFORM)) {
             if (platform == null) {
-                pool.fault("settings", "GW_CONFIG names no file to take the platform's settings from",
-                    "GW_CONFIG, or the path of a JSON file of the platform's form");
+                pool.fault(
+                        "settings",
+                        "GW_CONFIG names no file to take the platform's settings from",
+                        "GW_CONFIG, or the path of a JSON file of the platform's form");
             }
             return platform;
         }
@@ -262,9 +324,12 @@
             }
         }
         for (RouteTable.Tie tie : RouteTable.ties(routes)) {
-            at.get(tie.second()).fault("", "ties with the route at line " + at.get(tie.first()).line("")
-                + ": a request may match both and neither is the more specific",
-                "another host, path, method or class, or more headers in one of them");
+            at.get(tie.second())
+                    .fault(
+                            "",
+                            "ties with the route at line " + at.get(tie.first()).line("")
+                                    + ": a request may match both and neither is the more specific",
+                            "another host, path, method or class, or more headers in one of them");
         }
         return routes;
     }
@@ -273,8 +338,10 @@
         int before = faults.size();
         String pool = table.text("pool", true);
         if (pool != null && !pools.containsKey(pool)) {
-            table.fault("pool", "no [[pool]] is called " + pool + Keys.nearest(pool, pools.keySet()),
-                String.join(", ", pools.keySet()));
+            table.fault(
+                    "pool",
+                    "no [[pool]] is called " + pool + Keys.nearest(pool, pools.keySet()),
+                    String.join(", ", pools.keySet()));
         }
         String host = host(table, table.text("host", false));
         String path = path(table, "path");
@@ -308,8 +375,11 @@
         String from = pools.get(pool).text("settings", false);
         Config config = from == null ? null : from.equals(PLATFORM) ? platform : settings.get(from);
         if (config != null && !config.names().classes().contains(requestClass)) {
-            table.fault("class", "pool " + pool + " has no class " + requestClass
-                + Keys.nearest(requestClass, config.names().classes()), String.join(", ", config.names().classes()));
+            table.fault(
+                    "class",
+                    "pool " + pool + " has no class " + requestClass
+                            + Keys.nearest(requestClass, config.names().classes()),
+                    String.join(", ", config.names().classes()));
         }
     }
 
@@ -326,8 +396,10 @@
         } catch (Reading.Ambiguous e) {
             // Said below.
         }
-        table.fault("host", "found \"" + host + "\"",
-            "a name in lower case without port and closing dot, or *.name for all below it");
+        table.fault(
+                "host",
+                "found \"" + host + "\"",
+                "a name in lower case without port and closing dot, or *.name for all below it");
         return null;
     }
 
@@ -356,19 +428,27 @@
         checkSum(process, "connections", total, plans, Grants::connections);
         checkSum(process, "body-bytes", total, plans, Grants::bytes);
         checkSum(process, "connects", total, plans, Grants::connects);
-        long servers = platform == null ? MOST : Descriptors.of(platform.sockets()).servers();
+        long servers =
+                platform == null ? MOST : Descriptors.of(platform.sockets()).servers();
         if (total.connections() > servers) {
-            process.fault("connections", "found " + total.connections(), servers + " at most: of " + platform.sockets()
-                + " descriptors clients and the process itself have the others");
+            process.fault(
+                    "connections",
+                    "found " + total.connections(),
+                    servers + " at most: of " + platform.sockets()
+                            + " descriptors clients and the process itself have the others");
         }
     }
 
-    private static void checkSum(Keys process, String key, Grants total, List<PoolPlan> plans,
-                                 ToLongFunction<Grants> of) {
-        long sum = plans.stream().mapToLong(plan -> of.applyAsLong(plan.guaranteed())).sum();
+    private static void checkSum(
+            Keys process, String key, Grants total, List<PoolPlan> plans, ToLongFunction<Grants> of) {
+        long sum = plans.stream()
+                .mapToLong(plan -> of.applyAsLong(plan.guaranteed()))
+                .sum();
         if (sum > of.applyAsLong(total)) {
-            process.fault(key, "the pools' guaranteed parts add up to " + sum, of.applyAsLong(total)
-                + " at most, which is " + process.path(key));
+            process.fault(
+                    key,
+                    "the pools' guaranteed parts add up to " + sum,
+                    of.applyAsLong(total) + " at most, which is " + process.path(key));
         }
     }
 
@@ -382,8 +462,16 @@
                 continue;
             }
             if (group == null) {
-                at.fault("group", "no [[fleet.group]] is called " + plan.group(), fleet == null || fleet.groups().isEmpty()
-                    ? "a table [[fleet.group]]" : String.join(", ", fleet.groups().stream().map(GroupPlan::name).toList()));
+                at.fault(
+                        "group",
+                        "no [[fleet.group]] is called " + plan.group(),
+                        fleet == null || fleet.groups().isEmpty()
+                                ? "a table [[fleet.group]]"
+                                : String.join(
+                                        ", ",
+                                        fleet.groups().stream()
+                                                .map(GroupPlan::name)
+                                                .toList()));
                 continue;
             }
             String other = taken.putIfAbsent(plan.group(), plan.name());
@@ -394,15 +482,24 @@
             for (GroupPlan.Tenant tenant : group.tenants()) {
                 for (String of : tenant.plans()) {
                     if (!known.contains(of)) {
-                        at.fault("group", "tenant " + tenant.name() + " of group " + group.name() + " names plan " + of
-                            + ", which the pool's settings don't", String.join(", ", known));
+                        at.fault(
+                                "group",
+                                "tenant " + tenant.name() + " of group " + group.name() + " names plan " + of
+                                        + ", which the pool's settings don't",
+                                String.join(", ", known));
                     }
                 }
             }
-            long longest = plan.settings().classes().stream().mapToLong(one -> one.deadline()).max().orElse(0);
+            long longest = plan.settings().classes().stream()
+                    .mapToLong(one -> one.deadline())
+                    .max()
+                    .orElse(0);
             if (longest > group.longest()) {
-                at.fault("group", "a request may take " + longest / 1_000_000 + " ms and longest-ms of group " + group.name()
-                    + " is " + group.longest() / 1_000_000, "longest-ms no less than the longest deadline of the pool's classes");
+                at.fault(
+                        "group",
+                        "a request may take " + longest / 1_000_000 + " ms and longest-ms of group " + group.name()
+                                + " is " + group.longest() / 1_000_000,
+                        "longest-ms no less than the longest deadline of the pool's classes");
             }
         }
     }
@@ -414,16 +511,23 @@
         for (PoolPlan plan : plans) {
             Upstream upstream = plan.upstream();
             if (upstream.counter() != null && !spaces.add(upstream.counter() + " " + upstream.countPrefix())) {
-                pools.get(plan.name()).fault("counter-space", "another pool counts under the same names at "
-                    + upstream.counter(), "a counter-space of its own for each pool");
+                pools.get(plan.name())
+                        .fault(
+                                "counter-space",
+                                "another pool counts under the same names at " + upstream.counter(),
+                                "a counter-space of its own for each pool");
             }
             Roll known = upstream.discovery() == null ? plan.known() : new Roll(0, true, List.of());
             for (Member member : known.members()) {
                 String other = servers.putIfAbsent(member.address(), plan.name());
                 if (other != null && !other.equals(plan.name())) {
-                    pools.get(plan.name()).fault("settings", "server " + member.server().id() + " at "
-                        + member.address() + " belongs to pool " + other + " too", "each address in one pool: two that"
-                        + " don't know of each other's sends would push a cold server over");
+                    pools.get(plan.name())
+                            .fault(
+                                    "settings",
+                                    "server " + member.server().id() + " at " + member.address() + " belongs to pool "
+                                            + other + " too",
+                                    "each address in one pool: two that"
+                                            + " don't know of each other's sends would push a cold server over");
                 }
             }
         }
--- a/src/main/java/rushpin/config/PoolPlan.java
+++ b/src/main/java/rushpin/config/PoolPlan.java
@@ -15,11 +15,25 @@
  * @param ownLoop whether it has an event loop to itself
  * @param guaranteed what it may use whatever the others do; null for the platform's one pool, which has all
  */
-public record PoolPlan(String name, Upstream upstream, Settings settings, long seed, Roll known, boolean ownLoop,
-                       Grants guaranteed, XdsPlan xds, String group) {
+public record PoolPlan(
+        String name,
+        Upstream upstream,
+        Settings settings,
+        long seed,
+        Roll known,
+        boolean ownLoop,
+        Grants guaranteed,
+        XdsPlan xds,
+        String group) {
     /** A pool whose servers discovery tells. */
-    public PoolPlan(String name, Upstream upstream, Settings settings, long seed, Roll known, boolean ownLoop,
-                    Grants guaranteed) {
+    public PoolPlan(
+            String name,
+            Upstream upstream,
+            Settings settings,
+            long seed,
+            Roll known,
+            boolean ownLoop,
+            Grants guaranteed) {
         this(name, upstream, settings, seed, known, ownLoop, guaranteed, null, null);
     }
 
@@ -30,15 +44,17 @@
 
     /** Whether a running pool of this plan can go over to another by moving its addresses alone. */
     public boolean differsOnlyInAddresses(PoolPlan other) {
-        return name.equals(other.name) && ownLoop == other.ownLoop && settings.equals(other.settings)
-            && (upstream.discovery() == null) == (other.upstream.discovery() == null)
-            && (upstream.discovery() != null || known.equals(other.known))
-            && upstream.names().equals(other.upstream.names())
-            && upstream.countPrefix().equals(other.upstream.countPrefix())
-            && upstream.connectTimeout() == other.upstream.connectTimeout()
-            && upstream.keepAlive() == other.upstream.keepAlive()
-            && Objects.equals(xds, other.xds)
-            && Objects.equals(group, other.group)
-            && Objects.equals(upstream.host(), other.upstream.host());
+        return name.equals(other.name)
+                && ownLoop == other.ownLoop
+                && settings.equals(other.settings)
+                && (upstream.discovery() == null) == (other.upstream.discovery() == null)
+                && (upstream.discovery() != null || known.equals(other.known))
+                && upstream.names().equals(other.upstream.names())
+                && upstream.countPrefix().equals(other.upstream.countPrefix())
+                && upstream.connectTimeout() == other.upstream.connectTimeout()
+                && upstream.keepAlive() == other.upstream.keepAlive()
+                && Objects.equals(xds, other.xds)
+                && Objects.equals(group, other.group)
+                && Objects.equals(upstream.host(), other.upstream.host());
     }
 }
--- a/src/main/java/rushpin/config/XdsKeys.java
+++ b/src/main/java/rushpin/config/XdsKeys.java
@@ -18,8 +18,7 @@
     /** Servers that went with a large update keep their start for so long. */
     private static final long REMEMBER = 60_000 * MS;
 
-    private XdsKeys() {
-    }
+    private XdsKeys() {}
 
     static XdsPlan read(Keys xds, String pool, Path folder, Config platform) {
         String path = xds.text("path", false);
@@ -32,8 +31,10 @@
             }
         }
         if ((path == null) == !xds.has("servers")) {
-            xds.fault("servers", path == null ? "neither servers nor path is there" : "servers and path are both there",
-                "one of them");
+            xds.fault(
+                    "servers",
+                    path == null ? "neither servers nor path is there" : "servers and path are both there",
+                    "one of them");
         }
         String form = xds.word("form", "delta", List.of("delta", "sotw"));
         String cluster = xds.text("cluster", false);
@@ -43,7 +44,9 @@
         long removed = xds.whole("most-removed-percent", 100, 1, 100);
         long guard = xds.whole("guard-ms", 10_000, 1, 600_000);
         long warming = xds.whole("warming-ms", 15_000, 100, 600_000);
-        Path ca = file(xds, "ca", folder), certificate = file(xds, "certificate", folder), key = file(xds, "key", folder);
+        Path ca = file(xds, "ca", folder),
+                certificate = file(xds, "certificate", folder),
+                key = file(xds, "key", folder);
         if (ca == null && (certificate != null || key != null)) {
             xds.fault("ca", "is missing", "a PEM file, where certificate and key are there");
         }
@@ -51,11 +54,16 @@
             xds.fault(certificate == null ? "certificate" : "key", "is missing", "certificate and key, or neither");
         }
         xds.done();
-        return new XdsPlan(Form.valueOf(form.toUpperCase(Locale.ROOT)), List.copyOf(servers),
-            path == null ? null : folder.resolve(path), cluster == null ? pool : cluster, all.equals("all"),
-            node == null ? platform == null ? pool : platform.name() : node,
-            ca == null ? null : new XdsPlan.Tls(ca, certificate, key), (int) message,
-            new ClusterView.Rules(removed / 100.0, removed == 100 ? 0 : guard * MS, warming * MS, REMEMBER));
+        return new XdsPlan(
+                Form.valueOf(form.toUpperCase(Locale.ROOT)),
+                List.copyOf(servers),
+                path == null ? null : folder.resolve(path),
+                cluster == null ? pool : cluster,
+                all.equals("all"),
+                node == null ? platform == null ? pool : platform.name() : node,
+                ca == null ? null : new XdsPlan.Tls(ca, certificate, key),
+                (int) message,
+                new ClusterView.Rules(removed / 100.0, removed == 100 ? 0 : guard * MS, warming * MS, REMEMBER));
     }
 
     private static Path file(Keys xds, String key, Path folder) {
