--- a/src/main/java/rushpin/console/Beside.java
+++ b/src/main/java/rushpin/console/Beside.java
@@ -51,8 +51,7 @@
     }
 
     /** What one process gives another of a customer's ceiling. */
-    public record Gift(long customer, int plan, int setSize, double units) {
-    }
+    public record Gift(long customer, int plan, int setSize, double units) {}
 
     /** Leaves something for the same pool of the other processes: whoever comes first has all of it. */
     public synchronized void give(String pool, List<Gift> gifts) throws IOException {
@@ -61,13 +60,22 @@
         }
         StringBuilder text = new StringBuilder();
         for (Gift gift : gifts.subList(0, Math.min(MOST_GIFTS, gifts.size()))) {
-            text.append(gift.customer).append(' ').append(gift.plan).append(' ').append(gift.setSize).append(' ')
-                .append(gift.units).append('\n');
+            text.append(gift.customer)
+                    .append(' ')
+                    .append(gift.plan)
+                    .append(' ')
+                    .append(gift.setSize)
+                    .append(' ')
+                    .append(gift.units)
+                    .append('\n');
         }
         Path making = folder.resolve("new-" + UUID.randomUUID());
         Files.writeString(making, text.append("end\n"));
         // Whole under its name, or not there.
-        Files.move(making, folder.resolve(GIFT + pool + "." + mine.getFileName() + "-" + ++given), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(
+                making,
+                folder.resolve(GIFT + pool + "." + mine.getFileName() + "-" + ++given),
+                StandardCopyOption.ATOMIC_MOVE);
     }
 
     /** Takes what others have left; what nobody took in {@value #GIFT_MS} ms is nobody's any more. */
@@ -100,7 +108,9 @@
     }
 
     private static void read(List<String> lines, List<Gift> into) {
-        if (lines.isEmpty() || lines.size() > MOST_GIFTS + 1 || !lines.get(lines.size() - 1).equals("end")) {
+        if (lines.isEmpty()
+                || lines.size() > MOST_GIFTS + 1
+                || !lines.get(lines.size() - 1).equals("end")) {
             return;
         }
         for (String line : lines.subList(0, lines.size() - 1)) {
@@ -108,8 +118,8 @@
             try {
                 double units = Double.parseDouble(parts[3]);
                 if (units > 0 && Double.isFinite(units)) {
-                    into.add(new Gift(Long.parseLong(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]),
-                        units));
+                    into.add(new Gift(
+                            Long.parseLong(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]), units));
                 }
             } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
                 // A line that nobody wrote so: a gift less does no harm.
@@ -131,7 +141,8 @@
     }
 
     private static boolean isHeld(Path file) throws IOException {
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE); FileLock lock = channel.tryLock()) {
+        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE);
+                FileLock lock = channel.tryLock()) {
             if (lock == null) {
                 return true;
             }
--- a/src/main/java/rushpin/console/ConsoleServer.java
+++ b/src/main/java/rushpin/console/ConsoleServer.java
@@ -1,6 +1,7 @@
 package rushpin.console;
 
 import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFutureListener;
@@ -13,7 +14,6 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.LineBasedFrameDecoder;
-import io.netty.buffer.ByteBuf;
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
@@ -35,11 +35,14 @@
         CompletionStage<String> call(String line);
     }
 
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, runnable -> {
-        Thread thread = new Thread(runnable, "console");
-        thread.setDaemon(true);
-        return thread;
-    }, NioIoHandler.newFactory());
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(
+            1,
+            runnable -> {
+                Thread thread = new Thread(runnable, "console");
+                thread.setDaemon(true);
+                return thread;
+            },
+            NioIoHandler.newFactory());
     private final Calls calls;
     private final Set<Channel> open = new LinkedHashSet<>();
     private final Channel listening;
@@ -48,14 +51,20 @@
     public ConsoleServer(SocketAddress at, Calls calls) throws InterruptedException {
         this.calls = calls;
         try {
-            listening = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE, true, true), new Caller());
-                    }
-                }).bind(at).sync().channel();
+            listening = new ServerBootstrap()
+                    .group(group)
+                    .channel(NioServerSocketChannel.class)
+                    .option(ChannelOption.SO_REUSEADDR, true)
+                    .childOption(ChannelOption.TCP_NODELAY, true)
+                    .childHandler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE, true, true), new Caller());
+                        }
+                    })
+                    .bind(at)
+                    .sync()
+                    .channel();
         } catch (RuntimeException | InterruptedException e) {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
             throw e;
@@ -92,10 +101,11 @@
             }
             called = true;
             calls.call(line.toString(StandardCharsets.UTF_8).trim()).whenComplete((answer, trouble) -> {
-                String text = trouble == null ? answer
-                    : "error " + String.valueOf(trouble.getMessage()).replace('\n', ' ') + "\n";
+                String text = trouble == null
+                        ? answer
+                        : "error " + String.valueOf(trouble.getMessage()).replace('\n', ' ') + "\n";
                 context.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8))
-                    .addListener(ChannelFutureListener.CLOSE);
+                        .addListener(ChannelFutureListener.CLOSE);
             });
         }
 
@@ -108,8 +118,9 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             called = true;
-            context.writeAndFlush(Unpooled.copiedBuffer("error a line has " + MOST_LINE + " bytes at most\n",
-                StandardCharsets.UTF_8)).addListener(ChannelFutureListener.CLOSE);
+            context.writeAndFlush(Unpooled.copiedBuffer(
+                            "error a line has " + MOST_LINE + " bytes at most\n", StandardCharsets.UTF_8))
+                    .addListener(ChannelFutureListener.CLOSE);
         }
     }
 }
--- a/src/main/java/rushpin/console/Counts.java
+++ b/src/main/java/rushpin/console/Counts.java
@@ -17,8 +17,10 @@
 
     /** How requests of one class ended, and how often they were tried. */
     public static final class OfClass {
-        private final AtomicLong ok = new AtomicLong(), shed = new AtomicLong(), errors = new AtomicLong(),
-            tries = new AtomicLong();
+        private final AtomicLong ok = new AtomicLong(),
+                shed = new AtomicLong(),
+                errors = new AtomicLong(),
+                tries = new AtomicLong();
 
         /** A whole answer of an app server was passed on. */
         public void served() {
@@ -45,6 +47,7 @@
     private final OfClass rest = new OfClass();
     /** For each pool how many servers are listed and how many of them avoided. */
     private final Map<String, int[]> servers = new ConcurrentHashMap<>();
+
     private final AtomicLong active = new AtomicLong(), applied = new AtomicLong(), rejected = new AtomicLong();
 
     /** The figures of a class, which begin at 0. */
@@ -99,6 +102,12 @@
     }
 
     private static void line(StringBuilder to, String name, AtomicLong value, char kind) {
-        to.append(PREFIX).append(name).append(':').append(value.get()).append('|').append(kind).append('\n');
+        to.append(PREFIX)
+                .append(name)
+                .append(':')
+                .append(value.get())
+                .append('|')
+                .append(kind)
+                .append('\n');
     }
 }
--- a/src/main/java/rushpin/drill/Drill.java
+++ b/src/main/java/rushpin/drill/Drill.java
@@ -9,8 +9,7 @@
 
 /** The adapter's entry point: plays many gateways on the simulator's wire until its input ends. */
 public final class Drill {
-    private Drill() {
-    }
+    private Drill() {}
 
     /** Runs the drill; the only argument is the word {@code drill}. */
     public static void main(String[] args) {
--- a/src/main/java/rushpin/drill/WireReader.java
+++ b/src/main/java/rushpin/drill/WireReader.java
@@ -70,18 +70,40 @@
             case "start" -> {
                 long seed = whole(2);
                 try {
-                    gateways.put(node, new Gateway(SettingsReader.read(parts, 3), seed, now,
-                        out.actionsOf(node)));
+                    gateways.put(node, new Gateway(SettingsReader.read(parts, 3), seed, now, out.actionsOf(node)));
                 } catch (IllegalArgumentException e) {
                     throw malformed("bad settings (" + e.getMessage() + ")");
                 }
             }
             case "retire" -> gateways.remove(node);
             case "view" -> view(node);
-            case "ingress" -> gateway(node).request(now, new Request(text(2), integer(3), integer(4), whole(5),
-                whole(6), number(7), integer(8), integer(9), (whole(10) & 2) != 0));
-            case "resolved" -> gateway(node).attemptEnded(now, new Result(text(2), outcome(3), whole(4), text(5),
-                whole(6) != 0, integer(7), number(9), numbers(10)));
+            case "ingress" ->
+                gateway(node)
+                        .request(
+                                now,
+                                new Request(
+                                        text(2),
+                                        integer(3),
+                                        integer(4),
+                                        whole(5),
+                                        whole(6),
+                                        number(7),
+                                        integer(8),
+                                        integer(9),
+                                        (whole(10) & 2) != 0));
+            case "resolved" ->
+                gateway(node)
+                        .attemptEnded(
+                                now,
+                                new Result(
+                                        text(2),
+                                        outcome(3),
+                                        whole(4),
+                                        text(5),
+                                        whole(6) != 0,
+                                        integer(7),
+                                        number(9),
+                                        numbers(10)));
             case "client_gone" -> gateway(node).clientGone(now, text(2));
             case "under_way" -> gateway(node).streamStarted(now, text(2));
             case "count_result" -> gateway(node).counted(now, whole(4), outcome(3), number(2));
--- a/src/main/java/rushpin/drill/WireWriter.java
+++ b/src/main/java/rushpin/drill/WireWriter.java
@@ -39,13 +39,24 @@
 
         @Override
         public void send(String id, String server, long patience) {
-            line("try").append(' ').append(id).append(' ').append(server).append(' ').append(patience)
-                .append('\n');
+            line("try")
+                    .append(' ')
+                    .append(id)
+                    .append(' ')
+                    .append(server)
+                    .append(' ')
+                    .append(patience)
+                    .append('\n');
         }
 
         @Override
         public void refuse(String id, long retryAfter) {
-            line("decline").append(' ').append(id).append(' ').append(retryAfter).append('\n');
+            line("decline")
+                    .append(' ')
+                    .append(id)
+                    .append(' ')
+                    .append(retryAfter)
+                    .append('\n');
         }
 
         @Override
--- a/src/main/java/rushpin/failover/Division.java
+++ b/src/main/java/rushpin/failover/Division.java
@@ -160,7 +160,8 @@
                         weights.put(target, weight);
                     }
                 }
-                double sum = weights.values().stream().mapToDouble(weight -> weight).sum();
+                double sum =
+                        weights.values().stream().mapToDouble(weight -> weight).sum();
                 weights.replaceAll((target, weight) -> Math.min(weight, flow.excess * weight / sum));
                 weights.forEach((target, ask) -> asked.merge(target, ask, Double::sum));
                 asks.put(flow, weights);
@@ -191,7 +192,9 @@
                     // Rooms are by the marks of all from all already.
                     int all = open("", target, "");
                     double open = target.equals(zone) || all == 0 ? 0 : (double) open(zone, target, flow.of) / all;
-                    rooms.put(target, part * open * room.getOrDefault(target, 0.0) / Math.max(1, limits.left(zones.size())));
+                    rooms.put(
+                            target,
+                            part * open * room.getOrDefault(target, 0.0) / Math.max(1, limits.left(zones.size())));
                 }
                 double sum = rooms.values().stream().mapToDouble(room -> room).sum();
                 double given = Math.min(1, left / Math.max(sum, 1e-9));
@@ -202,14 +205,20 @@
     }
 
     private void unheard(String zone) {
-        List<Way> before = inForce.ways().stream().filter(way -> way.from().equals(zone)
-            && way.parts().stream().allMatch(part -> zones.contains(part.to()))).toList();
+        List<Way> before = inForce.ways().stream()
+                .filter(way ->
+                        way.from().equals(zone) && way.parts().stream().allMatch(part -> zones.contains(part.to())))
+                .toList();
         if (before.isEmpty()) {
             ways.add(way(new Flow(zone, "", 0)));
         } else {
             // What was spare then may be others' by now.
-            before.forEach(way -> ways.add(new Way(way.from(), way.of(), way.parts().stream()
-                .map(part -> new Part(part.to(), part.thousandths(), 0)).toList())));
+            before.forEach(way -> ways.add(new Way(
+                    way.from(),
+                    way.of(),
+                    way.parts().stream()
+                            .map(part -> new Part(part.to(), part.thousandths(), 0))
+                            .toList())));
         }
     }
 
@@ -256,8 +265,10 @@
         }
         int most = looked.size() + MORE_LOOKS;
         for (String zone : zones) {
-            boolean left = opens.entrySet().stream().anyMatch(each -> each.getKey().get(0).equals(from)
-                && each.getKey().get(1).equals(zone) && each.getValue() < Plan.WHOLE);
+            boolean left = opens.entrySet().stream()
+                    .anyMatch(each -> each.getKey().get(0).equals(from)
+                            && each.getKey().get(1).equals(zone)
+                            && each.getValue() < Plan.WHOLE);
             if (left && looked.size() < most && !zone.equals(from)) {
                 looked.add(zone);
             }
@@ -270,8 +281,13 @@
         Map<String, Way> whole = new HashMap<>();
         ways.stream().filter(way -> way.of().isEmpty()).forEach(way -> whole.put(way.from(), way));
         int most = Plan.MOST_WAYS - zones.size();
-        List<Way> own = ways.stream().filter(way -> !way.of().isEmpty() && (!whole.containsKey(way.from())
-            || !whole.get(way.from()).parts().equals(way.parts()))).sorted(Plan.WAYS).limit(Math.max(0, most)).toList();
+        List<Way> own = ways.stream()
+                .filter(way -> !way.of().isEmpty()
+                        && (!whole.containsKey(way.from())
+                                || !whole.get(way.from()).parts().equals(way.parts())))
+                .sorted(Plan.WAYS)
+                .limit(Math.max(0, most))
+                .toList();
         List<Way> all = new ArrayList<>(whole.values());
         all.addAll(own);
         all.sort(Plan.WAYS);
--- a/src/main/java/rushpin/failover/Fallback.java
+++ b/src/main/java/rushpin/failover/Fallback.java
@@ -14,8 +14,7 @@
  * What a process goes by when it hears no more: never more to any other zone than its last plan sent there.
  */
 public final class Fallback {
-    private Fallback() {
-    }
+    private Fallback() {}
 
     /**
      * The ways of what enters in one zone, one for each class that has its own and one for all others.
@@ -30,7 +29,8 @@
      * @param fails whether a zone fails by what this process sees alone
      */
     public static List<Way> ways(Plan last, String zone, long age, long lease, Predicate<String> fails) {
-        List<Way> own = last.ways().stream().filter(way -> way.from().equals(zone)).toList();
+        List<Way> own =
+                last.ways().stream().filter(way -> way.from().equals(zone)).toList();
         if (own.isEmpty()) {
             return List.of(new Way(zone, List.of(new Part(zone, Plan.WHOLE))));
         }
@@ -68,7 +68,8 @@
         other.ways().forEach(way -> flows.add(List.of(way.from(), way.of())));
         double sum = 0;
         for (List<String> flow : flows) {
-            int part = Math.max(part(one, flow.get(0), flow.get(1), target), part(other, flow.get(0), flow.get(1), target));
+            int part = Math.max(
+                    part(one, flow.get(0), flow.get(1), target), part(other, flow.get(0), flow.get(1), target));
             sum += rate.applyAsDouble(flow.get(0), flow.get(1)) * part / Plan.WHOLE;
         }
         return sum;
@@ -85,6 +86,9 @@
         if (found == null) {
             return from.equals(to) ? Plan.WHOLE : 0;
         }
-        return found.parts().stream().filter(part -> part.to().equals(to)).mapToInt(Part::thousandths).sum();
+        return found.parts().stream()
+                .filter(part -> part.to().equals(to))
+                .mapToInt(Part::thousandths)
+                .sum();
     }
 }
--- a/src/main/java/rushpin/failover/Geography.java
+++ b/src/main/java/rushpin/failover/Geography.java
@@ -64,7 +64,11 @@
         List<List<String>> levels = new ArrayList<>();
         for (Region region : regions) {
             if (region.zones.contains(zone)) {
-                levels.add(0, region.zones.stream().filter(other -> !other.equals(zone)).toList());
+                levels.add(
+                        0,
+                        region.zones.stream()
+                                .filter(other -> !other.equals(zone))
+                                .toList());
             } else {
                 levels.add(region.zones);
             }
--- a/src/main/java/rushpin/failover/Learned.java
+++ b/src/main/java/rushpin/failover/Learned.java
@@ -19,6 +19,7 @@
 public final class Learned {
     /** Between two steps of what a zone is taken to bear once it was slow under load. */
     private static final long STEP = 5_000_000_000L;
+
     private static final double DOWN = 0.9, UP = 1.03;
     /** Who is slow under less of that than this is slow by itself. */
     private static final double LOADED = 0.5;
@@ -50,27 +51,36 @@
                 long warm = stock.map(Report.Stock::warm).orElse(0L);
                 double served = picture.served(name).orElse(0);
                 learn(zone, warm, served, view, limits, fades, now);
-                boolean told = view.or(() -> picture.own(name, "")).filter(each -> isBorne(each, limits)).isPresent();
+                boolean told = view.or(() -> picture.own(name, ""))
+                        .filter(each -> isBorne(each, limits))
+                        .isPresent();
                 // A process that is alone in its zone could say the same of all zones at once.
                 double sure = picture.servedSurely(name);
                 zone.alone = Math.max(zone.alone * fades, told && warm > 0 ? sure / (warm / 1_000.0) : 0);
             }
         }
-        double[] borne = zones.values().stream().mapToDouble(zone -> Math.max(zone.borne, zone.alone)).sorted().toArray();
+        double[] borne = zones.values().stream()
+                .mapToDouble(zone -> Math.max(zone.borne, zone.alone))
+                .sorted()
+                .toArray();
         // What one zone alone was seen to bear may be a mistake in the count of its servers.
         double common = borne.length == 0 ? 0 : borne[Math.max(0, borne.length - 2)];
-        // Of two that became slow under load the better one tells what no other is to be tried beyond; one alone may be at
+        // Of two that became slow under load the better one tells what no other is to be tried beyond; one alone may be
+        // at
         // fault itself.
-        double[] ceilings = zones.values().stream().mapToDouble(zone -> zone.ceiling)
-            .filter(ceiling -> ceiling < Double.POSITIVE_INFINITY).sorted().toArray();
+        double[] ceilings = zones.values().stream()
+                .mapToDouble(zone -> zone.ceiling)
+                .filter(ceiling -> ceiling < Double.POSITIVE_INFINITY)
+                .sorted()
+                .toArray();
         double bound = ceilings.length < 2 ? Double.POSITIVE_INFINITY : ceilings[ceilings.length - 1];
         Map<String, Double> capacity = new HashMap<>();
         zones.forEach((name, zone) -> picture.stock(name).ifPresent(stock -> {
             // More than was ever borne is tried on warm servers only: cold ones fall by it.
             int growth = stock.warm() >= WARM * stock.ready() ? limits.growth() : Plan.WHOLE;
             double each = limits.perServer() > 0
-                ? limits.perServer() / 1_000.0 * (Plan.WHOLE - limits.reserve()) / Plan.WHOLE
-                : Math.min(Math.max(zone.borne, common) * growth / Plan.WHOLE, Math.max(zone.borne, bound));
+                    ? limits.perServer() / 1_000.0 * (Plan.WHOLE - limits.reserve()) / Plan.WHOLE
+                    : Math.min(Math.max(zone.borne, common) * growth / Plan.WHOLE, Math.max(zone.borne, bound));
             capacity.put(name, stock.warm() / 1_000.0 * Math.min(each, zone.ceiling));
         }));
         return new Sight(picture, capacity);
@@ -80,8 +90,8 @@
         return view.mostSlow() < limits.slow() && view.mostFailed() < limits.bad();
     }
 
-    private static void learn(Zone zone, long warm, double served, Optional<View> view, Limits limits, double fades,
-                              long now) {
+    private static void learn(
+            Zone zone, long warm, double served, Optional<View> view, Limits limits, double fades, long now) {
         zone.borne *= fades;
         if (warm <= 0 || view.isEmpty()) {
             return;
--- a/src/main/java/rushpin/failover/Limits.java
+++ b/src/main/java/rushpin/failover/Limits.java
@@ -20,13 +20,26 @@
  * @param looks at how many
  * @param least a plan that differs by less is not worth one
  */
-public record Limits(int dead, int bad, int well, int slow, int left, int reserve, int growth, long perServer, long hold,
-                     int doublings, long step, int look, int looks, int least) {
+public record Limits(
+        int dead,
+        int bad,
+        int well,
+        int slow,
+        int left,
+        int reserve,
+        int growth,
+        long perServer,
+        long hold,
+        int doublings,
+        long step,
+        int look,
+        int looks,
+        int least) {
     private static final long SECOND = 1_000_000_000L;
 
     /** As they stand without a word of the operator. */
-    public static final Limits USUAL = new Limits(700, 300, 100, 500, 340, 100, 1_300, 0, 10 * SECOND, 6,
-        5 * SECOND, 2, 4, 30);
+    public static final Limits USUAL =
+            new Limits(700, 300, 100, 500, 340, 100, 1_300, 0, 10 * SECOND, 6, 5 * SECOND, 2, 4, 30);
 
     /** Steps back of a mark: from nothing to the whole. */
     static final int STEPS_UP = 4;
@@ -35,14 +48,14 @@
 
     /** With what a warm server is known to bear, requests in 1,000 s. */
     public Limits bearing(long perServer) {
-        return new Limits(dead, bad, well, slow, left, reserve, growth, perServer, hold, doublings, step, look, looks,
-            least);
+        return new Limits(
+                dead, bad, well, slow, left, reserve, growth, perServer, hold, doublings, step, look, looks, least);
     }
 
     /** With what an operator says of them. */
     public Limits with(int left, int reserve, long hold, long step) {
-        return new Limits(dead, bad, well, slow, left, reserve, growth, perServer, hold, doublings, step, look, looks,
-            least);
+        return new Limits(
+                dead, bad, well, slow, left, reserve, growth, perServer, hold, doublings, step, look, looks, least);
     }
 
     /** How long a zone waits after that many relapses. */
--- a/src/main/java/rushpin/failover/Marks.java
+++ b/src/main/java/rushpin/failover/Marks.java
@@ -23,7 +23,13 @@
  * down to, all others up to. A step down after one up is a relapse.
  */
 final class Marks {
-    private enum Verdict { DEAD, FAILING, SLOW, UNSURE, WELL }
+    private enum Verdict {
+        DEAD,
+        FAILING,
+        SLOW,
+        UNSURE,
+        WELL
+    }
 
     private record Key(String from, String zone, String of) {
         static Key of(Mark mark) {
@@ -32,8 +38,7 @@
     }
 
     /** One that would be left. */
-    private record Leaving(Key key, Verdict verdict, int how) {
-    }
+    private record Leaving(Key key, Verdict verdict, int how) {}
 
     /** Steps of a way back: each is followed only if the one before bore it. */
     private static final int[] UP = {125, 255, 505, Plan.WHOLE};
@@ -49,8 +54,8 @@
     private final List<String> zones;
     private final Limits limits;
     private final long now;
-    private final Map<Key, Mark> marks = new TreeMap<>(Comparator.comparing(Key::from).thenComparing(Key::zone)
-        .thenComparing(Key::of));
+    private final Map<Key, Mark> marks = new TreeMap<>(
+            Comparator.comparing(Key::from).thenComparing(Key::zone).thenComparing(Key::of));
     private final Map<String, Set<String>> classes;
     private final Set<String> sick = new TreeSet<>();
     /** By who looks ({@code ""} for all) and zone: what is to be said of each class, {@code ""} for the whole. */
@@ -91,9 +96,15 @@
     }
 
     private Verdict verdict(View view) {
-        return view.failed() >= limits.dead() ? Verdict.DEAD : view.failed() >= limits.bad() ? Verdict.FAILING
-            : view.slow() >= limits.slow() ? Verdict.SLOW
-            : view.mostFailed() <= limits.well() && view.mostSlow() <= limits.well() ? Verdict.WELL : Verdict.UNSURE;
+        return view.failed() >= limits.dead()
+                ? Verdict.DEAD
+                : view.failed() >= limits.bad()
+                        ? Verdict.FAILING
+                        : view.slow() >= limits.slow()
+                                ? Verdict.SLOW
+                                : view.mostFailed() <= limits.well() && view.mostSlow() <= limits.well()
+                                        ? Verdict.WELL
+                                        : Verdict.UNSURE;
     }
 
     private static boolean isBad(Verdict verdict) {
@@ -118,8 +129,10 @@
         } else if (bad > 0) {
             of.replaceAll((each, any) -> Verdict.UNSURE);
         }
-        if (of.size() < 2 && classes.getOrDefault(zone, Set.of()).size() >= 2 && isBad(whole)
-            && Math.max(all.get().failed(), all.get().slow()) < NEARLY_ALL) {
+        if (of.size() < 2
+                && classes.getOrDefault(zone, Set.of()).size() >= 2
+                && isBad(whole)
+                && Math.max(all.get().failed(), all.get().slow()) < NEARLY_ALL) {
             whole = Verdict.UNSURE;
         }
         of.put("", whole);
@@ -155,8 +168,11 @@
     /** One alone that sees its own zone in order says enough: it moves nobody by that, and holds nobody up by less. */
     private boolean isKnown(String zone, String of) {
         return verdicts.get(List.of("", zone)).containsKey(of)
-            || verdicts.getOrDefault(List.of(zone, zone), Map.of()).containsKey(of)
-            || !sick.contains(zone) && picture.own(zone, of).filter(view -> !isBad(verdict(view))).isPresent();
+                || verdicts.getOrDefault(List.of(zone, zone), Map.of()).containsKey(of)
+                || !sick.contains(zone)
+                        && picture.own(zone, of)
+                                .filter(view -> !isBad(verdict(view)))
+                                .isPresent();
     }
 
     private boolean isBad(String zone, String of) {
@@ -166,7 +182,9 @@
     /** Whether so much looks bad that it is who looks, or what all need: leaving would only spread it. */
     private boolean isSuspect(String of) {
         long known = zones.stream().filter(zone -> isKnown(zone, of)).count();
-        long bad = zones.stream().filter(zone -> isBad(zone, of) || !of.isEmpty() && isBad(zone, "")).count();
+        long bad = zones.stream()
+                .filter(zone -> isBad(zone, of) || !of.isEmpty() && isBad(zone, ""))
+                .count();
         return 2 * bad > known;
     }
 
@@ -176,22 +194,27 @@
         verdicts.forEach((pair, each) -> each.forEach((of, verdict) -> {
             if (isBad(verdict) && !suspect.computeIfAbsent(of, this::isSuspect)) {
                 Key key = new Key(pair.get(0), pair.get(1), of);
-                if ((verdict == Verdict.DEAD || !takesOthers(key.zone)) && (!isOwn(key) || seesOthersWell(key.zone))
-                    && (key.from.isEmpty() || isAlone(key))) {
+                if ((verdict == Verdict.DEAD || !takesOthers(key.zone))
+                        && (!isOwn(key) || seesOthersWell(key.zone))
+                        && (key.from.isEmpty() || isAlone(key))) {
                     leaving.add(new Leaving(key, verdict, how(key)));
                 }
             }
         }));
         // What concerns all first, then the worst; a pair of which both ends are the same is next to all of a zone.
         leaving.sort(Comparator.comparing((Leaving each) -> each.key.from.isEmpty() ? 0 : isOwn(each.key) ? 1 : 2)
-            .thenComparing(each -> each.key.of.isEmpty() ? 0 : 1).thenComparing(each -> -each.how)
-            .thenComparing(each -> each.key.zone).thenComparing(each -> each.key.from).thenComparing(each -> each.key.of));
+                .thenComparing(each -> each.key.of.isEmpty() ? 0 : 1)
+                .thenComparing(each -> -each.how)
+                .thenComparing(each -> each.key.zone)
+                .thenComparing(each -> each.key.from)
+                .thenComparing(each -> each.key.of));
         leaving.forEach(this::leave);
     }
 
     private int how(Key key) {
         return (key.from.isEmpty() ? picture.across(key.zone, key.of, sick) : picture.from(key.from, key.zone, key.of))
-            .map(view -> view.failed() + view.slow()).orElse(0);
+                .map(view -> view.failed() + view.slow())
+                .orElse(0);
     }
 
     private static boolean isOwn(Key key) {
@@ -200,7 +223,9 @@
 
     /** Who sees others fail as its own is suspect; a zone that sees no others has only its own to go by. */
     private boolean seesOthersWell(String from) {
-        return picture.elsewhere(from).map(view -> verdict(view) == Verdict.WELL).orElse(true);
+        return picture.elsewhere(from)
+                .map(view -> verdict(view) == Verdict.WELL)
+                .orElse(true);
     }
 
     /** A zone that is slow, or fails in part, under what others send there gets less of that first. */
@@ -210,17 +235,20 @@
 
     /** A pair of two zones is bad by itself only if the target is well seen from elsewhere. */
     private boolean isAlone(Key key) {
-        return isOwn(key) || verdict("", key.zone, key.of) == Verdict.WELL
-            || verdict(key.zone, key.zone, key.of) == Verdict.WELL;
+        return isOwn(key)
+                || verdict("", key.zone, key.of) == Verdict.WELL
+                || verdict(key.zone, key.zone, key.of) == Verdict.WELL;
     }
 
     private void leave(Leaving leaving) {
         Key key = leaving.key;
         Mark mark = marks.get(key);
         int open = mark == null ? Plan.WHOLE : mark.open();
-        boolean gone = key.from.isEmpty() ? !key.of.isEmpty() && isLeft("", key.zone, "")
-            : isLeft("", key.zone, key.of) || isLeft("", key.zone, "")
-                || !key.of.isEmpty() && isLeft(key.from, key.zone, "");
+        boolean gone = key.from.isEmpty()
+                ? !key.of.isEmpty() && isLeft("", key.zone, "")
+                : isLeft("", key.zone, key.of)
+                        || isLeft("", key.zone, "")
+                        || !key.of.isEmpty() && isLeft(key.from, key.zone, "");
         if (open == Plan.WHOLE && (gone || !mayLeave(key) || mark == null && marks.size() >= Plan.MOST_MARKS)) {
             return;
         }
@@ -247,8 +275,13 @@
         if (!key.from.isEmpty() && !isOwn(key)) {
             return true;
         }
-        long left = zones.stream().filter(zone -> !zone.equals(key.zone) && (isLeft("", zone, "") || isLeft(zone, zone, "")
-            || isLeft("", zone, key.of) || isLeft(zone, zone, key.of))).count();
+        long left = zones.stream()
+                .filter(zone -> !zone.equals(key.zone)
+                        && (isLeft("", zone, "")
+                                || isLeft(zone, zone, "")
+                                || isLeft("", zone, key.of)
+                                || isLeft(zone, zone, key.of)))
+                .count();
         return left < limits.left(zones.size());
     }
 
@@ -258,9 +291,11 @@
 
     /** Where looks are too few to tell, the first step back is the look: processes are there, and sent next to nothing. */
     private boolean isUnseen(Key key) {
-        return !sick.contains(key.from) && (key.from.isEmpty() ? !picture.reporters().isEmpty()
-            : picture.reporters().containsKey(key.from))
-            && !verdicts.getOrDefault(List.of(key.from, key.zone), Map.of()).containsKey(key.of);
+        return !sick.contains(key.from)
+                && (key.from.isEmpty()
+                        ? !picture.reporters().isEmpty()
+                        : picture.reporters().containsKey(key.from))
+                && !verdicts.getOrDefault(List.of(key.from, key.zone), Map.of()).containsKey(key.of);
     }
 
     private void up() {
--- a/src/main/java/rushpin/failover/Near.java
+++ b/src/main/java/rushpin/failover/Near.java
@@ -8,13 +8,15 @@
 
 /** The plan of calm days: what enters in a zone stays there. */
 public final class Near {
-    private Near() {
-    }
+    private Near() {}
 
     /** Each zone's traffic to itself, in order of name; of more zones than a plan takes, the rest stays near unsaid. */
     public static List<Plan.Way> ways(Collection<String> zones) {
-        return new TreeSet<>(zones).stream().limit(Plan.MOST_ZONES)
-            .map(zone -> new Plan.Way(zone, List.of(new Plan.Part(zone, Plan.WHOLE)))).toList();
+        return new TreeSet<>(zones)
+                .stream()
+                        .limit(Plan.MOST_ZONES)
+                        .map(zone -> new Plan.Way(zone, List.of(new Plan.Part(zone, Plan.WHOLE))))
+                        .toList();
     }
 
     /**
--- a/src/main/java/rushpin/failover/Planner.java
+++ b/src/main/java/rushpin/failover/Planner.java
@@ -23,8 +23,7 @@
         }
     }
 
-    private Planner() {
-    }
+    private Planner() {}
 
     /**
      * What is to be in force instead of the plan that is; empty if that one stands, as it does where too little is known.
@@ -40,8 +39,9 @@
         if (ways.isEmpty() || !Plan.isWhole(ways, nextMarks)) {
             return Optional.empty();
         }
-        boolean stands = nextMarks.equals(inForce.marks()) && difference(inForce.ways(), ways) < limits.least()
-            && !isWayOutWider(inForce.ways(), ways, sight.picture(), limits);
+        boolean stands = nextMarks.equals(inForce.marks())
+                && difference(inForce.ways(), ways) < limits.least()
+                && !isWayOutWider(inForce.ways(), ways, sight.picture(), limits);
         return stands ? Optional.empty() : Optional.of(new Draft(ways, nextMarks));
     }
 
@@ -57,8 +57,11 @@
     private static boolean isWayOutWider(List<Plan.Way> said, List<Plan.Way> ways, Picture picture, Limits limits) {
         Map<List<String>, Integer> spare = new HashMap<>();
         said.forEach(way -> spare.put(List.of(way.from(), way.of()), spare(way)));
-        return ways.stream().anyMatch(way -> picture.own(way.from(), "").filter(view -> view.mostFailed() >= limits.bad()).isPresent()
-            && spare(way) - spare.getOrDefault(List.of(way.from(), way.of()), 0) >= WIDER);
+        return ways.stream()
+                .anyMatch(way -> picture.own(way.from(), "")
+                                .filter(view -> view.mostFailed() >= limits.bad())
+                                .isPresent()
+                        && spare(way) - spare.getOrDefault(List.of(way.from(), way.of()), 0) >= WIDER);
     }
 
     private static int spare(Plan.Way way) {
@@ -67,7 +70,8 @@
 
     /** The greatest difference between what two plans send from one zone to one other, of one class. */
     static int difference(List<Plan.Way> one, List<Plan.Way> other) {
-        Map<List<String>, Integer> parts = new TreeMap<>((a, b) -> String.join(" ", a).compareTo(String.join(" ", b)));
+        Map<List<String>, Integer> parts =
+                new TreeMap<>((a, b) -> String.join(" ", a).compareTo(String.join(" ", b)));
         List<List<String>> ways = new ArrayList<>(), others = new ArrayList<>();
         for (Plan.Way way : one) {
             ways.add(List.of(way.from(), way.of()));
@@ -86,6 +90,8 @@
             });
             parts.merge(List.of(way.from(), way.of(), "+"), -(spare(way) / SPARE_TELLS), Integer::sum);
         }
-        return ways.equals(others) ? parts.values().stream().mapToInt(Math::abs).max().orElse(0) : Plan.WHOLE;
+        return ways.equals(others)
+                ? parts.values().stream().mapToInt(Math::abs).max().orElse(0)
+                : Plan.WHOLE;
     }
 }
--- a/src/main/java/rushpin/failover/Spill.java
+++ b/src/main/java/rushpin/failover/Spill.java
@@ -13,14 +13,12 @@
  */
 public final class Spill {
     /** Servers of one zone as one process sees them. */
-    public record Health(int servers, int healthy) {
-    }
+    public record Health(int servers, int healthy) {}
 
     /** In hundredths. */
     static final int OVERPROVISIONING = 140, PANIC = 50;
 
-    private Spill() {
-    }
+    private Spill() {}
 
     /** Which part of what enters in a zone goes where, summing to one; near if nothing is known of any. */
     public static Map<String, Double> parts(String zone, Geography geography, Map<String, Health> health) {
@@ -56,10 +54,14 @@
     }
 
     private static int servers(List<String> zones, Map<String, Health> health) {
-        return zones.stream().mapToInt(zone -> health.getOrDefault(zone, new Health(0, 0)).servers).sum();
+        return zones.stream()
+                .mapToInt(zone -> health.getOrDefault(zone, new Health(0, 0)).servers)
+                .sum();
     }
 
     private static int healthy(List<String> zones, Map<String, Health> health) {
-        return zones.stream().mapToInt(zone -> health.getOrDefault(zone, new Health(0, 0)).healthy).sum();
+        return zones.stream()
+                .mapToInt(zone -> health.getOrDefault(zone, new Health(0, 0)).healthy)
+                .sum();
     }
 }
--- a/src/main/java/rushpin/fit/Family.java
+++ b/src/main/java/rushpin/fit/Family.java
@@ -23,9 +23,11 @@
 public record Family(String work, String name, double p, boolean kept, int samples) {
     /** So many figures are too few to choose by. */
     public static final int LEAST = 40;
+
     private static final double TURNED_DOWN = 0.01;
     /** With more, a difference of no consequence turns down every family. */
     private static final int MOST_TESTED = 400;
+
     private static final int STEPS = 100;
 
     /** For {@link #LEAST} figures above 0 or more, in any order; the order decides the halves. */
@@ -40,8 +42,9 @@
             double[] f = figures(name, fitted);
             RealDistribution law = f == null ? null : law(name, f);
             // A queue hangs on the mean before all else: who misses it by more than chance is no law of this sample.
-            boolean near = law != null && Math.abs(law.getNumericalMean() - whole.getMean())
-                <= 2 * whole.getStandardDeviation() / Math.sqrt(whole.getN());
+            boolean near = law != null
+                    && Math.abs(law.getNumericalMean() - whole.getMean())
+                            <= 2 * whole.getStandardDeviation() / Math.sqrt(whole.getN());
             double distance = !near ? Double.MAX_VALUE : test.kolmogorovSmirnovStatistic(law, fitted);
             if (distance < least) {
                 least = distance;
@@ -57,7 +60,8 @@
         }
         StringBuilder text = new StringBuilder("quantiles");
         for (int i = 0; i <= STEPS; i++) {
-            text.append(String.format(Locale.ROOT, " %.6g", i == 0 ? whole.getMin() : whole.getPercentile(100.0 * i / STEPS)));
+            text.append(String.format(
+                    Locale.ROOT, " %.6g", i == 0 ? whole.getMin() : whole.getPercentile(100.0 * i / STEPS)));
         }
         return new Family(text.toString(), best == null ? "no family" : best, p, false, sample.length);
     }
@@ -97,15 +101,20 @@
             case "normal":
                 return new double[] {mean, sd};
             case "lognormal":
-                DescriptiveStatistics logs = new DescriptiveStatistics(Arrays.stream(of).map(Math::log).toArray());
+                DescriptiveStatistics logs = new DescriptiveStatistics(
+                        Arrays.stream(of).map(Math::log).toArray());
                 return new double[] {logs.getMean(), logs.getStandardDeviation()};
             case "gamma":
                 return new double[] {mean * mean / (sd * sd), sd * sd / mean};
             default:
                 try {
                     double cv = sd * sd / (mean * mean);
-                    double shape = new BrentSolver(1e-6).solve(200, k -> Math.exp(Gamma.logGamma(1 + 2 / k)
-                        - 2 * Gamma.logGamma(1 + 1 / k)) - 1 - cv, 0.2, 200);
+                    double shape = new BrentSolver(1e-6)
+                            .solve(
+                                    200,
+                                    k -> Math.exp(Gamma.logGamma(1 + 2 / k) - 2 * Gamma.logGamma(1 + 1 / k)) - 1 - cv,
+                                    0.2,
+                                    200);
                     return new double[] {shape, mean / Math.exp(Gamma.logGamma(1 + 1 / shape))};
                 } catch (MathIllegalArgumentException | MathIllegalStateException e) {
                     return null;
--- a/src/main/java/rushpin/gateway/Gateway.java
+++ b/src/main/java/rushpin/gateway/Gateway.java
@@ -50,14 +50,14 @@
     private static final double RETRY_RATIO = 0.2, RETRY_MOST = 20, MARGIN = 1.5, MOST_OF_AIM = 0.8;
 
     /** A connection that broke tells nothing of load: as slow it would close the loop on all other work. */
-    private static final Set<Outcome> NO_SIGN_OF_LOAD =
-        EnumSet.of(Outcome.RESET, Outcome.CANCELLED, Outcome.NOT_SENT);
+    private static final Set<Outcome> NO_SIGN_OF_LOAD = EnumSet.of(Outcome.RESET, Outcome.CANCELLED, Outcome.NOT_SENT);
     /** A process may be held up for so long between a decision and the write that follows from it. */
     private static final long HELD_UP = 160 * MS;
     /** For how long an empty list may be a slip, and what is queued waits for the next one. */
     private static final long EMPTY_SPAN = SECOND / 4;
     /** The values of a load report that tell how busy a server is; their life in seconds; how many stay. */
     private static final Set<String> LOADS = Set.of("waiting", "active", "cpu");
+
     private static final int REPORT_S = 1, RECENT = 6;
     private Settings cfg;
     private final Actions out;
@@ -68,6 +68,7 @@
     private long outSince;
     /** When housekeeping is due next, by how much it was late the last time, and when that was. */
     private long tickDue, lateBy, lateAt;
+
     private final Map<String, Job> jobs = new HashMap<>();
     private final Map<Long, Customer> customers = new LinkedHashMap<>();
     private final Map<String, Backend> servers = new LinkedHashMap<>();
@@ -77,10 +78,12 @@
     private final Map<Integer, Backend[]> zoned = new HashMap<>();
     /** When what was sent to a zone last failed, if nothing was answered since. */
     private final Map<Integer, Long> zoneFailed = new HashMap<>();
+
     private final Map<Integer, Double> kindLatency = new HashMap<>(), zoneErrors = new HashMap<>();
     private final Backend[] lastHeard = new Backend[RECENT];
     /** One for each class, and behind them those of classes that are no more but for their last requests. */
     private Lane[] lanes;
+
     private Control control;
     private int inFlight, heardCount, processes = 1;
     private double retryTokens = RETRY_MOST, virtualTime, sentWork, warmWork, usualStake, usualLoad;
@@ -92,6 +95,7 @@
     private final double[] taken, told;
     /** Customers with something to push. */
     private final Set<Customer> active = new LinkedHashSet<>();
+
     private final Map<Long, ArrayDeque<Call>> calls = new LinkedHashMap<>();
 
     /** A gateway that starts now; {@code seed} is its only source of chance. */
@@ -102,7 +106,9 @@
         born = now;
         this.now = now;
         lanes = new Lane[cfg.classes().size()];
-        for (int i = 0; i < lanes.length; i++) { lanes[i] = new Lane(cfg.classes().get(i)); }
+        for (int i = 0; i < lanes.length; i++) {
+            lanes[i] = new Lane(cfg.classes().get(i));
+        }
         taken = new double[cfg.plans().size()];
         told = new double[taken.length];
         control = new Control(null);
@@ -114,10 +120,13 @@
         nextControl = now + SECOND;
         tickDue = now + TICK;
         out.timer(0, TICK);
-        if (cfg.limits().askForList()) { out.watchList(); }
+        if (cfg.limits().askForList()) {
+            out.watchList();
+        }
     }
 
-    @Override public void list(long at, ListKind kind, List<Server> entries) {
+    @Override
+    public void list(long at, ListKind kind, List<Server> entries) {
         now = at;
         if (kind == ListKind.FAILED) {
             out.watchList();
@@ -128,11 +137,15 @@
         for (Server entry : entries) {
             Backend known = servers.get(entry.id());
             if (entry.readiness() == Readiness.GONE) {
-                if (known != null) { known.leave(); }
+                if (known != null) {
+                    known.leave();
+                }
                 continue;
             }
             boolean anew = known == null || known.entry.startedAt() != entry.startedAt();
-            if (known != null) { known.ready = false; }
+            if (known != null) {
+                known.ready = false;
+            }
             Backend backend = anew ? new Backend(entry) : known;
             servers.put(entry.id(), backend);
             backend.entry = entry;
@@ -151,14 +164,21 @@
         dispatch();
     }
 
-    @Override public void request(long at, Request request) {
+    @Override
+    public void request(long at, Request request) {
         now = at;
-        boolean known = request.requestClass() >= 0 && request.requestClass() < cfg.classes().size()
-            && request.plan() >= 0 && request.plan() < cfg.plans().size();
-        if (!known) { out.refuse(request.id(), 0); }
-        if (!known || jobs.containsKey(request.id())) { return; }
-        Customer customer = customers.computeIfAbsent(request.customer(),
-            key -> new Customer(key, request.plan(), request.setSize()));
+        boolean known = request.requestClass() >= 0
+                && request.requestClass() < cfg.classes().size()
+                && request.plan() >= 0
+                && request.plan() < cfg.plans().size();
+        if (!known) {
+            out.refuse(request.id(), 0);
+        }
+        if (!known || jobs.containsKey(request.id())) {
+            return;
+        }
+        Customer customer = customers.computeIfAbsent(
+                request.customer(), key -> new Customer(key, request.plan(), request.setSize()));
         Lane lane = lanes[request.requestClass()];
         lane.arrivals++;
         Job job = new Job(request, customer, lane);
@@ -179,10 +199,13 @@
         probe(job);
     }
 
-    @Override public void attemptEnded(long at, Result result) {
+    @Override
+    public void attemptEnded(long at, Result result) {
         now = at;
         Job job = jobs.get(result.id());
-        if (job == null || job.backend == null) { return; }
+        if (job == null || job.backend == null) {
+            return;
+        }
         Backend backend = job.backend;
         job.backend = null;
         inFlight--;
@@ -206,18 +229,27 @@
         dispatch();
     }
 
-    @Override public void streamStarted(long at, String id) { now = at; }
+    @Override
+    public void streamStarted(long at, String id) {
+        now = at;
+    }
 
-    @Override public void bodyGone(long at, String id) {
+    @Override
+    public void bodyGone(long at, String id) {
         now = at;
         Job job = jobs.get(id);
-        if (job != null) { job.most = job.attempts; }
+        if (job != null) {
+            job.most = job.attempts;
+        }
     }
 
-    @Override public void clientGone(long at, String id) {
+    @Override
+    public void clientGone(long at, String id) {
         now = at;
         Job job = jobs.get(id);
-        if (job == null) { return; }
+        if (job == null) {
+            return;
+        }
         job.over = true;
         if (job.backend == null && job.asking == null) {
             job.lane.queue.remove(job);
@@ -225,12 +257,17 @@
         }
     }
 
-    @Override public void counted(long at, long name, Outcome outcome, double total) {
+    @Override
+    public void counted(long at, long name, Outcome outcome, double total) {
         now = at;
         ArrayDeque<Call> pending = calls.get(name);
         Call call = pending == null ? null : pending.poll();
-        if (call == null) { return; }
-        if (pending.isEmpty()) { calls.remove(name); }
+        if (call == null) {
+            return;
+        }
+        if (pending.isEmpty()) {
+            calls.remove(name);
+        }
         boolean answered = outcome == Outcome.OK;
         // What this process itself was late by, busy or not let run, is not the counter's.
         long late = Math.max(lateAt >= call.at ? lateBy : 0, Math.max(0, now - tickDue));
@@ -268,10 +305,13 @@
         return may;
     }
 
-    @Override public void probed(long at, String id, Outcome how, long took, List<Double> report) {
+    @Override
+    public void probed(long at, String id, Outcome how, long took, List<Double> report) {
         now = at;
         Backend backend = servers.get(id);
-        if (backend == null) { return; }
+        if (backend == null) {
+            return;
+        }
         // A server that keeps its load to itself, or does not answer, is not idle.
         double load = report.isEmpty() ? 1 + 2 * usualLoad : 0;
         for (int i = 0; i < Math.min(report.size(), cfg.reports().size()); i++) {
@@ -291,19 +331,24 @@
         }
     }
 
-    @Override public void timer(long at, long token) {
+    @Override
+    public void timer(long at, long token) {
         now = at;
         lateBy = now - tickDue;
         lateAt = now;
         tickDue = now + TICK;
         out.timer(0, TICK);
-        for (Lane lane : lanes) { expire(lane.queue); }
+        for (Lane lane : lanes) {
+            expire(lane.queue);
+        }
         // A host that never ends a call must not cost a request its answer.
         long due = now - 2 * cfg.counter().timeout();
         // What waited for a pool may ask for its quota next: that adds a call.
         for (ArrayDeque<Call> line : List.copyOf(calls.values())) {
             for (Call call : line) {
-                if (call.at < due) { call.customer.conclude(call, false); }
+                if (call.at < due) {
+                    call.customer.conclude(call, false);
+                }
             }
         }
         List.copyOf(active).forEach(Customer::push);
@@ -315,45 +360,60 @@
         dispatch();
     }
 
-    @Override public void restore(long at, long key, int plan, int setSize, double units) {
+    @Override
+    public void restore(long at, long key, int plan, int setSize, double units) {
         now = at;
-        if (plan < 0 || plan >= cfg.plans().size() || cfg.plans().get(plan).rate() <= 0) { return; }
+        if (plan < 0 || plan >= cfg.plans().size() || cfg.plans().get(plan).rate() <= 0) {
+            return;
+        }
         Customer customer = customers.computeIfAbsent(key, k -> new Customer(k, plan, setSize));
         customer.store -= units;
         customer.unpushed += units;
         customer.usedAt = now;
-        if (customer.shared) { active.add(customer); }
+        if (customer.shared) {
+            active.add(customer);
+        }
     }
 
-    @Override public void give(long at, double part) {
+    @Override
+    public void give(long at, double part) {
         now = at;
         for (Customer c : customers.values()) {
             c.refill();
             double units = Math.max(0, c.ceiling) * Math.max(0, Math.min(1, part));
-            if (c.plan.ceilingRate() <= 0 || units <= 0) { continue; }
+            if (c.plan.ceilingRate() <= 0 || units <= 0) {
+                continue;
+            }
             c.ceiling -= units;
             out.gave(c.key, c.place, c.gateways, units);
         }
     }
 
-    @Override public void inherit(long at, long key, int plan, int setSize, double units) {
+    @Override
+    public void inherit(long at, long key, int plan, int setSize, double units) {
         now = at;
-        if (plan < 0 || plan >= cfg.plans().size() || !(units > 0)) { return; }
+        if (plan < 0 || plan >= cfg.plans().size() || !(units > 0)) {
+            return;
+        }
         Customer customer = customers.computeIfAbsent(key, k -> new Customer(k, plan, setSize));
-        if (customer.place != plan) { return; }
+        if (customer.place != plan) {
+            return;
+        }
         customer.ceiling += units;
         // No more than it may hold, whoever says so.
         customer.refill();
     }
 
-    @Override public void processes(long at, int count) {
+    @Override
+    public void processes(long at, int count) {
         now = at;
         // What came in until now was each process's own.
         customers.values().forEach(Customer::refill);
         processes = Math.max(1, count);
     }
 
-    @Override public void settings(long at, Settings next, int[] was) {
+    @Override
+    public void settings(long at, Settings next, int[] was) {
         now = at;
         List<Lane> made = new ArrayList<>();
         for (int i = 0; i < was.length; i++) {
@@ -364,7 +424,9 @@
         }
         for (Lane lane : lanes) {
             boolean wanted = jobs.values().stream().anyMatch(job -> job.lane == lane);
-            if (wanted && !made.contains(lane)) { made.add(lane); }
+            if (wanted && !made.contains(lane)) {
+                made.add(lane);
+            }
         }
         boolean anew = !made.equals(Arrays.asList(lanes));
         cfg = next;
@@ -373,9 +435,13 @@
         dispatch();
     }
 
-    @Override public void zones(long at, int[][] parts) { zones(at, parts, null); }
+    @Override
+    public void zones(long at, int[][] parts) {
+        zones(at, parts, null);
+    }
 
-    @Override public void zones(long at, int[][] parts, int[][] spare) {
+    @Override
+    public void zones(long at, int[][] parts, int[][] spare) {
         now = at;
         // A class that is no more keeps to its last way while there is a plan.
         for (int i = 0; i < lanes.length; i++) {
@@ -386,30 +452,43 @@
     }
 
     /** How many listed servers are avoided for their failures. */
-    public int shunned() { return (int) listed.stream().filter(b -> b.shunned).count(); }
+    public int shunned() {
+        return (int) listed.stream().filter(b -> b.shunned).count();
+    }
 
     /** Whether a server is avoided, and nothing sent to its zone in the last seconds was answered. */
-    public boolean holdsOut(String id) { return servers.containsKey(id) && servers.get(id).heldOut(); }
+    public boolean holdsOut(String id) {
+        return servers.containsKey(id) && servers.get(id).heldOut();
+    }
 
     /** Whether a zone, by what was heard of its servers, fails more often than not. */
-    public boolean fails(int zone) { return zoneErrors.getOrDefault(zone, 0.0) > 0.5; }
+    public boolean fails(int zone) {
+        return zoneErrors.getOrDefault(zone, 0.0) > 0.5;
+    }
 
-    @Override public void clock(long at, long ahead) {
+    @Override
+    public void clock(long at, long ahead) {
         now = at;
         shift = ahead;
     }
 
     /** 0 for a small fleet, 1 for a large one. */
-    private double large() { return Math.max(0, Math.min(1, (cfg.siblings() - SMALL) / (LARGE - SMALL))); }
+    private double large() {
+        return Math.max(0, Math.min(1, (cfg.siblings() - SMALL) / (LARGE - SMALL)));
+    }
 
     /** How many customers and servers are remembered. */
-    int remembered() { return customers.size() + servers.size(); }
+    int remembered() {
+        return customers.size() + servers.size();
+    }
 
     /** A call that adds use to the quota's count, or one that asks for a part of the ceiling's pool. */
-    private record Call(Customer customer, long window, double amount, Job job, long at, boolean pool) { }
+    private record Call(Customer customer, long window, double amount, Job job, long at, boolean pool) {}
 
     /** Spreads numbers that lie close together over all long values. */
-    private static long mix(long z) { return new SplittableRandom(z).nextLong(); }
+    private static long mix(long z) {
+        return new SplittableRandom(z).nextLong();
+    }
 
     /** What this gateway knows of a customer's use. */
     private final class Customer {
@@ -419,13 +498,16 @@
         private final boolean shared;
         /** The count of the present window: its number, this gateway's part and the others'. */
         private long window = Long.MIN_VALUE, refilled, heard, pushAt, usedAt;
+
         private double mine, others;
         /** The quota's store as estimated here; the others' use: its rate, and what was foreseen of it. */
         private double store, othersRate, foreseen, unpushed, ceiling;
+
         private boolean deaf;
         private int open, jobs, asked;
         /** The part of the ceiling dealt out here; the pool's windows, what each grants, its use as heard. */
         private final double dealtRate, dealtBurst, poolMost;
+
         private final long poolSpan;
         private long poolWindow;
         private double poolUsed;
@@ -465,8 +547,8 @@
             double s = (now - refilled) * NANO;
             refilled = now;
             // Totals feed an estimate: between them the others go on as they did; unheard of, it is divided.
-            double others = s * Math.min(plan.rate() * (deaf ? 1 - 1.0 / gateways : 1),
-                deaf ? plan.rate() : othersRate);
+            double others =
+                    s * Math.min(plan.rate() * (deaf ? 1 - 1.0 / gateways : 1), deaf ? plan.rate() : othersRate);
             foreseen += others;
             store = Math.min(plan.burst(), store + s * plan.rate() - others);
             ceiling = Math.min(dealtBurst / processes, ceiling + s * dealtRate / processes);
@@ -475,11 +557,14 @@
         /** Whether this says no more than nothing does: customers are ever new, and many come only once. */
         boolean blank() {
             long idle = now - Math.max(usedAt, heard);
-            if (jobs + asked > 0 || idle < 2 * span + REMEMBER || active.contains(this)) { return false; }
+            if (jobs + asked > 0 || idle < 2 * span + REMEMBER || active.contains(this)) {
+                return false;
+            }
             refill();
-            boolean full = idle * NANO * plan.rate() >= plan.burst()
-                && ceiling >= dealtBurst / processes;
-            if (full) { drop(); }
+            boolean full = idle * NANO * plan.rate() >= plan.burst() && ceiling >= dealtBurst / processes;
+            if (full) {
+                drop();
+            }
             return full;
         }
 
@@ -489,7 +574,9 @@
             double units = job.request.units();
             // The ceiling holds whatever the others do: each keeps to its part, or is granted more first.
             if (plan.ceilingRate() > 0 && ceiling < units) {
-                if (!askPool(job, units - ceiling)) { refuse(job, (units - ceiling) / dealtRate); }
+                if (!askPool(job, units - ceiling)) {
+                    refuse(job, (units - ceiling) / dealtRate);
+                }
                 return;
             }
             admitUnder(job, units);
@@ -500,11 +587,17 @@
             // What the quota would refuse all the same is not worth a call.
             boolean spent = plan.rate() > 0 && store < 0 && !deaf && plan.beyondEarns() <= plan.beyondCosts();
             boolean late = now + 2 * cfg.counter().timeout() >= job.aimAt();
-            if (poolSpan < SECOND / 10 || spent || late) { return false; }
+            if (poolSpan < SECOND / 10 || spent || late) {
+                return false;
+            }
             long index = Math.floorDiv(now + shift + phase, poolSpan);
-            if (poolWindow != index) { poolUsed = 0; }
+            if (poolWindow != index) {
+                poolUsed = 0;
+            }
             poolWindow = index;
-            if (poolUsed + lack > poolMost || !mayCall(2)) { return false; }
+            if (poolUsed + lack > poolMost || !mayCall(2)) {
+                return false;
+            }
             double amount = Math.ceil(Math.max(lack, poolMost / gateways) * 1e6) * 1e-6;
             long name = mix(mix(~key) + index) >>> 1;
             Call call = new Call(this, index, amount, job, now, true);
@@ -518,7 +611,9 @@
         /** The room that was left under the pool's window is this gateway's, up to what it asked for. */
         private void granted(Call call, double total) {
             long index = Math.floorDiv(now + shift + phase, poolSpan);
-            if (call.window != poolWindow || call.window != index) { return; }
+            if (call.window != poolWindow || call.window != index) {
+                return;
+            }
             // No total is believed that lacks what was seen before: an empty counter knows less than this.
             poolUsed = Math.max(total, poolUsed + call.amount);
             ceiling += Math.max(0, Math.min(call.amount, poolMost - (poolUsed - call.amount)));
@@ -532,8 +627,13 @@
             boolean dear = plan.rate() > 0 && plan.beyondEarns() <= plan.beyondCosts();
             boolean old = dear && now - heard > span / 4 && shared && !silent;
             // Scarce calls go where most can be lost and own traffic tells least; repeats follow refusals.
-            double stake = job.spec.worth() * plan.price() * plan.beyondCosts() * units
-                * gateways / cfg.siblings() * (job.request.repeat() ? 0.3 : 1);
+            double stake = job.spec.worth()
+                    * plan.price()
+                    * plan.beyondCosts()
+                    * units
+                    * gateways
+                    / cfg.siblings()
+                    * (job.request.repeat() ? 0.3 : 1);
             usualStake += 0.02 * (stake - usualStake);
             stake /= Math.max(1e-9, usualStake);
             boolean first = cfg.counter().first() && shared && plan.rate() > 0 && !silent;
@@ -548,7 +648,9 @@
 
         /** Without news the quota is divided; parts under one request would refuse all who come so rarely. */
         private void divide() {
-            if (gateways <= 1 || now - heard <= span) { return; }
+            if (gateways <= 1 || now - heard <= span) {
+                return;
+            }
             if (!deaf && store > 0) {
                 store = Math.max(store / gateways, Math.min(store, cfg.counter().largest()));
             }
@@ -556,12 +658,16 @@
         }
 
         /** What the others may have taken since they last told: a push waits for up to a second. */
-        private double unheard() { return othersRate * UNHEARD * NANO; }
+        private double unheard() {
+            return othersRate * UNHEARD * NANO;
+        }
 
         private void decide(Job job, double keptBack) {
             double units = job.request.units();
             job.inQuota = plan.rate() <= 0 || store >= keptBack;
-            if (!job.inQuota) { take(-units); }
+            if (!job.inQuota) {
+                take(-units);
+            }
             if (job.inQuota || plan.beyondEarns() > plan.beyondCosts()) {
                 enqueue(job);
             } else {
@@ -586,15 +692,21 @@
         /** Use that the counter is yet to be told of. */
         void untold(double units) {
             // What nobody shares is never pushed, and matters no longer than the store takes to fill.
-            if (!shared && now - usedAt >= span) { drop(); }
+            if (!shared && now - usedAt >= span) {
+                drop();
+            }
             unpushed += units;
             usedAt = now;
-            if (shared) { active.add(this); }
+            if (shared) {
+                active.add(this);
+            }
             out.took(key, place, gateways, units);
         }
 
         private void drop() {
-            if (unpushed != 0) { out.took(key, place, gateways, -unpushed); }
+            if (unpushed != 0) {
+                out.took(key, place, gateways, -unpushed);
+            }
             unpushed = 0;
         }
 
@@ -612,7 +724,9 @@
         private void call(Job job) {
             // All gateways name the window alike, so by the clock that all machines read.
             long index = Math.floorDiv(now + shift + phase, span);
-            if (window != index) { mine = others = 0; }
+            if (window != index) {
+                mine = others = 0;
+            }
             window = index;
             double amount = Math.rint(unpushed * 1e6) * 1e-6;
             told[place] += amount;
@@ -620,7 +734,9 @@
             unpushed = 0;
             long name = mix(mix(key) + index) >>> 1;
             Call call = new Call(this, window, amount, job, now, false);
-            if (job != null) { job.asking = call; }
+            if (job != null) {
+                job.asking = call;
+            }
             calls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
             asked++;
             out.count(key, name, amount, 2 * span);
@@ -630,7 +746,9 @@
             asked--;
             refill();
             if (call.pool) {
-                if (outcome == Outcome.OK) { granted(call, total); }
+                if (outcome == Outcome.OK) {
+                    granted(call, total);
+                }
                 conclude(call, outcome == Outcome.OK);
                 return;
             }
@@ -642,14 +760,18 @@
                 // Without an answer it may have been added; if not, the next total looks like lost counts.
                 mine += call.amount;
             }
-            if (outcome == Outcome.OK && call.window == window) { learn(call, total); }
+            if (outcome == Outcome.OK && call.window == window) {
+                learn(call, total);
+            }
             conclude(call, outcome == Outcome.OK);
         }
 
         private void conclude(Call call, boolean answered) {
             Job job = call.job;
             // Ended after it was given up, one of a pool must not let its request in again, past the quota's.
-            if (job == null || job.asking != call) { return; }
+            if (job == null || job.asking != call) {
+                return;
+            }
             job.asking = null;
             if (job.over) {
                 forget(job);
@@ -661,7 +783,9 @@
                     admitUnder(job, units);
                 }
             } else {
-                if (!answered) { divide(); }
+                if (!answered) {
+                    divide();
+                }
                 decide(job, answered ? 0 : unheard());
             }
         }
@@ -691,7 +815,9 @@
             double rate = Math.max(0, Math.min(news / s, 2 * plan.rate()));
             othersRate += (1 - Math.exp(-s / OTHERS_S)) * (rate - othersRate);
             // What was sent beyond the quota took nothing from the store: it cannot be far below nothing.
-            store = Math.max(Math.min(plan.burst(), store - news + foreseen), -cfg.counter().largest());
+            store = Math.max(
+                    Math.min(plan.burst(), store - news + foreseen),
+                    -cfg.counter().largest());
             foreseen = 0;
         }
     }
@@ -703,12 +829,14 @@
         private final Lane lane;
         /** As it was when the request came: changed settings are for those that come later. */
         private final RequestClass spec;
+
         private int most = cfg.limits().maxAttempts();
         private final long arrived = now;
         private final double vAtArrival = virtualTime;
         private boolean taken, inQuota, open, over;
         /** The call whose answer it waits for, else null. */
         private Call asking;
+
         private int attempts;
         private Backend backend;
         private long sentAt, mayHaveRunSince;
@@ -726,7 +854,9 @@
             return spec.worth() * customer.plan.price() * part;
         }
 
-        long aimAt() { return Math.min(arrived + spec.aim(), request.deadline()); }
+        long aimAt() {
+            return Math.min(arrived + spec.aim(), request.deadline());
+        }
 
         /** Nobody tells how many the others have out: a cap on these is divided, and each may have one. */
         boolean mayGo() {
@@ -742,7 +872,9 @@
             return now + Math.max(need, 2 * TICK + cfg.tick()) >= aimAt();
         }
 
-        double cost() { return lane.service * weight(); }
+        double cost() {
+            return lane.service * weight();
+        }
 
         private double weight() {
             return Math.max(0.3, Math.min(3, request.units() / Math.max(1e-9, lane.units)));
@@ -757,6 +889,7 @@
         private int arrivals, good;
         /** For each zone the part of this class that goes there; null where nobody says. */
         private int[] parts, spare;
+
         private boolean stuck;
         private final List<Double> services = new ArrayList<>();
 
@@ -766,11 +899,15 @@
         }
 
         /** Start tag of the head. Computed at release, so that a changed share acts on what is queued too. */
-        double startTag() { return Math.max(first().vAtArrival, finishTag); }
+        double startTag() {
+            return Math.max(first().vAtArrival, finishTag);
+        }
 
         Job first() {
             for (Job job : queue) {
-                if (job.mayGo()) { return job; }
+                if (job.mayGo()) {
+                    return job;
+                }
             }
             return null;
         }
@@ -794,7 +931,9 @@
 
     /** Answers what has waited too long; a short deadline may stand behind a long one. */
     private void expire(ArrayDeque<Job> waiting) {
-        if (waiting.isEmpty()) { return; }
+        if (waiting.isEmpty()) {
+            return;
+        }
         for (Job job : List.copyOf(waiting)) {
             if (job.hopeless()) {
                 waiting.remove(job);
@@ -805,14 +944,20 @@
 
     /** Refuses the least worth of a queue too long, by Little's law, to be answered within its aim. */
     private void relieve(Lane lane) {
-        if (inFlight < control.level || lane.queue.size() <= 1) { return; }
+        if (inFlight < control.level || lane.queue.size() <= 1) {
+            return;
+        }
         double backlogged = 0;
-        for (Lane l : lanes) { backlogged += l.queue.isEmpty() ? 0 : l.share; }
+        for (Lane l : lanes) {
+            backlogged += l.queue.isEmpty() ? 0 : l.share;
+        }
         double rate = control.level / lane.service * lane.share / Math.max(MIN_SHARE, backlogged);
         double budget = Math.max(lane.spec.aim() * NANO - 2 * lane.service, lane.spec.aim() * NANO / 4);
         while (lane.queue.size() > 1 && lane.queue.size() / rate > budget) {
             Job least = lane.queue.peek();
-            for (Job job : lane.queue) { least = job.worth() <= least.worth() ? job : least; }
+            for (Job job : lane.queue) {
+                least = job.worth() <= least.worth() ? job : least;
+            }
             lane.queue.remove(least);
             giveUp(least);
         }
@@ -823,17 +968,23 @@
         if (emptyAt > 0 && now - emptyAt >= EMPTY_SPAN) {
             // No slip of the list: nobody knows when a server comes; to wait would only take clients' time.
             for (Lane lane : lanes) {
-                while (!lane.queue.isEmpty()) { giveUp(lane.queue.poll()); }
+                while (!lane.queue.isEmpty()) {
+                    giveUp(lane.queue.poll());
+                }
             }
         }
-        for (Lane lane : lanes) { lane.stuck = false; }
+        for (Lane lane : lanes) {
+            lane.stuck = false;
+        }
         while (inFlight < control.level && now >= restUntil) {
             Lane next = null;
             for (Lane lane : lanes) {
                 boolean may = !lane.stuck && !lane.queue.isEmpty() && lane.first() != null;
                 next = may && (next == null || lane.startTag() < next.startTag()) ? lane : next;
             }
-            if (next == null) { return; }
+            if (next == null) {
+                return;
+            }
             Job job = next.first();
             if (job.hopeless()) {
                 next.queue.remove(job);
@@ -843,8 +994,12 @@
             Backend backend = choose(job, null);
             // Where a plan lets nobody be used for this class, others may go on.
             next.stuck = backend == null;
-            if (next.stuck && next.parts == null) { return; }
-            if (next.stuck) { continue; }
+            if (next.stuck && next.parts == null) {
+                return;
+            }
+            if (next.stuck) {
+                continue;
+            }
             double start = next.startTag();
             next.queue.remove(job);
             virtualTime = start;
@@ -854,17 +1009,19 @@
     }
 
     /** u(k) = (B0'W'WB0 + Q'Q)^-1 (B0'W'W(yref - r) + Q'Q u(k-1)), with W and Q diagonal. */
-    static SimpleMatrix controlLaw(SimpleMatrix b0, SimpleMatrix w, double q, SimpleMatrix yref,
-                                   SimpleMatrix r, SimpleMatrix last) {
+    static SimpleMatrix controlLaw(
+            SimpleMatrix b0, SimpleMatrix w, double q, SimpleMatrix yref, SimpleMatrix r, SimpleMatrix last) {
         SimpleMatrix bw = b0.transpose().mult(w.transpose()).mult(w);
-        SimpleMatrix left = bw.mult(b0).plus(SimpleMatrix.identity(last.getNumRows()).scale(q * q));
+        SimpleMatrix left =
+                bw.mult(b0).plus(SimpleMatrix.identity(last.getNumRows()).scale(q * q));
         return left.solve(bw.mult(yref.minus(r)).plus(last.scale(q * q)));
     }
 
     /** Clips shares to their least and rescales them to sum 1. */
     static double[] rescale(double[] shares) {
         double[] kept = Arrays.stream(shares)
-            .map(u -> Double.isFinite(u) ? Math.max(MIN_SHARE, Math.min(1, u)) : MIN_SHARE).toArray();
+                .map(u -> Double.isFinite(u) ? Math.max(MIN_SHARE, Math.min(1, u)) : MIN_SHARE)
+                .toArray();
         double sum = Arrays.stream(kept).sum();
         return Arrays.stream(kept).map(u -> u / sum).toArray();
     }
@@ -892,16 +1049,24 @@
                 level = before.level;
                 limit = before.limit;
             }
-            double sum = Math.max(1e-9, Arrays.stream(lanes).mapToDouble(lane -> lane.spec.worth()).sum());
-            setShares(Arrays.stream(lanes).mapToDouble(lane -> lane.spec.worth() / sum).toArray());
+            double sum = Math.max(
+                    1e-9,
+                    Arrays.stream(lanes).mapToDouble(lane -> lane.spec.worth()).sum());
+            setShares(Arrays.stream(lanes)
+                    .mapToDouble(lane -> lane.spec.worth() / sum)
+                    .toArray());
         }
 
         private void setShares(double[] shares) {
             double[] kept = rescale(shares);
-            for (int i = 0; i < n; i++) { lanes[i].share = kept[i]; }
+            for (int i = 0; i < n; i++) {
+                lanes[i].share = kept[i];
+            }
         }
 
-        private double[] shares() { return Arrays.stream(lanes).mapToDouble(lane -> lane.share).toArray(); }
+        private double[] shares() {
+            return Arrays.stream(lanes).mapToDouble(lane -> lane.share).toArray();
+        }
 
         void boundLevel() {
             double before = limit;
@@ -923,9 +1088,13 @@
                 seen[i] = live ? y[i] : Double.NaN;
                 seen[n + i] = live ? y[n + i] : Double.NaN;
             }
-            if (lastY != null && total > 0) { shareModel.update(regressor(lastY, shares()), seen); }
+            if (lastY != null && total > 0) {
+                shareModel.update(regressor(lastY, shares()), seen);
+            }
             lastY = y;
-            if (shareModel.updates() >= 3 * n) { steerShares(y, seen); }
+            if (shareModel.updates() >= 3 * n) {
+                steerShares(y, seen);
+            }
             steerLevel();
             for (Lane lane : lanes) {
                 lane.arrivals = lane.good = 0;
@@ -957,12 +1126,14 @@
             double[] s = new double[n], current = new double[n];
             Arrays.fill(current, Double.NEGATIVE_INFINITY);
             double step = Math.max(MIN_SHARE, 1 / Math.max(1, scale));
-            for (double given = 0; given < 1 - 1e-9;) {
+            for (double given = 0; given < 1 - 1e-9; ) {
                 int best = 0;
                 double bestGain = Double.NEGATIVE_INFINITY, bestGrant = step;
                 for (int i = 0; i < n; i++) {
                     double grant = step;
-                    while (utility(r, b0, s, i, grant) <= current[i] && given + grant <= 1) { grant += step; }
+                    while (utility(r, b0, s, i, grant) <= current[i] && given + grant <= 1) {
+                        grant += step;
+                    }
                     grant = given + grant > 1 ? step : grant;
                     double gain = (utility(r, b0, s, i, grant) - Math.max(0, current[i])) / grant;
                     if (gain > bestGain) {
@@ -983,26 +1154,38 @@
             SimpleMatrix b0 = shareModel.parameters().cols(2 * n, 3 * n).copy();
             SimpleMatrix r = shareModel.predict(regressor(y, new double[n]));
             SimpleMatrix w = new SimpleMatrix(2 * n, 2 * n);
-            double most = Arrays.stream(lanes).mapToDouble(l -> l.spec.worth() * l.price).max().orElse(1);
+            double most = Arrays.stream(lanes)
+                    .mapToDouble(l -> l.spec.worth() * l.price)
+                    .max()
+                    .orElse(1);
             for (int i = 0; i < 2 * n; i++) {
                 if (b0.get(i, i % n) <= 0) {
                     // Noise, or never varied: until the fit has the known sign, in proportion to the share.
-                    for (int j = 0; j < n; j++) { b0.set(i, j, j == i % n ? y[i] / u[j] : 0); }
+                    for (int j = 0; j < n; j++) {
+                        b0.set(i, j, j == i % n ? y[i] / u[j] : 0);
+                    }
                     r.set(i, 0, 0);
                 }
                 Lane lane = lanes[i % n];
                 double weight = Math.sqrt(lane.spec.worth() * lane.price / Math.max(1e-9, most));
                 w.set(i, i, Double.isNaN(seen[i]) ? 0 : weight);
             }
-            setShares(controlLaw(b0, w, Q_SHARE, optimize(r, b0), r, column(u)).getDDRM().getData());
+            setShares(controlLaw(b0, w, Q_SHARE, optimize(r, b0), r, column(u))
+                    .getDDRM()
+                    .getData());
         }
 
         /** Sets concurrency so that slow answers of the tightest class come within its aim less its wait. */
         private void steerLevel() {
-            Lane tight = Arrays.stream(lanes).filter(lane -> !lane.services.isEmpty())
-                .min(Comparator.comparingLong(lane -> lane.spec.aim())).orElse(null);
-            if (tight == null) { return; }
-            double[] sorted = tight.services.stream().mapToDouble(x -> x).sorted().toArray();
+            Lane tight = Arrays.stream(lanes)
+                    .filter(lane -> !lane.services.isEmpty())
+                    .min(Comparator.comparingLong(lane -> lane.spec.aim()))
+                    .orElse(null);
+            if (tight == null) {
+                return;
+            }
+            double[] sorted =
+                    tight.services.stream().mapToDouble(x -> x).sorted().toArray();
             double aim = tight.spec.aim() * NANO;
             double inverse = aim / sorted[(int) (0.9 * (sorted.length - 1))];
             double u = level / limit;
@@ -1048,17 +1231,23 @@
             goneAt = goneAt > 0 ? goneAt : now;
         }
 
-        boolean blank() { return goneAt > 0 && now - goneAt >= REMEMBER && outstanding.isEmpty(); }
+        boolean blank() {
+            return goneAt > 0 && now - goneAt >= REMEMBER && outstanding.isEmpty();
+        }
 
         /** What nothing was sent to for a while may be well again: who says so no more has to look. */
         boolean heldOut() {
             return shunned && fails && now - zoneFailed.getOrDefault(entry.zone(), now - HELD) < HELD;
         }
 
-        boolean cold() { return entry.startedAt() > 0 && now - entry.startedAt() < cfg.rules().coldSpan(); }
+        boolean cold() {
+            return entry.startedAt() > 0
+                    && now - entry.startedAt() < cfg.rules().coldSpan();
+        }
 
         double warmth() {
-            double age = Math.max(0, now - entry.startedAt()) / (double) Math.max(1, cfg.rules().coldSpan());
+            double age = Math.max(0, now - entry.startedAt())
+                    / (double) Math.max(1, cfg.rules().coldSpan());
             return cfg.rules().coldFrom() + (1 - cfg.rules().coldFrom()) * Math.min(1, age);
         }
 
@@ -1067,7 +1256,9 @@
             return usual + (own - usual) * Math.exp(-(now - heard) * NANO / FORGIVE_S);
         }
 
-        double risk() { return lately(errors, zoneErrors.getOrDefault(entry.zone(), 0.0)); }
+        double risk() {
+            return lately(errors, zoneErrors.getOrDefault(entry.zone(), 0.0));
+        }
 
         boolean groupedWith(Job job) {
             Server b = job.anchor.entry;
@@ -1091,7 +1282,9 @@
         void ended(Job job, Result result) {
             outstanding.remove(job);
             Outcome o = result.outcome();
-            if (o == Outcome.CANCELLED || o == Outcome.NOT_SENT) { return; }
+            if (o == Outcome.CANCELLED || o == Outcome.NOT_SENT) {
+                return;
+            }
             boolean good = o == Outcome.OK;
             // A fast failure must not look fast.
             double ratio = Math.min(20, result.took() * NANO / job.cost());
@@ -1106,7 +1299,9 @@
             heard = now;
             fails = !good && o != Outcome.FULL;
             zoneFailed.compute(entry.zone(), (z, at) -> fails ? (Long) now : good ? null : at);
-            if (good) { lastHeard[heardCount++ % RECENT] = this; }
+            if (good) {
+                lastHeard[heardCount++ % RECENT] = this;
+            }
             latency += ALPHA * (ratio - latency);
             errors += (o == Outcome.CONNECT_FAILED ? 1 : good ? ALPHA_ERR : 2 * ALPHA_ERR) * (bad - errors);
             if (shunned != errors > 0.5) {
@@ -1118,10 +1313,14 @@
 
     /** All that drop a bound request's repeats, else some by chance: ranked alike, few would get all. */
     private List<Backend> candidates(Job job, boolean bound, Backend[] drawing) {
-        if (bound) { return listed.stream().filter(b -> b.groupedWith(job)).toList(); }
+        if (bound) {
+            return listed.stream().filter(b -> b.groupedWith(job)).toList();
+        }
         int most = Math.max(2, LOOK * listed.size() / cfg.siblings());
         int all = drawing.length;
-        if (most >= all) { return drawing == this.drawing ? listed : Arrays.asList(drawing); }
+        if (most >= all) {
+            return drawing == this.drawing ? listed : Arrays.asList(drawing);
+        }
         List<Backend> some = new ArrayList<>(most + RECENT);
         for (int i = 0; i < most; i++) {
             // The first of an order that is shuffled only so far as it is needed.
@@ -1133,7 +1332,9 @@
         }
         for (Backend b : lastHeard) {
             boolean there = drawing == this.drawing || b != null && b.entry.zone() == drawing[0].entry.zone();
-            if (b != null && b.ready && there) { some.add(b); }
+            if (b != null && b.ready && there) {
+                some.add(b);
+            }
         }
         return some;
     }
@@ -1142,10 +1343,12 @@
     private Backend choose(Job job, Backend failed) {
         RequestClass spec = job.spec;
         boolean bound = job.mayHaveRunSince > 0 && spec.repeat() == Repeat.KEYED && spec.group() != Group.ALL;
-        if (bound || job.lane.parts == null) { return soonest(job, candidates(job, bound, drawing)); }
+        if (bound || job.lane.parts == null) {
+            return soonest(job, candidates(job, bound, drawing));
+        }
         int[] left = job.lane.parts.clone();
         Backend best = failed == null && job.lane.spare != null ? wayOut(job) : null;
-        for (int zone; best == null && (zone = draw(left, failed == null ? -1 : failed.entry.zone())) >= 0;) {
+        for (int zone; best == null && (zone = draw(left, failed == null ? -1 : failed.entry.zone())) >= 0; ) {
             best = soonest(job, candidates(job, false, there(zone)));
             left[zone] = 0;
         }
@@ -1153,11 +1356,13 @@
     }
 
     private Backend[] there(int zone) {
-        return zoned.computeIfAbsent(zone,
-            z -> listed.stream().filter(b -> b.entry.zone() == z).toArray(Backend[]::new));
+        return zoned.computeIfAbsent(
+                zone, z -> listed.stream().filter(b -> b.entry.zone() == z).toArray(Backend[]::new));
     }
 
-    private boolean heldOut(int zone) { return Arrays.stream(there(zone)).allMatch(Backend::heldOut); }
+    private boolean heldOut(int zone) {
+        return Arrays.stream(there(zone)).allMatch(Backend::heldOut);
+    }
 
     /** Where the plan says that it is borne: a fifth of that at first, twice as much each second. */
     private Backend wayOut(Job job) {
@@ -1165,16 +1370,24 @@
         double grown = Math.min(1, 0.2 * Math.pow(2, (now - outSince) * NANO));
         double at = random.nextDouble() / grown;
         int z = -1;
-        while (at >= 0 && ++z < job.lane.spare.length) { at -= job.lane.spare[z] / 1e3; }
+        while (at >= 0 && ++z < job.lane.spare.length) {
+            at -= job.lane.spare[z] / 1e3;
+        }
         return outSince == 0 || at >= 0 || heldOut(z) ? null : soonest(job, candidates(job, false, there(z)));
     }
 
     /** A zone by its part of what is left, the one to avoid after all others; -1 if nothing is. */
     private int draw(int[] left, int avoid) {
         int others = 0, zone = -1;
-        for (int i = 0; i < left.length; i++) { others += i == avoid ? 0 : left[i]; }
-        if (others == 0) { return avoid >= 0 && avoid < left.length && left[avoid] > 0 ? avoid : -1; }
-        for (int at = random.nextInt(others); at >= 0;) { at -= ++zone == avoid ? 0 : left[zone]; }
+        for (int i = 0; i < left.length; i++) {
+            others += i == avoid ? 0 : left[i];
+        }
+        if (others == 0) {
+            return avoid >= 0 && avoid < left.length && left[avoid] > 0 ? avoid : -1;
+        }
+        for (int at = random.nextInt(others); at >= 0; ) {
+            at -= ++zone == avoid ? 0 : left[zone];
+        }
         return zone;
     }
 
@@ -1196,8 +1409,12 @@
     /** By chance: a cold server's part of a warm one's work, from however many gateways, and no burst. */
     private boolean coldRoom(Backend b, Job job) {
         int warm = 0;
-        for (Backend other : listed) { warm += other.cold() ? 0 : 1; }
-        if (2 * warm >= listed.size()) { warmWork = sentWork / warm; }
+        for (Backend other : listed) {
+            warm += other.cold() ? 0 : 1;
+        }
+        if (2 * warm >= listed.size()) {
+            warmWork = sentWork / warm;
+        }
         // Few warm ones tell little of all: what one took when most were, half a request at a time at least.
         double known = Math.max(warmWork, 0.5 / cfg.siblings());
         double most = warmWork > 0 ? Math.max(1, cfg.rules().fallMultiple()) * known : Double.MAX_VALUE;
@@ -1210,7 +1427,9 @@
     private void send(Job job, Backend backend) {
         sentWork = sentWork * Math.exp(-(now - sentWorkAt) * NANO / 4) + job.cost() / 4;
         sentWorkAt = now;
-        if (job.attempts == 0) { retryTokens = Math.min(RETRY_MOST, retryTokens + RETRY_RATIO); }
+        if (job.attempts == 0) {
+            retryTokens = Math.min(RETRY_MOST, retryTokens + RETRY_RATIO);
+        }
         job.customer.open += job.open ? 0 : 1;
         job.open = true;
         job.attempts++;
@@ -1218,7 +1437,9 @@
         job.sentAt = now;
         backend.outstanding.add(job);
         inFlight++;
-        if (inFlight >= control.level) { control.bound = true; }
+        if (inFlight >= control.level) {
+            control.bound = true;
+        }
         long startWithin = startWithin(job);
         if (startWithin == Long.MAX_VALUE) {
             out.send(job.request.id(), backend.id, patience(job));
@@ -1242,8 +1463,9 @@
     /** After an attempt that did not end the request: another one, or the final answer. */
     private void again(Job job, Backend failed, boolean neverRan) {
         RequestClass spec = job.spec;
-        boolean mayRepeat = job.mayHaveRunSince == 0 || spec.repeat() == Repeat.SAFE
-            || spec.repeat() == Repeat.KEYED && startWithin(job) > 0;
+        boolean mayRepeat = job.mayHaveRunSince == 0
+                || spec.repeat() == Repeat.SAFE
+                || spec.repeat() == Repeat.KEYED && startWithin(job) > 0;
         boolean inTime = now + (long) (job.lane.service * SECOND / 2) < job.aimAt();
         double price = neverRan ? 0 : 1;
         boolean may = mayRepeat && inTime && retryTokens >= price;
@@ -1262,8 +1484,9 @@
     /** The one final answer of a request that is not served: refused if that is true, else failed. */
     private void giveUp(Job job) {
         RequestClass spec = job.spec;
-        if (job.mayHaveRunSince == 0 || spec.repeat() == Repeat.SAFE
-            || spec.repeat() == Repeat.KEYED && spec.group() == Group.ALL) {
+        if (job.mayHaveRunSince == 0
+                || spec.repeat() == Repeat.SAFE
+                || spec.repeat() == Repeat.KEYED && spec.group() == Group.ALL) {
             // By Little's law, when what is queued now will have been sent.
             Lane lane = job.lane;
             out.refuse(job.request.id(), advice(lane.service * (1 + lane.queue.size() / control.level)));
@@ -1283,11 +1506,15 @@
 
     /** The end of a request here; what it took is given back if it was never sent. */
     private void forget(Job job) {
-        if (jobs.remove(job.request.id()) == null) { return; }
+        if (jobs.remove(job.request.id()) == null) {
+            return;
+        }
         job.customer.jobs--;
         if (job.attempts == 0 && job.taken) {
             job.customer.ceiling += job.request.units();
-            if (job.inQuota) { job.customer.take(-job.request.units()); }
+            if (job.inQuota) {
+                job.customer.take(-job.request.units());
+            }
         }
         job.customer.open -= job.open ? 1 : 0;
     }
--- a/src/main/java/rushpin/gateway/Ports.java
+++ b/src/main/java/rushpin/gateway/Ports.java
@@ -11,8 +11,7 @@
  * from within an event. Instances share nothing.
  */
 public final class Ports {
-    private Ports() {
-    }
+    private Ports() {}
 
     /** How often a request of a class may take effect. */
     public enum Repeat {
@@ -66,7 +65,11 @@
     }
 
     /** What the list says of a server. */
-    public enum Readiness { GONE, READY, DRAINING }
+    public enum Readiness {
+        GONE,
+        READY,
+        DRAINING
+    }
 
     /** What a list message holds. */
     public enum ListKind {
@@ -91,9 +94,8 @@
      * @param lateValue the part of the worth that an answer after the aim earns
      * @param worth the worth of one request
      */
-    public record RequestClass(long aim, long deadline, Repeat repeat, Group group, long keyWindow,
-                               double lateValue, double worth) {
-    }
+    public record RequestClass(
+            long aim, long deadline, Repeat repeat, Group group, long keyWindow, double lateValue, double worth) {}
 
     /**
      * A plan; its figures hold for each customer over all gateways.
@@ -108,9 +110,16 @@
      * @param ceilingBurst units the ceiling's store holds
      * @param ceilingSlack how far below nothing that store may fall
      */
-    public record Plan(double rate, double burst, int atOnce, double price, double beyondEarns,
-                       double beyondCosts, double ceilingRate, double ceilingBurst, double ceilingSlack) {
-    }
+    public record Plan(
+            double rate,
+            double burst,
+            int atOnce,
+            double price,
+            double beyondEarns,
+            double beyondCosts,
+            double ceilingRate,
+            double ceilingBurst,
+            double ceilingSlack) {}
 
     /**
      * What the site allows.
@@ -122,9 +131,8 @@
      * @param maxRetryAfter the longest that a client heeds
      * @param askForList whether changes of the list must be subscribed to
      */
-    public record Limits(int maxAttempts, int maxOpen, boolean probes, boolean retryAfter, long maxRetryAfter,
-                         boolean askForList) {
-    }
+    public record Limits(
+            int maxAttempts, int maxOpen, boolean probes, boolean retryAfter, long maxRetryAfter, boolean askForList) {}
 
     /**
      * The shared quota counter.
@@ -140,7 +148,6 @@
         public Counter(boolean present, long timeout, boolean settles, double largest) {
             this(present, timeout, settles, largest, false);
         }
-
     }
 
     /**
@@ -153,8 +160,8 @@
      * @param fallSpan for this long, it falls over
      * @param drainGrace how long after a drain was told a server may still be sent requests
      */
-    public record Rules(long answerSlack, double coldFrom, long coldSpan, double fallMultiple, long fallSpan,
-                        long drainGrace) {
+    public record Rules(
+            long answerSlack, double coldFrom, long coldSpan, double fallMultiple, long fallSpan, long drainGrace) {
         /** Where no grace is said: one second, in nanoseconds. */
         public static final long USUAL_DRAIN_GRACE = 1_000_000_000L;
 
@@ -174,15 +181,21 @@
      * @param sizesTell whether the sizes in the list mean anything
      * @param reports the names of the load report's values
      */
-    public record Settings(int me, int siblings, int zone, long tick, boolean sizesTell, List<String> reports,
-                           List<RequestClass> classes, List<Plan> plans, Limits limits, Counter counter,
-                           Rules rules) {
-    }
+    public record Settings(
+            int me,
+            int siblings,
+            int zone,
+            long tick,
+            boolean sizesTell,
+            List<String> reports,
+            List<RequestClass> classes,
+            List<Plan> plans,
+            Limits limits,
+            Counter counter,
+            Rules rules) {}
 
     /** An entry of the server list; {@code startedAt} is 0 for a server that started long ago. */
-    public record Server(String id, double size, int zone, int cell, int kind, Readiness readiness,
-                         long startedAt) {
-    }
+    public record Server(String id, double size, int zone, int cell, int kind, Readiness readiness, long startedAt) {}
 
     /**
      * A request as it comes in.
@@ -193,9 +206,16 @@
      * @param setFirst the first of them
      * @param repeat whether the client marked it as a repeat
      */
-    public record Request(String id, int requestClass, int plan, long customer, long deadline, double units,
-                          int setSize, int setFirst, boolean repeat) {
-    }
+    public record Request(
+            String id,
+            int requestClass,
+            int plan,
+            long customer,
+            long deadline,
+            double units,
+            int setSize,
+            int setFirst,
+            boolean repeat) {}
 
     /**
      * The end of an attempt.
@@ -205,9 +225,15 @@
      * @param trueUnits the units that take the place of the guess; 0 if not told
      * @param report the server's load report; empty if none
      */
-    public record Result(String id, Outcome outcome, long took, String server, boolean complete, int attempt,
-                         double trueUnits, List<Double> report) {
-    }
+    public record Result(
+            String id,
+            Outcome outcome,
+            long took,
+            String server,
+            boolean complete,
+            int attempt,
+            double trueUnits,
+            List<Double> report) {}
 
     /** What the host calls, in the order in which things happen. */
     public interface Events {
@@ -319,12 +345,10 @@
          * A customer's use has changed by so many units that the counter is yet to be told of; below 0 they were given
          * back. A host that keeps this over a hard kill brings it back by {@link Events#restore}.
          */
-        default void took(long customer, int plan, int setSize, double units) {
-        }
+        default void took(long customer, int plan, int setSize, double units) {}
 
         /** So many units of what a customer's ceiling held are another process's now; told from within a give. */
-        default void gave(long customer, int plan, int setSize, double units) {
-        }
+        default void gave(long customer, int plan, int setSize, double units) {}
 
         /** Asks for {@link Events#timer} after a span. */
         void timer(long token, long span);
--- a/src/main/java/rushpin/gateway/RecursiveLeastSquares.java
+++ b/src/main/java/rushpin/gateway/RecursiveLeastSquares.java
@@ -32,7 +32,9 @@
         }
         covariance = covariance.minus(gain.mult(pPhi.transpose())).divide(FORGET);
         double bound = TRACE * theta.getNumCols();
-        if (covariance.trace() > bound) { covariance = covariance.scale(bound / covariance.trace()); }
+        if (covariance.trace() > bound) {
+            covariance = covariance.scale(bound / covariance.trace());
+        }
         updates++;
     }
 
--- a/src/main/java/rushpin/gateway/SettingsReader.java
+++ b/src/main/java/rushpin/gateway/SettingsReader.java
@@ -46,39 +46,68 @@
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < whole("classes.count"); i++) {
             String at = "classes." + i + ".";
-            classes.add(new RequestClass(whole(at + "aim-ns"), whole(at + "deadline-ns"),
-                switch (text(at + "idempotency")) {
-                    case "retryable" -> Repeat.SAFE;
-                    case "dedup" -> Repeat.KEYED;
-                    default -> Repeat.UNSAFE;
-                },
-                switch (text(at + "group")) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    default -> Group.CELL;
-                },
-                whole(at + "key-ttl-ns"), number(at + "late-value"), number(at + "worth")));
+            classes.add(new RequestClass(
+                    whole(at + "aim-ns"),
+                    whole(at + "deadline-ns"),
+                    switch (text(at + "idempotency")) {
+                        case "retryable" -> Repeat.SAFE;
+                        case "dedup" -> Repeat.KEYED;
+                        default -> Repeat.UNSAFE;
+                    },
+                    switch (text(at + "group")) {
+                        case "all" -> Group.ALL;
+                        case "zone" -> Group.ZONE;
+                        default -> Group.CELL;
+                    },
+                    whole(at + "key-ttl-ns"),
+                    number(at + "late-value"),
+                    number(at + "worth")));
         }
         List<Plan> plans = new ArrayList<>();
         for (int i = 0; i < whole("tariffs.count"); i++) {
             String at = "tariffs." + i + ".";
-            plans.add(new Plan(number(at + "units-per-s"), number(at + "peak-units"), (int) whole(at + "at-once"),
-                number(at + "price"), number(at + "beyond-earns"), number(at + "beyond-costs"),
-                number(at + "hard-rate"), number(at + "hard-burst"), number(at + "hard-slack")));
+            plans.add(new Plan(
+                    number(at + "units-per-s"),
+                    number(at + "peak-units"),
+                    (int) whole(at + "at-once"),
+                    number(at + "price"),
+                    number(at + "beyond-earns"),
+                    number(at + "beyond-costs"),
+                    number(at + "hard-rate"),
+                    number(at + "hard-burst"),
+                    number(at + "hard-slack")));
         }
         String names = text("load-info.names");
-        return new Settings((int) whole("my-number"), (int) Math.max(1, whole("siblings")), (int) whole("my-zone"),
-            whole("tick-ns"), !text("weights").equals("off"),
-            text("load-info.source").equals("off") || names.isEmpty() || names.equals("-")
-                ? List.of() : List.of(names.split(",")),
-            List.copyOf(classes), List.copyOf(plans),
-            new Limits((int) whole("caps.max-attempts"), (int) whole("caps.max-open"), flag("caps.probes"),
-                flag("caps.retry-after"), whole("caps.max-retry-after-ns"),
-                text("discovery").equals("subscribe")),
-            new Counter(flag("domain.has-counter"), whole("domain.count-wait-ns"), flag("domain.trued-up"),
-                number("domain.units-top")),
-            new Rules(whole("rules.answer-slack-ns"), number("rules.cold-from"), whole("rules.ramp-time-ns"),
-                number("rules.overload-factor"), whole("rules.tip-after-ns"), drainGrace()));
+        return new Settings(
+                (int) whole("my-number"),
+                (int) Math.max(1, whole("siblings")),
+                (int) whole("my-zone"),
+                whole("tick-ns"),
+                !text("weights").equals("off"),
+                text("load-info.source").equals("off") || names.isEmpty() || names.equals("-")
+                        ? List.of()
+                        : List.of(names.split(",")),
+                List.copyOf(classes),
+                List.copyOf(plans),
+                new Limits(
+                        (int) whole("caps.max-attempts"),
+                        (int) whole("caps.max-open"),
+                        flag("caps.probes"),
+                        flag("caps.retry-after"),
+                        whole("caps.max-retry-after-ns"),
+                        text("discovery").equals("subscribe")),
+                new Counter(
+                        flag("domain.has-counter"),
+                        whole("domain.count-wait-ns"),
+                        flag("domain.trued-up"),
+                        number("domain.units-top")),
+                new Rules(
+                        whole("rules.answer-slack-ns"),
+                        number("rules.cold-from"),
+                        whole("rules.ramp-time-ns"),
+                        number("rules.overload-factor"),
+                        whole("rules.tip-after-ns"),
+                        drainGrace()));
     }
 
     private long drainGrace() {
--- a/src/main/java/rushpin/judge/Accords.java
+++ b/src/main/java/rushpin/judge/Accords.java
@@ -64,8 +64,7 @@
     }
 
     /** What was agreed: the lease and the longest effect, nanoseconds. */
-    public record Bounds(long lease, long effect) {
-    }
+    public record Bounds(long lease, long effect) {}
 
     /** One process from its start to its end; a restart makes another one of the same name. */
     public final class Run {
@@ -128,12 +127,10 @@
     }
 
     /** What a process said. */
-    public record Said(Run by, AccordEvent event) {
-    }
+    public record Said(Run by, AccordEvent event) {}
 
     /** A process that holds a resource under a fence; {@code until} the first of all that ends it. */
-    private record Span(Run by, long fence, long from, long until, long lease, boolean gaveBack) {
-    }
+    private record Span(Run by, long fence, long from, long until, long lease, boolean gaveBack) {}
 
     private final Map<String, Integer> starts = new HashMap<>();
     private final Collection<Said> events = new ConcurrentLinkedQueue<>();
@@ -185,13 +182,21 @@
         for (Said said : events) {
             if (said.event instanceof Holds holds) {
                 if (holds.until() - holds.at() > bounds.lease) {
-                    breach(Rule.LEASES_KEPT, said.by + " holds " + holds.resource() + " for "
-                        + (holds.until() - holds.at()) / MS + " ms from when it says so");
+                    breach(
+                            Rule.LEASES_KEPT,
+                            said.by + " holds " + holds.resource() + " for " + (holds.until() - holds.at()) / MS
+                                    + " ms from when it says so");
                 }
                 long yields = ends(said.by, holds, false);
                 long until = Math.min(Math.min(holds.until(), said.by.endedAt), ends(said.by, holds, true));
-                spans.computeIfAbsent(holds.resource(), any -> new ArrayList<>()).add(new Span(said.by, holds.fence(),
-                    holds.at(), Math.max(until, holds.at()), holds.until(), yields < holds.until()));
+                spans.computeIfAbsent(holds.resource(), any -> new ArrayList<>())
+                        .add(new Span(
+                                said.by,
+                                holds.fence(),
+                                holds.at(),
+                                Math.max(until, holds.at()),
+                                holds.until(),
+                                yields < holds.until()));
             }
         }
         spans.values().forEach(list -> list.sort(Comparator.comparingLong(Span::from)));
@@ -200,10 +205,16 @@
 
     /** When a holder said next that it holds that no more, or, if asked for, that its session is over. */
     private long ends(Run by, Held holds, boolean orLost) {
-        return events.stream().filter(said -> said.by == by && said.event.at() >= holds.at()
-            && (said.event instanceof Yields yields && yields.resource().equals(holds.resource())
-            && yields.fence() == holds.fence() || orLost && said.event instanceof Lost))
-            .mapToLong(said -> said.event.at()).min().orElse(Long.MAX_VALUE);
+        return events.stream()
+                .filter(said -> said.by == by
+                        && said.event.at() >= holds.at()
+                        && (said.event instanceof Yields yields
+                                        && yields.resource().equals(holds.resource())
+                                        && yields.fence() == holds.fence()
+                                || orLost && said.event instanceof Lost))
+                .mapToLong(said -> said.event.at())
+                .min()
+                .orElse(Long.MAX_VALUE);
     }
 
     private void holders(String resource, List<Span> held, Bounds bounds) {
@@ -215,9 +226,12 @@
                 if (other.by != one.by) {
                     before = other;
                     if (other.until > one.from) {
-                        breach(Rule.ONE_HOLDER, one.by + " holds " + resource + " under " + one.fence + " while " + other.by
-                            + " does under " + other.fence + ", for " + (Math.min(one.until, other.until) - one.from) / MS
-                            + " ms");
+                        breach(
+                                Rule.ONE_HOLDER,
+                                one.by + " holds " + resource + " under " + one.fence + " while " + other.by
+                                        + " does under " + other.fence + ", for "
+                                        + (Math.min(one.until, other.until) - one.from) / MS
+                                        + " ms");
                     }
                 }
             }
@@ -230,15 +244,19 @@
 
     /** The span in which a holder's lease under a fence ends last. */
     private static Span last(List<Span> held, Span of) {
-        return held.stream().filter(each -> each.by == of.by && each.fence == of.fence)
-            .max(Comparator.comparingLong(Span::lease)).orElse(of);
+        return held.stream()
+                .filter(each -> each.by == of.by && each.fence == of.fence)
+                .max(Comparator.comparingLong(Span::lease))
+                .orElse(of);
     }
 
     private void takesOver(String resource, Span before, Span next, Bounds bounds) {
         long waited = next.from - before.lease;
         if (!before.gaveBack && waited < bounds.effect) {
-            breach(Rule.WAITED_FOR, next.by + " holds " + resource + " under " + next.fence + " " + waited / MS
-                + " ms after the lease of " + before.by + ", which did not give it back");
+            breach(
+                    Rule.WAITED_FOR,
+                    next.by + " holds " + resource + " under " + next.fence + " " + waited / MS
+                            + " ms after the lease of " + before.by + ", which did not give it back");
         }
     }
 
@@ -252,11 +270,16 @@
                 held.clear();
             } else if (said.event instanceof Holds holds) {
                 Holds before = held.put(holds.resource(), holds);
-                if (before != null && said.by.stops().stream().anyMatch(stop -> stop[1] - stop[0] > bounds.lease
-                    && before.at() <= stop[0] && stop[0] <= holds.at())) {
-                    breach(Rule.YIELDS_FIRST, said.by + " was stopped for longer than its lease, and holds "
-                        + holds.resource() + " under " + holds.fence() + " without having yielded it under "
-                        + before.fence());
+                if (before != null
+                        && said.by.stops().stream()
+                                .anyMatch(stop -> stop[1] - stop[0] > bounds.lease
+                                        && before.at() <= stop[0]
+                                        && stop[0] <= holds.at())) {
+                    breach(
+                            Rule.YIELDS_FIRST,
+                            said.by + " was stopped for longer than its lease, and holds "
+                                    + holds.resource() + " under " + holds.fence() + " without having yielded it under "
+                                    + before.fence());
                 }
             }
         }
@@ -267,9 +290,12 @@
         spans.forEach((resource, held) -> {
             Span before = null;
             for (Span span : held) {
-                if (before != null && (span.fence < before.fence || span.fence == before.fence && span.by != before.by)) {
-                    breach(Rule.FENCES_GROW, span.by + " holds " + resource + " under " + span.fence + " after " + before.by
-                        + " did under " + before.fence);
+                if (before != null
+                        && (span.fence < before.fence || span.fence == before.fence && span.by != before.by)) {
+                    breach(
+                            Rule.FENCES_GROW,
+                            span.by + " holds " + resource + " under " + span.fence + " after " + before.by
+                                    + " did under " + before.fence);
                 }
                 once(given, span.fence, resource + " by " + span.by);
                 before = span;
@@ -296,21 +322,26 @@
             if (said.event instanceof Planned plan) {
                 Long before = applied.put(said.by + "/" + plan.pool(), plan.number());
                 if (before != null && before > plan.number()) {
-                    breach(Rule.PLANS_GO_FORWARD, said.by + ": pool " + plan.pool() + " went from plan " + before + " to "
-                        + plan.number());
+                    breach(
+                            Rule.PLANS_GO_FORWARD,
+                            said.by + ": pool " + plan.pool() + " went from plan " + before + " to " + plan.number());
                 }
                 Planned same = byNumber.putIfAbsent(plan.number(), plan);
                 if (same != null && same.fence() != plan.fence()) {
-                    breach(Rule.PLAN_IS_ONE, "plan " + plan.number() + " is of fence " + same.fence() + " and, at " + said.by
-                        + ", of " + plan.fence());
+                    breach(
+                            Rule.PLAN_IS_ONE,
+                            "plan " + plan.number() + " is of fence " + same.fence() + " and, at " + said.by + ", of "
+                                    + plan.fence());
                 }
             }
         }
         Planned before = null;
         for (Planned plan : byNumber.values()) {
             if (before != null && plan.fence() < before.fence()) {
-                breach(Rule.PLAN_IS_ONE, "plan " + plan.number() + " was made under fence " + plan.fence() + ", plan "
-                    + before.number() + " before it under " + before.fence());
+                breach(
+                        Rule.PLAN_IS_ONE,
+                        "plan " + plan.number() + " was made under fence " + plan.fence() + ", plan " + before.number()
+                                + " before it under " + before.fence());
             }
             before = plan;
         }
@@ -333,8 +364,9 @@
         for (Run run : there) {
             Map<String, Long> pools = applied.getOrDefault(run, Map.of());
             long last = newest;
-            if (newest > 0 && connected.contains(run)
-                && (pools.isEmpty() || pools.values().stream().anyMatch(number -> number != last))) {
+            if (newest > 0
+                    && connected.contains(run)
+                    && (pools.isEmpty() || pools.values().stream().anyMatch(number -> number != last))) {
                 breach(Rule.SAME_LAST_PLAN, run + " goes by " + pools + " at the end, the newest plan is " + newest);
             }
         }
--- a/src/main/java/rushpin/judge/Breach.java
+++ b/src/main/java/rushpin/judge/Breach.java
@@ -16,13 +16,19 @@
 
     /** By their rules, in the order in which these stand. */
     static <R extends Enum<R> & Rule> List<Breach<R>> sorted(Collection<Breach<R>> found) {
-        return found.stream().sorted(Comparator.comparing((Breach<R> each) -> each.rule)).toList();
+        return found.stream()
+                .sorted(Comparator.comparing((Breach<R> each) -> each.rule))
+                .toList();
     }
 
     /** The first breaches of a rule in one line; empty if there is none. */
     public static <R extends Enum<R> & Rule> String line(R rule, List<Breach<R>> found) {
-        List<String> all = found.stream().filter(each -> each.rule == rule).map(Breach::what).toList();
-        return all.isEmpty() ? "" : all.size() + " times, such as "
-            + String.join("; ", all.subList(0, Math.min(all.size(), MOST_SHOWN)));
+        List<String> all = found.stream()
+                .filter(each -> each.rule == rule)
+                .map(Breach::what)
+                .toList();
+        return all.isEmpty()
+                ? ""
+                : all.size() + " times, such as " + String.join("; ", all.subList(0, Math.min(all.size(), MOST_SHOWN)));
     }
 }
--- a/src/main/java/rushpin/judge/Connections.java
+++ b/src/main/java/rushpin/judge/Connections.java
@@ -11,28 +11,22 @@
  */
 public final class Connections {
     /** A connection from its accept to its end at the servers' side. */
-    public record Open(String server, long from, long until) {
-    }
+    public record Open(String server, long from, long until) {}
 
     /** A connection was ended by its other side under a request, whose sender would have waited until {@code due}. */
-    public record Under(String server, String request, long at, long due) {
-    }
+    public record Under(String server, String request, long at, long due) {}
 
     /** The number from a moment on: when the operator has lowered it, from when the fleet must have closed down. */
-    public record Number(long from, int most) {
-    }
+    public record Number(long from, int most) {}
 
     /** A tenant's requests would have taken more than its floor of connections all the time. */
-    public record Asked(String tenant, int floor, long from, long until) {
-    }
+    public record Asked(String tenant, int floor, long from, long until) {}
 
     /** A connection carried a request of a tenant. */
-    public record Carried(String tenant, long from, long until) {
-    }
+    public record Carried(String tenant, long from, long until) {}
 
     /** A span in which connections may end under requests: a process died, or a link was cut. */
-    public record Trouble(long from, long until) {
-    }
+    public record Trouble(long from, long until) {}
 
     /**
      * What holds.
@@ -42,8 +36,7 @@
      * @param use what part of its floor it uses then at least, by connections that carry: between two requests is time too
      * @param slack by how much the two sides' clocks and timers may differ on when a request's time is over
      */
-    public record Bounds(long floorAfter, long window, double use, long slack) {
-    }
+    public record Bounds(long floorAfter, long window, double use, long slack) {}
 
     /** A rule. */
     public enum Rule implements Breach.Rule {
@@ -66,8 +59,7 @@
         }
     }
 
-    private Connections() {
-    }
+    private Connections() {}
 
     /** The most that were open at once from a moment on, until another. */
     public static int most(List<Open> opens, long from, long until) {
@@ -111,27 +103,39 @@
      * @param numbers in order; the first from before anything was open
      * @param carried by tenant
      */
-    public static List<Breach<Rule>> judge(Bounds bounds, List<Open> opens, List<Under> unders, List<Number> numbers,
-                                     List<Asked> asked, Map<String, List<Carried>> carried, List<Trouble> troubles) {
+    public static List<Breach<Rule>> judge(
+            Bounds bounds,
+            List<Open> opens,
+            List<Under> unders,
+            List<Number> numbers,
+            List<Asked> asked,
+            Map<String, List<Carried>> carried,
+            List<Trouble> troubles) {
         List<Breach<Rule>> found = new ArrayList<>();
         never(opens, numbers, found);
         for (Asked one : asked) {
             List<Carried> own = carried.getOrDefault(one.tenant, List.of());
-            for (long from = one.from + bounds.floorAfter; from + bounds.window <= one.until; from += bounds.window / 2) {
+            for (long from = one.from + bounds.floorAfter;
+                    from + bounds.window <= one.until;
+                    from += bounds.window / 2) {
                 double use = use(own, from, from + bounds.window);
                 if (use < bounds.use * one.floor) {
-                    found.add(new Breach<>(Rule.FLOOR_KEPT, "tenant " + one.tenant + " had " + Math.round(10 * use) / 10.0
-                        + " of its " + one.floor + ", " + (from - one.from) / 1_000_000 + " ms after it asked"));
+                    found.add(new Breach<>(
+                            Rule.FLOOR_KEPT,
+                            "tenant " + one.tenant + " had " + Math.round(10 * use) / 10.0 + " of its " + one.floor
+                                    + ", " + (from - one.from) / 1_000_000 + " ms after it asked"));
                     break;
                 }
             }
         }
         for (Under one : unders) {
             boolean excused = one.at >= one.due - bounds.slack
-                || troubles.stream().anyMatch(trouble -> trouble.from <= one.at && one.at <= trouble.until);
+                    || troubles.stream().anyMatch(trouble -> trouble.from <= one.at && one.at <= trouble.until);
             if (!excused) {
-                found.add(new Breach<>(Rule.NOT_UNDER_A_REQUEST, "request " + one.request + " at " + one.server + ", "
-                    + (one.due - one.at) / 1_000_000 + " ms before its time was over"));
+                found.add(new Breach<>(
+                        Rule.NOT_UNDER_A_REQUEST,
+                        "request " + one.request + " at " + one.server + ", " + (one.due - one.at) / 1_000_000
+                                + " ms before its time was over"));
             }
         }
         return found;
--- a/src/main/java/rushpin/judge/Histories.java
+++ b/src/main/java/rushpin/judge/Histories.java
@@ -20,7 +20,11 @@
     public static final long NEVER = Long.MAX_VALUE;
 
     /** What comes of it. */
-    public enum Verdict { LINEARIZABLE, BROKEN, CANNOT_TELL }
+    public enum Verdict {
+        LINEARIZABLE,
+        BROKEN,
+        CANNOT_TELL
+    }
 
     /** What an operation did, as its client knows it. */
     public enum Kind {
@@ -58,12 +62,10 @@
      * @param states how many were looked at
      * @param stuck where it is broken: operations of which none can come next in the longest row; a place to look, no proof
      */
-    public record Found(Verdict verdict, long states, List<Operation> stuck) {
-    }
+    public record Found(Verdict verdict, long states, List<Operation> stuck) {}
 
     /** Operations that stand in the row: all before {@code first}, and of the others those whose bit is set, from there. */
-    private record State(int first, BitSet beyond, long value) {
-    }
+    private record State(int first, BitSet beyond, long value) {}
 
     private final List<Operation> all;
     private final long most;
@@ -201,7 +203,8 @@
             isOver = true;
             return false;
         }
-        return tried.add(new State(place.first, place.in.get(place.first, Math.max(place.first, place.in.length())), place.value));
+        return tried.add(new State(
+                place.first, place.in.get(place.first, Math.max(place.first, place.in.length())), place.value));
     }
 
     private List<Operation> open(Place at) {
--- a/src/main/java/rushpin/judge/Judge.java
+++ b/src/main/java/rushpin/judge/Judge.java
@@ -31,20 +31,16 @@
     }
 
     /** A rule that was broken, and by what. */
-    public record Breach(Rule rule, String what) {
-    }
+    public record Breach(Rule rule, String what) {}
 
     /** How a class may be repeated: its name, whether it is safe, and for how long servers drop repeats if keyed. */
-    public record Kind(boolean safe, boolean keyed, long keyWindow) {
-    }
+    public record Kind(boolean safe, boolean keyed, long keyWindow) {}
 
     /** A plan's ceiling: units a second, units at once, and how far below nothing it may fall; rate 0 for none. */
-    public record Ceiling(double rate, double burst, double slack) {
-    }
+    public record Ceiling(double rate, double burst, double slack) {}
 
     /** What holds in a run: classes by name, ceilings by plan, and the grace after a drain is told. */
-    public record Rules(Map<String, Kind> kinds, Map<String, Ceiling> ceilings, long drainGrace) {
-    }
+    public record Rules(Map<String, Kind> kinds, Map<String, Ceiling> ceilings, long drainGrace) {}
 
     private final Records records;
     private final Rules rules;
@@ -60,14 +56,16 @@
         Judge judge = new Judge(records, rules);
         Map<String, List<Attempt>> byRequest = new HashMap<>();
         for (Attempt attempt : records.attempts) {
-            byRequest.computeIfAbsent(attempt.pool() + "/" + attempt.id(), id -> new ArrayList<>()).add(attempt);
+            byRequest
+                    .computeIfAbsent(attempt.pool() + "/" + attempt.id(), id -> new ArrayList<>())
+                    .add(attempt);
         }
         byRequest.values().forEach(list -> list.sort(Comparator.comparingLong(Attempt::first)));
         judge.answers(byRequest);
         judge.effects(byRequest);
         judge.drains();
-        records.falls.forEach(fall -> judge.breach(Rule.COLD_NOT_PUSHED_OVER, fall.pool() + ": " + fall.server()
-            + " was pushed over"));
+        records.falls.forEach(fall ->
+                judge.breach(Rule.COLD_NOT_PUSHED_OVER, fall.pool() + ": " + fall.server() + " was pushed over"));
         judge.ceilings(byRequest);
         return judge.breaches;
     }
@@ -87,11 +85,14 @@
                 continue;
             }
             if (e.status() == Records.NONE) {
-                breach(Rule.NO_REQUEST_LOST, name + " got no answer, the end came after "
-                    + (e.answeredAt() - e.at()) / MS + " ms");
+                breach(
+                        Rule.NO_REQUEST_LOST,
+                        name + " got no answer, the end came after " + (e.answeredAt() - e.at()) / MS + " ms");
             } else if (e.answeredAt() - e.at() > e.patience() + SOCKET_SLACK) {
-                breach(Rule.NO_REQUEST_LOST, name + " was answered " + (e.answeredAt() - e.at()) / MS + " ms after it "
-                    + "was sent, its client waits " + e.patience() / MS);
+                breach(
+                        Rule.NO_REQUEST_LOST,
+                        name + " was answered " + (e.answeredAt() - e.at()) / MS + " ms after it "
+                                + "was sent, its client waits " + e.patience() / MS);
             } else if (e.status() == 200 && !e.whole()) {
                 breach(Rule.NO_REQUEST_LOST, name + " was served with what no server made for it");
             }
@@ -116,8 +117,10 @@
             StringBuilder where = new StringBuilder();
             for (Attempt attempt : one.getValue()) {
                 if (before != null && attempt.first() - before.until() < -MS) {
-                    breach(Rule.NO_EFFECT_TWICE, one.getKey() + " was out twice at once, at " + before.server()
-                        + " and " + attempt.server());
+                    breach(
+                            Rule.NO_EFFECT_TWICE,
+                            one.getKey() + " was out twice at once, at " + before.server() + " and "
+                                    + attempt.server());
                 }
                 before = before == null || attempt.until() > before.until() ? attempt : before;
                 if (attempt.effect() && kind != null && !kind.safe()) {
@@ -125,8 +128,11 @@
                     effects.computeIfAbsent(name, n -> new ArrayList<>()).add(attempt.at());
                     windows.put(name, kind.keyed() ? kind.keyWindow() : Long.MAX_VALUE);
                     ran++;
-                    where.append(where.isEmpty() ? "" : ", ").append(attempt.server()).append(" at ")
-                        .append((attempt.at() - e.at()) / MS).append(" ms");
+                    where.append(where.isEmpty() ? "" : ", ")
+                            .append(attempt.server())
+                            .append(" at ")
+                            .append((attempt.at() - e.at()) / MS)
+                            .append(" ms");
                 }
             }
             if (ran > 1) {
@@ -141,8 +147,9 @@
             times.sort(null);
             for (int i = 1; i < times.size(); i++) {
                 if (times.get(i) - times.get(i - 1) <= windows.get(name)) {
-                    breach(Rule.NO_EFFECT_TWICE, name + " took effect again after "
-                        + (times.get(i) - times.get(i - 1)) / MS + " ms");
+                    breach(
+                            Rule.NO_EFFECT_TWICE,
+                            name + " took effect again after " + (times.get(i) - times.get(i - 1)) / MS + " ms");
                 }
             }
         });
@@ -150,12 +157,15 @@
 
     private void drains() {
         Map<String, List<Records.Told>> told = new HashMap<>();
-        records.told.forEach(t -> told.computeIfAbsent(t.pool() + "/" + t.server(), s -> new ArrayList<>()).add(t));
+        records.told.forEach(t -> told.computeIfAbsent(t.pool() + "/" + t.server(), s -> new ArrayList<>())
+                .add(t));
         for (Attempt attempt : records.attempts) {
             for (Records.Told t : told.getOrDefault(attempt.pool() + "/" + attempt.server(), List.of())) {
                 if (attempt.first() - t.at() > rules.drainGrace() + SOCKET_SLACK && attempt.first() < t.until()) {
-                    breach(Rule.DRAINS_KEPT, attempt.pool() + "/" + attempt.id() + " came to " + attempt.server() + " "
-                        + (attempt.first() - t.at()) / MS + " ms after its drain was told");
+                    breach(
+                            Rule.DRAINS_KEPT,
+                            attempt.pool() + "/" + attempt.id() + " came to " + attempt.server() + " "
+                                    + (attempt.first() - t.at()) / MS + " ms after its drain was told");
                 }
             }
         }
@@ -171,7 +181,7 @@
                 String customer = e.pool() + "/" + e.customer();
                 of.put(customer, ceiling);
                 sent.computeIfAbsent(customer, c -> new ArrayList<>())
-                    .add(new double[] {attempts.get(0).at() / 1e9, e.units()});
+                        .add(new double[] {attempts.get(0).at() / 1e9, e.units()});
             }
         }
         sent.forEach((customer, draws) -> {
@@ -185,8 +195,14 @@
             }
             double slack = ceiling.slack() + ceiling.rate() * CEILING_SLACK / 1e9;
             if (least < -slack) {
-                breach(Rule.CEILINGS_KEPT, String.format(Locale.ROOT,
-                    "%s went %.1f units beyond its ceiling, %.1f are let pass", customer, -least, slack));
+                breach(
+                        Rule.CEILINGS_KEPT,
+                        String.format(
+                                Locale.ROOT,
+                                "%s went %.1f units beyond its ceiling, %.1f are let pass",
+                                customer,
+                                -least,
+                                slack));
             }
         });
     }
--- a/src/main/java/rushpin/judge/Records.java
+++ b/src/main/java/rushpin/judge/Records.java
@@ -21,9 +21,20 @@
      * @param whole whether a served answer is the one made for this request
      * @param excused whether the node was killed meanwhile, so that the try is the client's to repeat
      */
-    public record Exchange(String pool, String id, String key, String kind, String customer, String plan, double units,
-                           long at, long patience, int status, long answeredAt, boolean whole, boolean excused) {
-    }
+    public record Exchange(
+            String pool,
+            String id,
+            String key,
+            String kind,
+            String customer,
+            String plan,
+            double units,
+            long at,
+            long patience,
+            int status,
+            long answeredAt,
+            boolean whole,
+            boolean excused) {}
 
     /**
      * An attempt as an app server saw it.
@@ -33,21 +44,17 @@
      * @param until when its answer was written or its connection ended
      * @param effect whether it took effect: it ran, and was no repeat that the server still remembered
      */
-    public record Attempt(String pool, String server, String id, String key, long first, long at, long until,
-                          boolean effect) {
-    }
+    public record Attempt(
+            String pool, String server, String id, String key, long first, long at, long until, boolean effect) {}
 
     /** When a node was told that a server drains or is gone; {@code until} it was ready again, or for good. */
-    public record Told(String pool, String server, long at, long until) {
-    }
+    public record Told(String pool, String server, long at, long until) {}
 
     /** A cold server that was pushed over. */
-    public record Fall(String pool, String server, long at) {
-    }
+    public record Fall(String pool, String server, long at) {}
 
     /** A call that reached the counter: the name, the amount, when. */
-    public record Counted(String name, double amount, long at) {
-    }
+    public record Counted(String name, double amount, long at) {}
 
     final Collection<Exchange> exchanges = new ConcurrentLinkedQueue<>();
     final Collection<Attempt> attempts = new ConcurrentLinkedQueue<>();
--- a/src/main/java/rushpin/judge/Zones.java
+++ b/src/main/java/rushpin/judge/Zones.java
@@ -59,8 +59,7 @@
      * @param leaves the most times that a zone is left in any hour
      * @param odds of a breach found by chance alone, for each sum that is looked at
      */
-    public record Bounds(long out, long lag, int leaves, double odds) {
-    }
+    public record Bounds(long out, long lag, int leaves, double odds) {}
 
     /**
      * An attempt, where it came from and where it went.
@@ -71,8 +70,7 @@
      * @param at when it reached the server
      * @param first whether it was the request's first one
      */
-    public record Sent(Accords.Run by, String pool, String from, String of, String to, long at, boolean first) {
-    }
+    public record Sent(Accords.Run by, String pool, String from, String of, String to, long at, boolean first) {}
 
     /**
      * A zone's servers could not be sent to, or not to all, by what was done to them.
@@ -93,8 +91,7 @@
     }
 
     /** What a pool goes by from a moment until the next. */
-    private record Epoch(Accords.Run by, Planned plan, long until) {
-    }
+    private record Epoch(Accords.Run by, Planned plan, long until) {}
 
     /** First attempts against what was agreed: how many could have gone there, did, and were to. */
     private static final class Sum {
@@ -127,8 +124,12 @@
      * @param sent what reached servers
      * @param end when the run was over
      */
-    public static List<Breach<Rule>> judge(Bounds bounds, Collection<Accords.Said> said, Collection<Sent> sent,
-                                     Collection<Trouble> troubles, long end) {
+    public static List<Breach<Rule>> judge(
+            Bounds bounds,
+            Collection<Accords.Said> said,
+            Collection<Sent> sent,
+            Collection<Trouble> troubles,
+            long end) {
         Zones zones = new Zones(bounds);
         zones.read(said, end);
         zones.named(sent);
@@ -147,8 +148,10 @@
             if (one.event() instanceof Agreed plan) {
                 Agreed same = agreed.putIfAbsent(new Key(plan.fence(), plan.number()), plan);
                 if (same != null && !same.ways().equals(plan.ways())) {
-                    breach(Rule.PLANS_KNOWN, "plan " + plan.number() + " is " + same.ways() + " and, by " + one.by() + ", "
-                        + plan.ways());
+                    breach(
+                            Rule.PLANS_KNOWN,
+                            "plan " + plan.number() + " is " + same.ways() + " and, by " + one.by() + ", "
+                                    + plan.ways());
                 }
             }
         }
@@ -179,7 +182,8 @@
 
     private void add(Accords.Said one, long until) {
         Planned plan = (Planned) one.event();
-        epochs.computeIfAbsent(name(one.by(), plan.pool()), none -> new ArrayList<>()).add(new Epoch(one.by(), plan, until));
+        epochs.computeIfAbsent(name(one.by(), plan.pool()), none -> new ArrayList<>())
+                .add(new Epoch(one.by(), plan, until));
     }
 
     private static Key key(Planned plan) {
@@ -203,7 +207,7 @@
 
     private boolean isLocal(Sent one) {
         return local.getOrDefault(name(one.by, one.pool), List.of()).stream()
-            .anyMatch(span -> span[0] <= one.at && one.at - bounds.out <= span[1]);
+                .anyMatch(span -> span[0] <= one.at && one.at - bounds.out <= span[1]);
     }
 
     /** The way of a class that enters in a zone; without parts where the plan says nothing of it. */
@@ -211,7 +215,9 @@
         Agreed plan = agreed.get(key(epoch.plan));
         AccordEvent.Way found = new AccordEvent.Way(one.from, "", Map.of(), Map.of());
         for (AccordEvent.Way way : plan == null ? List.<AccordEvent.Way>of() : plan.ways()) {
-            if (way.from().equals(one.from) && (way.of().equals(one.of) || way.of().isEmpty() && found.parts().isEmpty())) {
+            if (way.from().equals(one.from)
+                    && (way.of().equals(one.of)
+                            || way.of().isEmpty() && found.parts().isEmpty())) {
                 found = way;
             }
         }
@@ -227,8 +233,11 @@
         int most = 0;
         for (Trouble trouble : troubles) {
             if (trouble.zone.equals(other) && trouble.touches(one, bounds.out)) {
-                most = Math.max(most, !trouble.heldOut ? way.parts().get(other)
-                    : other.equals(one.from) ? way.spare().getOrDefault(zone, 0) : 0);
+                most = Math.max(
+                        most,
+                        !trouble.heldOut
+                                ? way.parts().get(other)
+                                : other.equals(one.from) ? way.spare().getOrDefault(zone, 0) : 0);
             }
         }
         return most;
@@ -239,10 +248,15 @@
             List<Epoch> in = at(one);
             // What a pool did before its first plan may still be out as well.
             boolean free = in.isEmpty() || first(one) > one.at - bounds.out || one.to.equals(one.from) && isLocal(one);
-            if (!free && in.stream().map(epoch -> parts(epoch, one)).noneMatch(parts -> parts.isEmpty()
-                || parts.containsKey(one.to))) {
-                breach(Rule.ONLY_NAMED, one.by + " sent " + one.of + " of " + one.from + " to " + one.to + " under plan "
-                    + in.get(0).plan.number() + ", " + (one.at - in.get(0).plan.at()) / MS + " ms after it came");
+            if (!free
+                    && in.stream()
+                            .map(epoch -> parts(epoch, one))
+                            .noneMatch(parts -> parts.isEmpty() || parts.containsKey(one.to))) {
+                breach(
+                        Rule.ONLY_NAMED,
+                        one.by + " sent " + one.of + " of " + one.from + " to " + one.to + " under plan "
+                                + in.get(0).plan.number() + ", "
+                                + (one.at - in.get(0).plan.at()) / MS + " ms after it came");
             }
         }
     }
@@ -254,7 +268,9 @@
     private void parts(Collection<Sent> sent, Collection<Trouble> troubles) {
         Map<String, Sum> sums = new TreeMap<>();
         TreeSet<String> zones = new TreeSet<>();
-        agreed.values().forEach(plan -> plan.ways().forEach(way -> zones.addAll(way.parts().keySet())));
+        agreed.values()
+                .forEach(plan ->
+                        plan.ways().forEach(way -> zones.addAll(way.parts().keySet())));
         for (Sent one : sent) {
             List<Epoch> in = at(one);
             if (!one.first || in.size() != 1 || first(one) > one.at - bounds.out) {
@@ -272,18 +288,29 @@
                     // What could not go there goes to the others that the plan names.
                     most += other.equals(zone) ? 0 : instead(way, zone, other, one, troubles);
                 }
-                for (String sum : List.of("all to " + zone, one.by + " to " + zone,
-                    one.by + " under plan " + in.get(0).plan.number() + " to " + zone)) {
+                for (String sum : List.of(
+                        "all to " + zone,
+                        one.by + " to " + zone,
+                        one.by + " under plan " + in.get(0).plan.number() + " to " + zone)) {
                     add(sums.computeIfAbsent(sum, none -> new Sum()), one.to.equals(zone), most);
                 }
             }
         }
         sums.forEach((what, sum) -> {
-            // Hoeffding: independent draws, each between 0 and 1, exceed their mean's sum by more than this at the odds.
+            // Hoeffding: independent draws, each between 0 and 1, exceed their mean's sum by more than this at the
+            // odds.
             double chance = Math.sqrt(sum.all * Math.log(1 / bounds.odds) / 2);
             if (sum.there > sum.agreed + chance) {
-                breach(Rule.PARTS_KEPT, String.format(Locale.ROOT, "%s: %d of %d, agreed were %.0f and %.0f by chance", what,
-                    sum.there, sum.all, sum.agreed, chance));
+                breach(
+                        Rule.PARTS_KEPT,
+                        String.format(
+                                Locale.ROOT,
+                                "%s: %d of %d, agreed were %.0f and %.0f by chance",
+                                what,
+                                sum.there,
+                                sum.all,
+                                sum.agreed,
+                                chance));
             }
         });
     }
@@ -304,11 +331,15 @@
                 if (second == null) {
                     continue;
                 }
-                long since = first.tailMap(second).values().stream().min(Long::compare).orElseThrow();
+                long since = first.tailMap(second).values().stream()
+                        .min(Long::compare)
+                        .orElseThrow();
                 long span = epoch.until - since - away(epoch.by, said, since, epoch.until, end);
                 if (span > bounds.lag) {
-                    breach(Rule.TWO_PLANS, epoch.by + " goes by plan " + epoch.plan.number() + " for " + span / MS
-                        + " ms after plan " + second.number + " came in force");
+                    breach(
+                            Rule.TWO_PLANS,
+                            epoch.by + " goes by plan " + epoch.plan.number() + " for " + span / MS + " ms after plan "
+                                    + second.number + " came in force");
                 }
             }
         }
@@ -357,8 +388,10 @@
         left.forEach((what, times) -> {
             for (int i = bounds.leaves; i < times.size(); i++) {
                 if (times.get(i) - times.get(i - bounds.leaves) < HOUR) {
-                    breach(Rule.MOVES_BOUNDED, what + " was left " + (bounds.leaves + 1) + " times within "
-                        + (times.get(i) - times.get(i - bounds.leaves)) / MS + " ms");
+                    breach(
+                            Rule.MOVES_BOUNDED,
+                            what + " was left " + (bounds.leaves + 1) + " times within "
+                                    + (times.get(i) - times.get(i - bounds.leaves)) / MS + " ms");
                     return;
                 }
             }
--- a/src/main/java/rushpin/lifecycle/Lifecycle.java
+++ b/src/main/java/rushpin/lifecycle/Lifecycle.java
@@ -30,8 +30,7 @@
      * @param grace for how long connections go on coming after the word to drain
      * @param drain how long a drain or a hand-over lasts in all
      */
-    public record Bounds(long grace, long drain) {
-    }
+    public record Bounds(long grace, long drain) {}
 
     /** What the process is to do. */
     public interface Port {
@@ -108,7 +107,7 @@
                     connections(now, connections);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/rushpin/membership/Claims.java
+++ b/src/main/java/rushpin/membership/Claims.java
@@ -19,19 +19,17 @@
  */
 public final class Claims {
     /** A list for a pool, in place of the one that its source told or on top of it. */
-    public record Told(String pool, Roll roll, ListKind kind) {
-    }
+    public record Told(String pool, Roll roll, ListKind kind) {}
 
     /** What comes of one list. */
-    public record Outcome(List<Told> told, List<String> conflicts) {
-    }
+    public record Outcome(List<Told> told, List<String> conflicts) {}
 
-    private record Holder(String pool, String server) {
-    }
+    private record Holder(String pool, String server) {}
 
     private final Map<SocketAddress, Holder> holders = new HashMap<>();
     /** The other way round: a change of one entry must not cost a look at all. */
     private final Map<Holder, SocketAddress> places = new HashMap<>();
+
     private final Map<SocketAddress, Map<String, Member>> waiting = new HashMap<>();
 
     /** Takes a pool's list and says what that pool, and others, are told; the pool's own comes first. */
@@ -55,9 +53,10 @@
                 hold(member.address(), new Holder(pool, member.server().id()));
                 own.add(member);
             } else {
-                waiting.computeIfAbsent(member.address(), at -> new LinkedHashMap<>()).put(pool, member);
+                waiting.computeIfAbsent(member.address(), at -> new LinkedHashMap<>())
+                        .put(pool, member);
                 conflicts.add("server " + member.server().id() + " of pool " + pool + " has the address of "
-                    + holder.server() + " of pool " + holder.pool() + " and is left out");
+                        + holder.server() + " of pool " + holder.pool() + " and is left out");
                 own.add(member.gone());
             }
         }
--- a/src/main/java/rushpin/membership/Json.java
+++ b/src/main/java/rushpin/membership/Json.java
@@ -22,8 +22,7 @@
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private Json() {
-    }
+    private Json() {}
 
     /** The tree of the first value of a text; a missing node where there is none. */
     public static JsonNode read(String text) throws IOException {
@@ -74,11 +73,13 @@
                 case VALUE_FALSE -> put(make.booleanNode(false));
                 case VALUE_NULL -> put(make.nullNode());
                 case VALUE_NUMBER_FLOAT -> put(make.numberNode(parser.getDoubleValue()));
-                case VALUE_NUMBER_INT -> put(switch (parser.getNumberType()) {
-                    case INT -> make.numberNode(parser.getIntValue());
-                    case LONG -> make.numberNode(parser.getLongValue());
-                    default -> make.numberNode(parser.getBigIntegerValue());
-                });
+                case VALUE_NUMBER_INT ->
+                    put(
+                            switch (parser.getNumberType()) {
+                                case INT -> make.numberNode(parser.getIntValue());
+                                case LONG -> make.numberNode(parser.getLongValue());
+                                default -> make.numberNode(parser.getBigIntegerValue());
+                            });
                 default -> throw new JsonParseException(parser, "a value was expected, not " + parser.currentToken());
             };
         }
--- a/src/main/java/rushpin/membership/Member.java
+++ b/src/main/java/rushpin/membership/Member.java
@@ -18,14 +18,30 @@
 
     /** The same server, which finishes what it has and gets nothing new. */
     public Member draining() {
-        return new Member(new Server(server.id(), server.size(), server.zone(), server.cell(), server.kind(),
-            Readiness.DRAINING, server.startedAt()), address);
+        return new Member(
+                new Server(
+                        server.id(),
+                        server.size(),
+                        server.zone(),
+                        server.cell(),
+                        server.kind(),
+                        Readiness.DRAINING,
+                        server.startedAt()),
+                address);
     }
 
     /** The same server with another start; 0 for long ago, else nanoseconds by this node's clock. */
     public Member startedAt(long at) {
-        return new Member(new Server(server.id(), server.size(), server.zone(), server.cell(), server.kind(),
-            server.readiness(), at), address);
+        return new Member(
+                new Server(
+                        server.id(),
+                        server.size(),
+                        server.zone(),
+                        server.cell(),
+                        server.kind(),
+                        server.readiness(),
+                        at),
+                address);
     }
 
     /** The same server, gone. */
@@ -35,7 +51,13 @@
 
     /** The same server, gone. */
     public static Server gone(Server server) {
-        return new Server(server.id(), server.size(), server.zone(), server.cell(), server.kind(), Readiness.GONE,
-            server.startedAt());
+        return new Server(
+                server.id(),
+                server.size(),
+                server.zone(),
+                server.cell(),
+                server.kind(),
+                Readiness.GONE,
+                server.startedAt());
     }
 }
--- a/src/main/java/rushpin/membership/Withheld.java
+++ b/src/main/java/rushpin/membership/Withheld.java
@@ -20,6 +20,7 @@
 
     /** What the source said last; members that are gone have no entry. */
     private final Map<String, Member> listed = new HashMap<>();
+
     private final Map<String, Boolean> seen = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rushpin/membership/discovery/RollReader.java
+++ b/src/main/java/rushpin/membership/discovery/RollReader.java
@@ -25,15 +25,15 @@
         }
     }
 
-    private RollReader() {
-    }
+    private RollReader() {}
 
     /** Reads one line of discovery. */
     public static Roll read(String line, Names names) throws Malformed {
         try {
             return read(Json.read(line), names);
         } catch (JsonProcessingException e) {
-            throw new Malformed("discovery's message is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
+            throw new Malformed(
+                    "discovery's message is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
         } catch (IOException e) {
             throw new Malformed("discovery's message cannot be read: " + e.getMessage());
         }
@@ -55,10 +55,16 @@
             // The module's clock starts at the wall clock's time, so a start needs no more than a new unit;
             // it compares starts to tell a restart, so the same start must give the same number every time.
             long started = Math.max(0, entry.path("up_since_ms").asLong(0)) * 1_000_000L;
-            members.add(new Member(new Server(id, entry.path("size").asDouble(1),
-                names.zones().indexOf(entry.path("locality").asText()), entry.path("cell").asInt(0),
-                names.kinds().indexOf(entry.path("flavor").asText()), readiness, started),
-                address(entry, "host_port")));
+            members.add(new Member(
+                    new Server(
+                            id,
+                            entry.path("size").asDouble(1),
+                            names.zones().indexOf(entry.path("locality").asText()),
+                            entry.path("cell").asInt(0),
+                            names.kinds().indexOf(entry.path("flavor").asText()),
+                            readiness,
+                            started),
+                    address(entry, "host_port")));
         }
         return new Roll(node.get("revision").asLong(), node.path("complete").asBoolean(false), members);
     }
--- a/src/main/java/rushpin/membership/discovery/RollStream.java
+++ b/src/main/java/rushpin/membership/discovery/RollStream.java
@@ -42,8 +42,9 @@
         try {
             ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, 0, length);
             fed += length;
-            for (JsonToken token = parser.nextToken(); token != null && token != JsonToken.NOT_AVAILABLE;
-                 token = parser.nextToken()) {
+            for (JsonToken token = parser.nextToken();
+                    token != null && token != JsonToken.NOT_AVAILABLE;
+                    token = parser.nextToken()) {
                 JsonNode whole = tree.grow(parser);
                 if (whole != null) {
                     done = parser.currentLocation().getByteOffset();
@@ -51,7 +52,8 @@
                 }
             }
         } catch (JsonProcessingException e) {
-            throw new RollReader.Malformed("discovery's message is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
+            throw new RollReader.Malformed(
+                    "discovery's message is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
         } catch (IOException e) {
             throw new RollReader.Malformed("discovery's message cannot be read: " + e.getMessage());
         }
--- a/src/main/java/rushpin/membership/xds/AssignmentReader.java
+++ b/src/main/java/rushpin/membership/xds/AssignmentReader.java
@@ -38,14 +38,20 @@
     private static final long MS = 1_000_000L;
     private static final String METADATA = ResourceReader.METADATA;
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])";
-    private static final Pattern ADDRESS = Pattern.compile(OCTET + "(\\." + OCTET + "){3}|[0-9A-Fa-f.]*:[0-9A-Fa-f:.]*");
+    private static final Pattern ADDRESS =
+            Pattern.compile(OCTET + "(\\." + OCTET + "){3}|[0-9A-Fa-f.]*:[0-9A-Fa-f:.]*");
     /** Tags of {@code ClusterLoadAssignment.endpoints} and of {@code LocalityLbEndpoints.lb_endpoints}. */
     private static final int LOCALITY = 2 << 3 | 2, ENDPOINT = 2 << 3 | 2;
 
     /** An endpoint as its own bytes say it, without what its locality adds. */
-    private record Base(String id, InetSocketAddress address, Readiness readiness, double weight, long started, String kind,
-                        int cell) {
-    }
+    private record Base(
+            String id,
+            InetSocketAddress address,
+            Readiness readiness,
+            double weight,
+            long started,
+            String kind,
+            int cell) {}
 
     private Map<ByteString, Base> before = Map.of();
     /** How many were parsed last. */
@@ -83,11 +89,12 @@
             List<ByteString> inside = new ArrayList<>();
             LocalityLbEndpoints locality = LocalityLbEndpoints.parseFrom(split(each, ENDPOINT, inside));
             if (locality.hasLedsClusterLocalityConfig()) {
-                throw new Rejected("leds_cluster_locality_config: lists of endpoints apart are not followed; allowed: lb_endpoints");
+                throw new Rejected(
+                        "leds_cluster_locality_config: lists of endpoints apart are not followed; allowed: lb_endpoints");
             }
             if (Integer.compareUnsigned(locality.getPriority(), MOST_PRIORITY) > 0) {
-                throw new Rejected("priority is " + Integer.toUnsignedString(locality.getPriority()) + "; allowed: 0 to "
-                    + MOST_PRIORITY);
+                throw new Rejected("priority is " + Integer.toUnsignedString(locality.getPriority())
+                        + "; allowed: 0 to " + MOST_PRIORITY);
             }
             if (all.size() + inside.size() > MOST_ENDPOINTS) {
                 throw new Rejected("it has more than " + MOST_ENDPOINTS + " endpoints");
@@ -111,8 +118,16 @@
                 if (holder != null) {
                     throw new Rejected("endpoints " + holder + " and " + base.id + " have one address");
                 }
-                all.add(new Endpoints.One(base.id, base.address, base.readiness, base.weight * part,
-                    locality.getLocality().getZone(), locality.getPriority(), base.started, base.kind, base.cell));
+                all.add(new Endpoints.One(
+                        base.id,
+                        base.address,
+                        base.readiness,
+                        base.weight * part,
+                        locality.getLocality().getZone(),
+                        locality.getPriority(),
+                        base.started,
+                        base.kind,
+                        base.cell));
             }
         }
         double dropped = 0;
@@ -120,7 +135,8 @@
             // One after another, as Envoy does: each acts on what the one before lets pass.
             dropped += (1 - dropped) * fraction(drop);
         }
-        long staleAfter = ResourceReader.span("policy.endpoint_stale_after", from.getPolicy().getEndpointStaleAfter());
+        long staleAfter = ResourceReader.span(
+                "policy.endpoint_stale_after", from.getPolicy().getEndpointStaleAfter());
         before = now;
         return new Endpoints(from.getClusterName(), List.copyOf(all), dropped, staleAfter);
     }
@@ -155,7 +171,8 @@
             sum += each.weight;
         }
         if (of.getLoadBalancingWeight().getValue() == 0) {
-            throw new Rejected("load_balancing_weight of locality " + of.getLocality().getZone() + " is 0; allowed: from 1");
+            throw new Rejected(
+                    "load_balancing_weight of locality " + of.getLocality().getZone() + " is 0; allowed: from 1");
         }
         return sum == 0 ? 1 : Integer.toUnsignedLong(of.getLoadBalancingWeight().getValue()) / sum;
     }
@@ -176,7 +193,9 @@
             case HUNDRED -> 100;
             case TEN_THOUSAND -> 10_000;
             case MILLION -> 1_000_000;
-            default -> throw new Rejected("drop_percentage of category " + drop.getCategory() + " has a denominator that is none");
+            default ->
+                throw new Rejected(
+                        "drop_percentage of category " + drop.getCategory() + " has a denominator that is none");
         };
         return Math.min(1, Integer.toUnsignedLong(percent.getNumerator()) / whole);
     }
@@ -189,12 +208,19 @@
         Struct said = from.getMetadata().getFilterMetadataMap().getOrDefault(METADATA, Struct.getDefaultInstance());
         String id = text(said, "id", address.getAddress().getHostAddress() + ":" + address.getPort());
         if (id.isEmpty() || id.length() > MOST_ID) {
-            throw new Rejected("metadata " + METADATA + ".id of " + address + " has " + id.length() + " characters; allowed: 1 to " + MOST_ID);
+            throw new Rejected("metadata " + METADATA + ".id of " + address + " has " + id.length()
+                    + " characters; allowed: 1 to " + MOST_ID);
         }
         double started = number(said, "started_ms", -1, id);
         double cell = number(said, "cell", 0, id);
-        return new Base(id, address, readiness(from.getHealthStatus()), weight(from), started < 0 ? -1 : (long) started * MS,
-            text(said, "kind", ""), (int) cell);
+        return new Base(
+                id,
+                address,
+                readiness(from.getHealthStatus()),
+                weight(from),
+                started < 0 ? -1 : (long) started * MS,
+                text(said, "kind", ""),
+                (int) cell);
     }
 
     /** A degraded one serves, and the module sees by its answers how well; what fails its checks gets nothing new. */
@@ -213,16 +239,20 @@
         SocketAddress socket = from.getSocketAddress();
         String host = socket.getAddress();
         int port = socket.getPortValue();
-        if (socket.getPortSpecifierCase() != SocketAddress.PortSpecifierCase.PORT_VALUE || port < 1 || port > MOST_PORT) {
-            throw new Rejected("port_value of " + host + " is " + (socket.hasPortValue() ? Integer.toUnsignedString(port) : "missing")
-                + "; allowed: 1 to " + MOST_PORT);
+        if (socket.getPortSpecifierCase() != SocketAddress.PortSpecifierCase.PORT_VALUE
+                || port < 1
+                || port > MOST_PORT) {
+            throw new Rejected("port_value of " + host + " is "
+                    + (socket.hasPortValue() ? Integer.toUnsignedString(port) : "missing") + "; allowed: 1 to "
+                    + MOST_PORT);
         }
         if (socket.getProtocol() != SocketAddress.Protocol.TCP) {
             throw new Rejected("protocol of " + host + ":" + port + " is " + socket.getProtocol() + "; allowed: TCP");
         }
         // Only what is an address already: a name would be looked up.
         if (!ADDRESS.matcher(host).matches()) {
-            throw new Rejected("address \"" + host + "\" is no IP address, and look-ups are off; allowed: an IP address");
+            throw new Rejected(
+                    "address \"" + host + "\" is no IP address, and look-ups are off; allowed: an IP address");
         }
         try {
             return new InetSocketAddress(InetAddress.getByName(host), port);
--- a/src/main/java/rushpin/membership/xds/ClusterSpec.java
+++ b/src/main/java/rushpin/membership/xds/ClusterSpec.java
@@ -10,6 +10,11 @@
  * @param mostConnections connections to its servers at most; 0 for no bound
  * @param mostRequests requests open at most; 0 for no bound
  */
-public record ClusterSpec(String name, String edsName, String edsPath, Endpoints inline, long connectTimeout, int mostConnections,
-                          int mostRequests) {
-}
+public record ClusterSpec(
+        String name,
+        String edsName,
+        String edsPath,
+        Endpoints inline,
+        long connectTimeout,
+        int mostConnections,
+        int mostRequests) {}
--- a/src/main/java/rushpin/membership/xds/ClusterView.java
+++ b/src/main/java/rushpin/membership/xds/ClusterView.java
@@ -29,8 +29,7 @@
      * @param warming nanoseconds for which endpoints that never come are waited for
      * @param remember nanoseconds for which servers that went with a large update keep their start
      */
-    public record Rules(double mostRemoved, long guard, long warming, long remember) {
-    }
+    public record Rules(double mostRemoved, long guard, long warming, long remember) {}
 
     /** What is to be told to the pool. */
     public interface Port {
@@ -45,10 +44,10 @@
     private static final double LARGE = 0.5;
     /** However often a server replaces its whole list. */
     static final int MOST_LEFT = 20_000;
+
     private static final long MS = 1_000_000L;
 
-    private record Left(Member member, long until) {
-    }
+    private record Left(Member member, long until) {}
 
     private final Names names;
     private final Rules rules;
@@ -72,7 +71,10 @@
 
     /** The cluster is so from now on; null if there is none. {@code wall} is Unix time, nanoseconds. */
     public void cluster(ClusterSpec next, long now, long wall) {
-        boolean moved = next != null && cluster != null && next.edsName() != null && !next.edsName().equals(cluster.edsName());
+        boolean moved = next != null
+                && cluster != null
+                && next.edsName() != null
+                && !next.edsName().equals(cluster.edsName());
         if (next == null && cluster != null) {
             port.log("cluster " + cluster.name() + " is there no more");
             cluster = null;
@@ -120,8 +122,12 @@
         if (!second && removes(next) > rules.mostRemoved && rules.guard > 0) {
             held = next;
             heldUntil = now + rules.guard;
-            port.log(String.format(java.util.Locale.ROOT, "an update takes away %.0f%% of the ready servers, more than"
-                + " most-removed: held back for %d ms, or until the next one", 100 * removes(next), rules.guard / MS));
+            port.log(String.format(
+                    java.util.Locale.ROOT,
+                    "an update takes away %.0f%% of the ready servers, more than"
+                            + " most-removed: held back for %d ms, or until the next one",
+                    100 * removes(next),
+                    rules.guard / MS));
             // A drain is no slip: it counts at once, whatever else the update says.
             drainWhatIsNamed(next, now, wall);
             return;
@@ -181,9 +187,16 @@
         List<Member> changed = new ArrayList<>();
         for (Endpoints.One one : present.all()) {
             boolean ready = one.readiness() == Readiness.READY && one.priority() == chosen && !stale;
-            Member member = new Member(new Server(one.id(), one.weight() / norm, names.zones().indexOf(one.zone()), one.cell(),
-                names.kinds().indexOf(one.kind()), ready ? Readiness.READY : Readiness.DRAINING, started(one, wall)),
-                one.address());
+            Member member = new Member(
+                    new Server(
+                            one.id(),
+                            one.weight() / norm,
+                            names.zones().indexOf(one.zone()),
+                            one.cell(),
+                            names.kinds().indexOf(one.kind()),
+                            ready ? Readiness.READY : Readiness.DRAINING,
+                            started(one, wall)),
+                    one.address());
             next.put(one.id(), member);
             if (!member.equals(told.get(one.id()))) {
                 changed.add(member);
@@ -246,7 +259,8 @@
 
     private static Member with(Member of, Readiness readiness) {
         Server s = of.server();
-        return new Member(new Server(s.id(), s.size(), s.zone(), s.cell(), s.kind(), readiness, s.startedAt()), of.address());
+        return new Member(
+                new Server(s.id(), s.size(), s.zone(), s.cell(), s.kind(), readiness, s.startedAt()), of.address());
     }
 
     /** How many that have left are remembered. */
--- a/src/main/java/rushpin/membership/xds/Endpoints.java
+++ b/src/main/java/rushpin/membership/xds/Endpoints.java
@@ -20,9 +20,16 @@
      * @param weight above 0
      * @param started Unix time in nanoseconds; 0 for long ago, -1 where it is not said
      */
-    public record One(String id, InetSocketAddress address, Readiness readiness, double weight, String zone, int priority,
-                      long started, String kind, int cell) {
-    }
+    public record One(
+            String id,
+            InetSocketAddress address,
+            Readiness readiness,
+            double weight,
+            String zone,
+            int priority,
+            long started,
+            String kind,
+            int cell) {}
 
     /** No endpoints. */
     public static Endpoints none(String name) {
--- a/src/main/java/rushpin/membership/xds/ResourceReader.java
+++ b/src/main/java/rushpin/membership/xds/ResourceReader.java
@@ -24,10 +24,10 @@
     public static final String METADATA = "rushpin";
     /** The tag of field 1, of a length that is told. */
     private static final int NAME = 10;
+
     private static final long S = 1_000_000_000L, MOST_SPAN_S = 86_400L * 365;
 
-    private ResourceReader() {
-    }
+    private ResourceReader() {}
 
     /** Reads a cluster. */
     public static ClusterSpec cluster(Any any) throws Rejected {
@@ -67,8 +67,8 @@
             throw new Rejected("name is empty");
         }
         if (from.hasClusterType()) {
-            throw new Rejected("cluster_type " + from.getClusterType().getName() + " is no cluster of this node's; allowed: "
-                + "type EDS or STATIC");
+            throw new Rejected("cluster_type " + from.getClusterType().getName()
+                    + " is no cluster of this node's; allowed: " + "type EDS or STATIC");
         }
         String eds = null, path = null;
         Endpoints inline = null;
@@ -78,13 +78,17 @@
                     throw new Rejected("eds_cluster_config.eds_config is missing; allowed: ads or self");
                 }
                 if (!from.getEdsClusterConfig().getEdsConfig().hasAds()
-                    && !from.getEdsClusterConfig().getEdsConfig().hasSelf()
-                    && !from.getEdsClusterConfig().getEdsConfig().hasPathConfigSource()) {
+                        && !from.getEdsClusterConfig().getEdsConfig().hasSelf()
+                        && !from.getEdsClusterConfig().getEdsConfig().hasPathConfigSource()) {
                     throw new Rejected("eds_cluster_config.eds_config names another server; allowed: ads or self");
                 }
                 String service = from.getEdsClusterConfig().getServiceName();
                 path = from.getEdsClusterConfig().getEdsConfig().hasPathConfigSource()
-                    ? from.getEdsClusterConfig().getEdsConfig().getPathConfigSource().getPath() : null;
+                        ? from.getEdsClusterConfig()
+                                .getEdsConfig()
+                                .getPathConfigSource()
+                                .getPath()
+                        : null;
                 eds = service.isEmpty() ? from.getName() : service;
             }
             case STATIC -> {
@@ -93,8 +97,9 @@
                 }
                 inline = endpoints(from.getLoadAssignment());
             }
-            case STRICT_DNS, LOGICAL_DNS -> throw new Rejected("type " + from.getType()
-                + " wants names to be looked up, and look-ups are off here; allowed: EDS, STATIC");
+            case STRICT_DNS, LOGICAL_DNS ->
+                throw new Rejected("type " + from.getType()
+                        + " wants names to be looked up, and look-ups are off here; allowed: EDS, STATIC");
             default -> throw new Rejected("type " + from.getType() + " is not for this node; allowed: EDS, STATIC");
         }
         long connect = span("connect_timeout", from.getConnectTimeout());
@@ -119,7 +124,8 @@
     static long span(String key, Duration of) throws Rejected {
         boolean negative = of.getSeconds() < 0 || of.getNanos() < 0;
         if (negative || of.getSeconds() > MOST_SPAN_S || of.getNanos() >= S) {
-            throw new Rejected(key + " is " + of.getSeconds() + " s and " + of.getNanos() + " ns; allowed: 0 to a year");
+            throw new Rejected(
+                    key + " is " + of.getSeconds() + " s and " + of.getNanos() + " ns; allowed: 0 to a year");
         }
         return of.getSeconds() * S + of.getNanos();
     }
--- a/src/main/java/rushpin/membership/xds/Subscription.java
+++ b/src/main/java/rushpin/membership/xds/Subscription.java
@@ -31,17 +31,21 @@
      * @param initial what is had already, name to version, on a new stream; DELTA only
      * @param error why something was refused ({@code error_detail}); null for an acknowledgement
      */
-    public record Ask(String type, String version, String nonce, List<String> names, List<String> subscribe,
-                      List<String> unsubscribe, Map<String, String> initial, String error) {
-    }
+    public record Ask(
+            String type,
+            String version,
+            String nonce,
+            List<String> names,
+            List<String> subscribe,
+            List<String> unsubscribe,
+            Map<String, String> initial,
+            String error) {}
 
     /** A resource of an answer; the name and the version are told in the incremental form only. */
-    public record Item(String name, String version, Any resource) {
-    }
+    public record Item(String name, String version, Any resource) {}
 
     /** An answer, of either form. */
-    public record Answer(String type, String version, String nonce, List<Item> items, List<String> removed) {
-    }
+    public record Answer(String type, String version, String nonce, List<Item> items, List<String> removed) {}
 
     /** What comes of it. */
     public interface Port {
@@ -92,8 +96,10 @@
             names = wanted;
             boolean first = !asked;
             asked = true;
-            port.ask(form == Form.SOTW ? new Ask(url, version, nonce, names, List.of(), List.of(), Map.of(), null)
-                : new Ask(url, "", "", List.of(), more, first ? List.of() : less, initial, null));
+            port.ask(
+                    form == Form.SOTW
+                            ? new Ask(url, version, nonce, names, List.of(), List.of(), Map.of(), null)
+                            : new Ask(url, "", "", List.of(), more, first ? List.of() : less, initial, null));
         }
 
         void reply(Answer to, Map<String, String> errors) {
@@ -104,12 +110,23 @@
             String error = null;
             if (!errors.isEmpty()) {
                 StringBuilder all = new StringBuilder();
-                errors.forEach((name, why) -> all.append(all.isEmpty() ? "" : "; ").append(name).append(": ").append(why));
+                errors.forEach((name, why) -> all.append(all.isEmpty() ? "" : "; ")
+                        .append(name)
+                        .append(": ")
+                        .append(why));
                 error = all.length() > MOST_ERROR ? all.substring(0, MOST_ERROR) + "..." : all.toString();
-                port.log("refused " + url.substring(url.lastIndexOf('.') + 1) + " of version " + to.version() + ": " + error);
+                port.log("refused " + url.substring(url.lastIndexOf('.') + 1) + " of version " + to.version() + ": "
+                        + error);
             }
-            port.ask(new Ask(url, form == Form.SOTW ? version : "", nonce, form == Form.SOTW ? names : List.of(), List.of(),
-                List.of(), Map.of(), error));
+            port.ask(new Ask(
+                    url,
+                    form == Form.SOTW ? version : "",
+                    nonce,
+                    form == Form.SOTW ? names : List.of(),
+                    List.of(),
+                    List.of(),
+                    Map.of(),
+                    error));
         }
 
         void forget() {
@@ -191,7 +208,8 @@
     }
 
     /** Reads what bears the wanted name; what is wrong with any resource, by its name, goes to {@code errors}. */
-    private static <T> T find(Answer in, String name, Reader<T> reader, Map<String, String> errors, Map<String, String> had) {
+    private static <T> T find(
+            Answer in, String name, Reader<T> reader, Map<String, String> errors, Map<String, String> had) {
         T found = null;
         Set<String> seen = new HashSet<>();
         int number = 0;
@@ -233,8 +251,10 @@
         clusters.reply(answer, errors);
         // An answer of the first form names all that there is; but what is there and cannot be read is not gone.
         boolean gone = form == Form.SOTW
-            ? found == null && !errors.containsKey(wanted) && errors.keySet().stream().noneMatch(each -> each.startsWith("resource "))
-            : answer.removed().contains(wanted) && found == null;
+                ? found == null
+                        && !errors.containsKey(wanted)
+                        && errors.keySet().stream().noneMatch(each -> each.startsWith("resource "))
+                : answer.removed().contains(wanted) && found == null;
         if (found != null && !errors.containsKey(wanted)) {
             take(found);
         } else if (gone) {
--- a/src/main/java/rushpin/model/Ask.java
+++ b/src/main/java/rushpin/model/Ask.java
@@ -7,15 +7,25 @@
     final double units;
     /** How long each try is waited for. */
     final long patience;
+
     final long at;
     /** What decides its work at a server, from 0 to 1. */
     final double work;
+
     final boolean counted;
     int tries;
     boolean inside, done;
 
-    Ask(int number, int requestClass, int plan, long customer, double units, long patience, long at, double work,
-        boolean counted) {
+    Ask(
+            int number,
+            int requestClass,
+            int plan,
+            long customer,
+            double units,
+            long patience,
+            long at,
+            double work,
+            boolean counted) {
         this.number = number;
         this.requestClass = requestClass;
         this.plan = plan;
--- a/src/main/java/rushpin/model/Clients.java
+++ b/src/main/java/rushpin/model/Clients.java
@@ -28,9 +28,14 @@
         this.replay = replay;
         day = world.day;
         this.classNames = classNames.toArray(String[]::new);
-        classes = day.classes.keySet().stream().mapToInt(name -> index(classNames, name, "class")).toArray();
-        plans = day.plans.keySet().stream().mapToInt(name -> index(planNames, name, "plan")).toArray();
-        classShare = day.classes.values().stream().mapToDouble(Day.ClassLoad::share).toArray();
+        classes = day.classes.keySet().stream()
+                .mapToInt(name -> index(classNames, name, "class"))
+                .toArray();
+        plans = day.plans.keySet().stream()
+                .mapToInt(name -> index(planNames, name, "plan"))
+                .toArray();
+        classShare =
+                day.classes.values().stream().mapToDouble(Day.ClassLoad::share).toArray();
         planShare = day.plans.values().stream().mapToDouble(Day.PlanLoad::share).toArray();
         weights = day.plans.values().stream().map(Clients::weights).toArray(double[][]::new);
         in = new boolean[day.nodes];
@@ -49,7 +54,8 @@
             most *= t.kind() == Day.Kind.OVERLOAD ? Math.max(1, t.strength()) : 1;
         }
         if (day.rate * most * (day.span + tail) / SECOND > Day.MOST_TRIES) {
-            throw new IllegalArgumentException("clients.rate over seconds is more than " + Day.MOST_TRIES + " requests");
+            throw new IllegalArgumentException(
+                    "clients.rate over seconds is more than " + Day.MOST_TRIES + " requests");
         }
     }
 
@@ -97,8 +103,13 @@
         if (from < replay.at().length) {
             world.time.at(replay.at()[from], () -> {
                 for (int i = from; i < replay.at().length && replay.at()[i] <= world.time.now(); i++) {
-                    ask(replay.requestClass()[i], replay.plan()[i], replay.customer()[i], replay.units()[i],
-                        replay.patience()[i], random.nextDouble());
+                    ask(
+                            replay.requestClass()[i],
+                            replay.plan()[i],
+                            replay.customer()[i],
+                            replay.units()[i],
+                            replay.patience()[i],
+                            random.nextDouble());
                 }
                 int next = from;
                 while (next < replay.at().length && replay.at()[next] <= world.time.now()) {
@@ -112,7 +123,8 @@
     private double factor() {
         double factor = 1;
         for (Day.Trouble t : day.troubles) {
-            boolean on = t.kind() == Day.Kind.OVERLOAD && world.time.now() >= t.at() && world.time.now() < t.at() + t.span();
+            boolean on =
+                    t.kind() == Day.Kind.OVERLOAD && world.time.now() >= t.at() && world.time.now() < t.at() + t.span();
             factor *= on ? t.strength() : 1;
         }
         return factor;
@@ -133,7 +145,13 @@
             int customer = find(weights[p], random.nextDouble());
             double units = units(random.nextDouble()), waits = random.nextDouble(), work = random.nextDouble();
             if (comes) {
-                ask(classes[c], plans[p], (plans[p] + 1L) << 24 | customer + 1, units, patience(classes[c], waits), work);
+                ask(
+                        classes[c],
+                        plans[p],
+                        (plans[p] + 1L) << 24 | customer + 1,
+                        units,
+                        patience(classes[c], waits),
+                        work);
             }
             next();
         });
@@ -145,10 +163,19 @@
             if (world.time.now() < Math.min(t.at() + t.span(), day.span + tail)) {
                 int plan = plans[0];
                 for (int each : plans) {
-                    plan = world.settings.plans().get(each).rate() < world.settings.plans().get(plan).rate() ? each : plan;
+                    plan = world.settings.plans().get(each).rate()
+                                    < world.settings.plans().get(plan).rate()
+                            ? each
+                            : plan;
                 }
                 int c = classes[pick(classShare, extra.nextDouble())];
-                ask(c, plan, (plan + 1L) << 24, units(extra.nextDouble()), patience(c, extra.nextDouble()), extra.nextDouble());
+                ask(
+                        c,
+                        plan,
+                        (plan + 1L) << 24,
+                        units(extra.nextDouble()),
+                        patience(c, extra.nextDouble()),
+                        extra.nextDouble());
                 heavy(t);
             }
         });
@@ -178,7 +205,8 @@
 
     private long patience(int requestClass, double at) {
         double part = day.patience[0] + at * (day.patience[1] - day.patience[0]);
-        return Math.max(20 * MS, (long) (part * world.settings.classes().get(requestClass).deadline()));
+        return Math.max(20 * MS, (long)
+                (part * world.settings.classes().get(requestClass).deadline()));
     }
 
     private void ask(int requestClass, int plan, long customer, double units, long patience, double work) {
@@ -186,8 +214,16 @@
             throw new IllegalArgumentException("class." + classNames[requestClass] + " is missing: it was recorded");
         }
         long now = world.time.now();
-        Ask made = new Ask(number++, requestClass, plan, customer, units, patience, now, work,
-            now >= day.warmUp && now < day.span);
+        Ask made = new Ask(
+                number++,
+                requestClass,
+                plan,
+                customer,
+                units,
+                patience,
+                now,
+                work,
+                now >= day.warmUp && now < day.span);
         world.tally.asked(made, world.work(made));
         attempt(made);
     }
@@ -197,7 +233,8 @@
     }
 
     private Node pick(Ask ask) {
-        int first = first(ask.customer), start = (int) (world.chance.one("front", ask.number * 16L + ask.tries) * day.spread);
+        int first = first(ask.customer),
+                start = (int) (world.chance.one("front", ask.number * 16L + ask.tries) * day.spread);
         for (int i = 0; i < day.spread; i++) {
             int at = (first + (start + i) % day.spread) % day.nodes;
             if (in[at]) {
--- a/src/main/java/rushpin/model/Comparison.java
+++ b/src/main/java/rushpin/model/Comparison.java
@@ -20,19 +20,20 @@
     private static final double POWER = 0.8;
 
     /** What came out. */
-    public enum Verdict { A, B, CANNOT_TELL }
+    public enum Verdict {
+        A,
+        B,
+        CANNOT_TELL
+    }
 
     /** One figure of both choices: means, and what is known of the difference, B less A. */
-    public record Figure(String name, double a, double b, SignedRank difference, double level) {
-    }
+    public record Figure(String name, double a, double b, SignedRank difference, double level) {}
 
     /** A run that has no figures, by its seed. */
-    public record Failure(boolean ofA, long seed, String why) {
-    }
+    public record Failure(boolean ofA, long seed, String why) {}
 
     /** A seed, and a side's {@link #FIGURE} there. */
-    public record Worst(long seed, double service) {
-    }
+    public record Worst(long seed, double service) {}
 
     private final double level, halfWidth;
     private final int first, budget;
@@ -129,8 +130,9 @@
             return List.of();
         }
         for (String name : runsA.get(0).keySet()) {
-            if (shown(name) && runsA.stream().allMatch(run -> run.get(name) instanceof Double)
-                && runsB.stream().allMatch(run -> run.get(name) instanceof Double)) {
+            if (shown(name)
+                    && runsA.stream().allMatch(run -> run.get(name) instanceof Double)
+                    && runsB.stream().allMatch(run -> run.get(name) instanceof Double)) {
                 names.add(name);
             }
         }
@@ -142,7 +144,8 @@
     }
 
     private static boolean shown(String name) {
-        return !name.startsWith("servers.") && !List.of("events", "tries", "asks", "breaches").contains(name);
+        return !name.startsWith("servers.")
+                && !List.of("events", "tries", "asks", "breaches").contains(name);
     }
 
     private Figure figure(String name, double at) {
@@ -151,7 +154,8 @@
 
     /** In how many seeds a side broke a rule. */
     public int broken(boolean ofA) {
-        return (int) (ofA ? runsA : runsB).stream().filter(run -> number(run, "breaches") > 0).count();
+        return (int) (ofA ? runsA : runsB)
+                .stream().filter(run -> number(run, "breaches") > 0).count();
     }
 
     /** The first broken rule of a side, with its seed; empty if it kept them. */
@@ -188,7 +192,8 @@
         failures.forEach(f -> said.add((f.ofA() ? "A" : "B") + " failed at seed " + f.seed() + ": " + f.why()));
         for (boolean a : new boolean[] {true, false}) {
             if (broken(a) > 0) {
-                said.add((a ? "A" : "B") + " broke a rule in " + broken(a) + " of " + seeds.size() + " seeds, " + breach(a));
+                said.add((a ? "A" : "B") + " broke a rule in " + broken(a) + " of " + seeds.size() + " seeds, "
+                        + breach(a));
             }
         }
         if (out(true) && out(false)) {
@@ -196,9 +201,12 @@
         } else if (said.isEmpty() && !seeds.isEmpty()) {
             SignedRank of = SignedRank.of(differences(FIGURE), level);
             if (!of.differs()) {
-                said.add(Double.isInfinite(of.low()) ? seeds.size() + " seeds can tell nothing at this level"
-                    : "with " + seeds.size() + " seeds a difference in " + FIGURE + " of " + String.format(java.util.Locale.ROOT,
-                        "%.4f", least()) + " would be found in " + (int) (POWER * 100) + " of 100 comparisons");
+                said.add(
+                        Double.isInfinite(of.low())
+                                ? seeds.size() + " seeds can tell nothing at this level"
+                                : "with " + seeds.size() + " seeds a difference in " + FIGURE + " of "
+                                        + String.format(java.util.Locale.ROOT, "%.4f", least()) + " would be found in "
+                                        + (int) (POWER * 100) + " of 100 comparisons");
             }
         }
         return said;
@@ -207,7 +215,9 @@
     /** The least difference in {@link #FIGURE} that so many seeds find in 80 of 100 comparisons. */
     public double least() {
         DescriptiveStatistics of = new DescriptiveStatistics(differences(FIGURE));
-        return (z((1 + level) / 2) + z(POWER)) * of.getStandardDeviation() * Math.sqrt(EFFICIENCY / Math.max(1, seeds.size()));
+        return (z((1 + level) / 2) + z(POWER))
+                * of.getStandardDeviation()
+                * Math.sqrt(EFFICIENCY / Math.max(1, seeds.size()));
     }
 
     /** The worst seed of a side by {@link #FIGURE}; null if none was played. */
--- a/src/main/java/rushpin/model/Day.java
+++ b/src/main/java/rushpin/model/Day.java
@@ -15,8 +15,16 @@
     static final int MOST_TRIES = 2_000_000;
     /** What can go wrong, as a trouble's {@code kind}. */
     enum Kind {
-        NODES_DIE, SERVERS_FAIL_FAST, SERVERS_SLOW, SERVERS_PAUSE, SERVERS_REPLACED, ZONE_LOST, COUNTER_SILENT, COUNTER_BLANK,
-        OVERLOAD, HEAVY_CUSTOMER;
+        NODES_DIE,
+        SERVERS_FAIL_FAST,
+        SERVERS_SLOW,
+        SERVERS_PAUSE,
+        SERVERS_REPLACED,
+        ZONE_LOST,
+        COUNTER_SILENT,
+        COUNTER_BLANK,
+        OVERLOAD,
+        HEAVY_CUSTOMER;
 
         String word() {
             return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
@@ -28,21 +36,19 @@
     }
 
     /** A trouble: from when, for how long, of which part, how strong. */
-    record Trouble(Kind kind, long at, long span, double part, double strength, int zone, boolean counter) {
-    }
+    record Trouble(Kind kind, long at, long span, double part, double strength, int zone, boolean counter) {}
 
     /** Requests of a class: their part of all, and the work of one. */
-    record ClassLoad(double share, Work work) {
-    }
+    record ClassLoad(double share, Work work) {}
 
     /** Customers of a plan: their part of all requests, how many, and by how much the first ask more than the last. */
-    record PlanLoad(double share, int customers, double skew) {
-    }
+    record PlanLoad(double share, int customers, double skew) {}
 
     final long span, warmUp;
     final int nodes, spread, zones;
     /** What a node adds to a try, half of it before the module and half behind. */
     final Work node;
+
     final double[] notice;
     final int servers, cores, line;
     final boolean cancelStops;
@@ -57,6 +63,7 @@
     final long retryWait;
     /** A client that finds a node dead tries to connect once more after so long. */
     final long reconnect;
+
     final boolean heed;
     final double[] patience;
     final double unitsMean;
@@ -111,8 +118,12 @@
             classes.put(name, new ClassLoad(p.number("class." + name + ".share", Double.NaN, 0, 1), work));
         }
         for (String name : p.below("plan.")) {
-            plans.put(name, new PlanLoad(p.number("plan." + name + ".share", Double.NaN, 0, 1),
-                p.whole("plan." + name + ".customers", Double.NaN, 1, 1_000_000), p.number("plan." + name + ".skew", 0, 0, 4)));
+            plans.put(
+                    name,
+                    new PlanLoad(
+                            p.number("plan." + name + ".share", Double.NaN, 0, 1),
+                            p.whole("plan." + name + ".customers", Double.NaN, 1, 1_000_000),
+                            p.number("plan." + name + ".skew", 0, 0, 4)));
         }
         if (classes.isEmpty() || plans.isEmpty()) {
             p.fault(classes.isEmpty() ? "class" : "plan", "a table for each, [class.NAME] and [plan.NAME]");
@@ -150,11 +161,14 @@
             case NODES_DIE, SERVERS_FAIL_FAST, SERVERS_SLOW, SERVERS_PAUSE, SERVERS_REPLACED -> true;
             default -> false;
         };
-        troubles.add(new Trouble(kind, p.span(at + "at-s", Double.NaN, HOUR_S * 2) * 1_000,
-            kind == Kind.COUNTER_BLANK ? 0 : p.span(at + "for-s", Double.NaN, HOUR_S * 2) * 1_000,
-            parts ? p.number(at + "part", Double.NaN, 0, 1) : 0, strength,
-            kind == Kind.ZONE_LOST ? p.whole(at + "zone", 0, 0, zones - 1) : 0,
-            kind == Kind.ZONE_LOST && p.flag(at + "counter", false)));
+        troubles.add(new Trouble(
+                kind,
+                p.span(at + "at-s", Double.NaN, HOUR_S * 2) * 1_000,
+                kind == Kind.COUNTER_BLANK ? 0 : p.span(at + "for-s", Double.NaN, HOUR_S * 2) * 1_000,
+                parts ? p.number(at + "part", Double.NaN, 0, 1) : 0,
+                strength,
+                kind == Kind.ZONE_LOST ? p.whole(at + "zone", 0, 0, zones - 1) : 0,
+                kind == Kind.ZONE_LOST && p.flag(at + "counter", false)));
     }
 
     /** Reads the pairs; an {@link IllegalArgumentException} names all that is wrong. */
@@ -170,7 +184,10 @@
     /** What all work asked for takes of the servers, from 0: above 1 the day can't be served. */
     public double load() {
         double share = classes.values().stream().mapToDouble(ClassLoad::share).sum();
-        double mean = classes.values().stream().mapToDouble(c -> c.share * c.work.mean()).sum() / Math.max(1e-9, share);
+        double mean = classes.values().stream()
+                        .mapToDouble(c -> c.share * c.work.mean())
+                        .sum()
+                / Math.max(1e-9, share);
         return rate * mean / 1e3 / (servers * (double) cores);
     }
 }
--- a/src/main/java/rushpin/model/Node.java
+++ b/src/main/java/rushpin/model/Node.java
@@ -21,6 +21,7 @@
     private static final long MS = 1_000_000L;
     /** The module sees each deadline so much early, and what it leaves open is failed so long before the end. */
     private static final long MARGIN = 12 * MS, LAST_MOMENT = 6 * MS;
+
     private static final long KEEP_ALIVE = 10_000 * MS;
 
     /** Where a try's one answer goes: status 200, 429, 500, or 0 if the node has died. */
@@ -89,6 +90,7 @@
     private final Map<Long, Deque<Tallies.Call>> lines = new HashMap<>();
     /** The list as this node has it, over its restarts. */
     private final Map<String, Server> list = new LinkedHashMap<>();
+
     private Ports.Events gateway;
     private boolean alive;
     private int lives;
@@ -109,7 +111,8 @@
     void start() {
         alive = true;
         lives++;
-        gateway = world.module.make(settings, world.chance.stream("node " + number, lives).nextLong(), world.time.now(), this);
+        gateway = world.module.make(
+                settings, world.chance.stream("node " + number, lives).nextLong(), world.time.now(), this);
         gateway.list(world.time.now(), ListKind.CACHED, List.copyOf(list.values()));
         world.time.after(world.day.oneWay, () -> {
             if (alive) {
@@ -161,8 +164,16 @@
     /** A try has come whole. */
     void take(Ask ask, int spread, int first, Client client) {
         long now = world.time.now(), due = now + ask.patience;
-        Request request = new Request(ask.id(), ask.requestClass, ask.plan, ask.customer, due - MARGIN, ask.units, spread, first,
-            ask.tries > 0);
+        Request request = new Request(
+                ask.id(),
+                ask.requestClass,
+                ask.plan,
+                ask.customer,
+                due - MARGIN,
+                ask.units,
+                spread,
+                first,
+                ask.tries > 0);
         Open made = new Open(ask, client, request);
         int life = lives;
         open.put(request.id(), made);
@@ -178,7 +189,8 @@
 
     private void answer(Open of, int status, long retryAfter) {
         of.answered = true;
-        world.time.after(world.nodeSpan(of.ask) / 2 + world.day.oneWay, () -> of.client.answered(status, retryAfter, of.within));
+        world.time.after(
+                world.nodeSpan(of.ask) / 2 + world.day.oneWay, () -> of.client.answered(status, retryAfter, of.within));
     }
 
     private void settle(Open of) {
@@ -278,8 +290,17 @@
             world.tally.good(of.ask, out.work);
             answer(of, 200, 0);
         }
-        gateway.attemptEnded(now, new Result(of.request.id(), outcome, now - out.sentAt, out.station.id, of.answered,
-            of.attempts - 1, 0, List.of()));
+        gateway.attemptEnded(
+                now,
+                new Result(
+                        of.request.id(),
+                        outcome,
+                        now - out.sentAt,
+                        out.station.id,
+                        of.answered,
+                        of.attempts - 1,
+                        0,
+                        List.of()));
         settle(of);
     }
 
@@ -322,8 +343,12 @@
         long took = 2 * way(station);
         world.time.after(took, () -> {
             if (alive && life == lives) {
-                gateway.probed(world.time.now(), server, station.isUp() && !station.isSilent() ? Outcome.OK
-                    : Outcome.CONNECT_FAILED, took, List.of());
+                gateway.probed(
+                        world.time.now(),
+                        server,
+                        station.isUp() && !station.isSilent() ? Outcome.OK : Outcome.CONNECT_FAILED,
+                        took,
+                        List.of());
             }
         });
     }
--- a/src/main/java/rushpin/model/Pairs.java
+++ b/src/main/java/rushpin/model/Pairs.java
@@ -18,7 +18,8 @@
     }
 
     void fault(String key, String allowed) {
-        faults.add(key + " is " + (pairs.containsKey(key) ? "\"" + pairs.get(key) + "\"" : "missing") + "; allowed: " + allowed);
+        faults.add(key + " is " + (pairs.containsKey(key) ? "\"" + pairs.get(key) + "\"" : "missing") + "; allowed: "
+                + allowed);
     }
 
     String text(String key, String otherwise) {
