--- a/src/main/java/rushpin/model/Play.java
+++ b/src/main/java/rushpin/model/Play.java
@@ -9,8 +9,7 @@
 
 /** One run from one call. Only types of the platform pass, so that the module of another build can be played the same way. */
 public final class Play {
-    private Play() {
-    }
+    private Play() {}
 
     /**
      * Plays a day.
@@ -23,12 +22,19 @@
      * @return figures by name: numbers, series of numbers, and texts
      * @throws IllegalArgumentException if settings or day can't be used
      */
-    public static Map<String, Object> play(Map<String, String> settings, Map<String, String> day, double[][] columns,
-                                           long[] customers, long seed) {
+    public static Map<String, Object> play(
+            Map<String, String> settings, Map<String, String> day, double[][] columns, long[] customers, long seed) {
         Settings read = SettingsReader.read(settings);
         Replay replay = columns == null ? null : Replay.of(columns, customers);
-        return new World(read, names(settings, "classes"), names(settings, "tariffs"), Day.of(day), replay, seed,
-            Gateway::new).play();
+        return new World(
+                        read,
+                        names(settings, "classes"),
+                        names(settings, "tariffs"),
+                        Day.of(day),
+                        replay,
+                        seed,
+                        Gateway::new)
+                .play();
     }
 
     /** The names of a list in the settings, in their order. */
--- a/src/main/java/rushpin/model/SignedRank.java
+++ b/src/main/java/rushpin/model/SignedRank.java
@@ -39,8 +39,8 @@
         double middle = (means[(means.length - 1) / 2] + means[means.length / 2]) / 2;
         double p = Math.min(1, 2 * atMost[Math.min(below, above)]);
         return outside < 0 || outside > means.length - 1 - outside
-            ? new SignedRank(Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, middle, p)
-            : new SignedRank(means[outside], means[means.length - 1 - outside], middle, p);
+                ? new SignedRank(Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, middle, p)
+                : new SignedRank(means[outside], means[means.length - 1 - outside], middle, p);
     }
 
     /** Whether 0 lies outside the interval. */
--- a/src/main/java/rushpin/model/Station.java
+++ b/src/main/java/rushpin/model/Station.java
@@ -17,6 +17,7 @@
         final long work;
         /** What decides whether a server that fails at times fails this one. */
         final double luck;
+
         private long cameAt, endsAt;
         private int generation;
         private boolean waiting, running;
@@ -28,18 +29,17 @@
         }
 
         /** It runs: from here on it may have had its effect. */
-        void begins() {
-        }
+        void begins() {}
 
         /** The server has answered, or its end has broken the connection. */
-        void ends(Outcome outcome) {
-        }
+        void ends(Outcome outcome) {}
     }
 
     final String id;
     final int zone, cell;
     /** When it last started; 0 for long ago. */
     long startedAt;
+
     private final Timeline time;
     private final Rules rules;
     private final int cores, line;
@@ -52,14 +52,25 @@
     private long pausedFrom, pausedUntil;
     /** What has come while it was cold, in the span of the rule: when, and how much work. */
     private final ArrayDeque<double[]> pushes = new ArrayDeque<>();
+
     private double pushed;
     /** What was seen: requests present over time, their spans here, work done, in nanoseconds. */
     private double presentNanos, sojournNanos, busyNanos;
+
     private int present;
     private long presentSince, arrived;
 
     /** A warm server; {@code fell} hears when it is pushed over. */
-    Station(String id, int zone, int cell, Timeline time, Rules rules, int cores, int line, boolean cancelStops, Runnable fell) {
+    Station(
+            String id,
+            int zone,
+            int cell,
+            Timeline time,
+            Rules rules,
+            int cores,
+            int line,
+            boolean cancelStops,
+            Runnable fell) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
@@ -119,7 +130,9 @@
             one.waiting = false;
             broken(one);
         }
-        for (Visit one : running.stream().sorted((a, b) -> Long.compare(a.endsAt, b.endsAt)).toList()) {
+        for (Visit one : running.stream()
+                .sorted((a, b) -> Long.compare(a.endsAt, b.endsAt))
+                .toList()) {
             busyNanos -= one.endsAt - time.now();
             one.running = false;
             one.generation++;
@@ -138,8 +151,9 @@
     /** The part of its capacity that it has now. */
     double warmth() {
         double since = time.now() - startedAt;
-        return startedAt == 0 || since >= rules.coldSpan() ? 1
-            : Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * since / Math.max(1, rules.coldSpan()));
+        return startedAt == 0 || since >= rules.coldSpan()
+                ? 1
+                : Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * since / Math.max(1, rules.coldSpan()));
     }
 
     private void count(int by) {
@@ -261,7 +275,7 @@
     double[] little() {
         count(0);
         double still = waiting.stream().mapToDouble(v -> time.now() - v.cameAt).sum()
-            + running.stream().mapToDouble(v -> time.now() - v.cameAt).sum();
+                + running.stream().mapToDouble(v -> time.now() - v.cameAt).sum();
         return new double[] {presentNanos / 1e9, (sojournNanos + still) / 1e9};
     }
 
--- a/src/main/java/rushpin/model/Tallies.java
+++ b/src/main/java/rushpin/model/Tallies.java
@@ -14,8 +14,7 @@
     private static final int MOST_NAMES = 200_000;
     private static final long MOST_LIFE = 60_000_000_000L;
 
-    private record Number(double total, long until) {
-    }
+    private record Number(double total, long until) {}
 
     /** A call that is out, and where its answer goes. */
     static final class Call {
@@ -87,8 +86,9 @@
             numbers.values().removeIf(number -> number.until < now);
         }
         Number before = numbers.get(name);
-        Number after = before == null || before.until < now ? new Number(amount, now + Math.min(MOST_LIFE, lifetime))
-            : new Number(before.total + amount, before.until);
+        Number after = before == null || before.until < now
+                ? new Number(amount, now + Math.min(MOST_LIFE, lifetime))
+                : new Number(before.total + amount, before.until);
         numbers.put(name, after);
         return after.total;
     }
--- a/src/main/java/rushpin/model/Tally.java
+++ b/src/main/java/rushpin/model/Tally.java
@@ -22,6 +22,7 @@
     private static final double LATE_FAILS = 0.05, WASTE = 0.03, CROSSING = 0.01, CALLS = 0.02;
     /** A window, class or plan with less of the mean worth than this says nothing. */
     private static final double ENOUGH = 0.1;
+
     private static final long HIGHEST_US = 120_000_000L;
 
     /** A customer's quota as the users hold it: what is asked for, and what is sent on, each against its own store. */
@@ -64,11 +65,14 @@
     }
 
     private Account account(Ask ask) {
-        return accounts.computeIfAbsent(ask.customer, c -> new Account(settings.plans().get(ask.plan).burst()));
+        return accounts.computeIfAbsent(
+                ask.customer, c -> new Account(settings.plans().get(ask.plan).burst()));
     }
 
     private double worth(Ask ask) {
-        return settings.classes().get(ask.requestClass).worth() * settings.plans().get(ask.plan).price() * ask.units;
+        return settings.classes().get(ask.requestClass).worth()
+                * settings.plans().get(ask.plan).price()
+                * ask.units;
     }
 
     private int second(Ask ask) {
@@ -171,7 +175,9 @@
     }
 
     private double worstWindow() {
-        double mean = Arrays.stream(asked).sum() / Math.max(1, seconds - warmSeconds) * Math.min(WINDOW_S, seconds - warmSeconds);
+        double mean = Arrays.stream(asked).sum()
+                / Math.max(1, seconds - warmSeconds)
+                * Math.min(WINDOW_S, seconds - warmSeconds);
         double worst = 1;
         for (int from = warmSeconds; from + Math.min(WINDOW_S, seconds - warmSeconds) <= seconds; from++) {
             double a = 0, e = 0;
@@ -202,10 +208,17 @@
         double window = worstWindow();
         double n = Math.max(1, asks);
         double waste = Math.max(0, workDone - goodWork) / Math.max(1, workAsked);
-        double price = LATE_FAILS * lateFails / n + WASTE * Math.min(1, waste) + CROSSING * Math.min(1, crossings / n)
-            + CALLS * Math.min(1, calls / Math.max(1.0, tries));
-        to.put("service", WHOLE * whole + WORST * window + CLASS * worst(classEarned, classAsked)
-            + PLAN * worst(planEarned, planAsked) - price);
+        double price = LATE_FAILS * lateFails / n
+                + WASTE * Math.min(1, waste)
+                + CROSSING * Math.min(1, crossings / n)
+                + CALLS * Math.min(1, calls / Math.max(1.0, tries));
+        to.put(
+                "service",
+                WHOLE * whole
+                        + WORST * window
+                        + CLASS * worst(classEarned, classAsked)
+                        + PLAN * worst(planEarned, planAsked)
+                        - price);
         to.put("whole", whole);
         to.put("worst-10s", window);
         for (int i = 0; i < classAsked.length; i++) {
@@ -253,6 +266,7 @@
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%d asked, %d served, %d refused, %d failed, %d unheard", asks, ok, refused, failed, none);
+        return String.format(
+                Locale.ROOT, "%d asked, %d served, %d refused, %d failed, %d unheard", asks, ok, refused, failed, none);
     }
 }
--- a/src/main/java/rushpin/model/Timeline.java
+++ b/src/main/java/rushpin/model/Timeline.java
@@ -47,7 +47,8 @@
             Event next = events.poll();
             atOnce = next.at == now ? atOnce + 1 : 0;
             if (atOnce > MOST_AT_ONCE) {
-                throw new IllegalStateException("more than " + MOST_AT_ONCE + " events at " + now / 1e9 + " s: it goes round");
+                throw new IllegalStateException(
+                        "more than " + MOST_AT_ONCE + " events at " + now / 1e9 + " s: it goes round");
             }
             now = next.at;
             done++;
--- a/src/main/java/rushpin/model/Work.java
+++ b/src/main/java/rushpin/model/Work.java
@@ -19,7 +19,7 @@
 public final class Work {
     /** The families, as a text begins. */
     public static final List<String> FAMILIES =
-        List.of("exponential", "uniform", "normal", "lognormal", "gamma", "weibull");
+            List.of("exponential", "uniform", "normal", "lognormal", "gamma", "weibull");
     /** Quantiles beyond these are not asked for: some families have no end. */
     private static final double LEAST = 1e-9;
 
@@ -48,8 +48,10 @@
             case "fixed", "exponential" -> 1;
             case "uniform", "normal", "lognormal", "gamma", "weibull" -> 2;
             case "quantiles" -> Math.max(2, figures.length);
-            default -> throw new IllegalArgumentException("\"" + parts[0] + "\" is no family of distributions; allowed: fixed, "
-                + "quantiles, " + String.join(", ", FAMILIES));
+            default ->
+                throw new IllegalArgumentException(
+                        "\"" + parts[0] + "\" is no family of distributions; allowed: fixed, " + "quantiles, "
+                                + String.join(", ", FAMILIES));
         };
         if (figures.length != wanted) {
             throw new IllegalArgumentException(parts[0] + " wants " + wanted + " figures");
--- a/src/main/java/rushpin/model/World.java
+++ b/src/main/java/rushpin/model/World.java
@@ -41,13 +41,20 @@
     private final Work[] work;
     /** By the fleet, for answers, effects, ceilings and cold servers; by node, for drains. */
     private final Records records = new Records(), drains = new Records();
+
     private final Map<String, Long> drainsTold = new HashMap<>();
     private final Clients clients;
     private long nextTell;
     private int replaced;
 
-    World(Settings settings, List<String> classNames, List<String> planNames, Day day, Replay replay, long seed,
-          Module module) {
+    World(
+            Settings settings,
+            List<String> classNames,
+            List<String> planNames,
+            Day day,
+            Replay replay,
+            long seed,
+            Module module) {
         this.module = module;
         this.settings = settings;
         this.classNames = classNames;
@@ -55,7 +62,11 @@
         this.day = day;
         chance = new Chance(seed);
         tally = new Tally(settings, classNames, planNames, day.span, day.warmUp);
-        counter = new Tallies(time, day.counterParts, day.countSpan, Math.max(1, settings.counter().timeout()));
+        counter = new Tallies(
+                time,
+                day.counterParts,
+                day.countSpan,
+                Math.max(1, settings.counter().timeout()));
         work = new Work[classNames.size()];
         for (int i = 0; i < work.length; i++) {
             Day.ClassLoad load = day.classes.get(classNames.get(i));
@@ -73,13 +84,31 @@
     }
 
     private Settings mine(int number) {
-        return new Settings(number, day.nodes, number % day.zones, settings.tick(), settings.sizesTell(), settings.reports(),
-            settings.classes(), settings.plans(), settings.limits(), settings.counter(), settings.rules());
+        return new Settings(
+                number,
+                day.nodes,
+                number % day.zones,
+                settings.tick(),
+                settings.sizesTell(),
+                settings.reports(),
+                settings.classes(),
+                settings.plans(),
+                settings.limits(),
+                settings.counter(),
+                settings.rules());
     }
 
     private Station add(String id, int zone) {
-        Station made = new Station(id, zone, zone, time, settings.rules(), day.cores, day.line, day.cancelStops,
-            () -> records.add(new Records.Fall(FLEET, id, time.now())));
+        Station made = new Station(
+                id,
+                zone,
+                zone,
+                time,
+                settings.rules(),
+                day.cores,
+                day.line,
+                day.cancelStops,
+                () -> records.add(new Records.Fall(FLEET, id, time.now())));
         stations.put(id, made);
         living.add(made);
         return made;
@@ -134,9 +163,20 @@
 
     /** What a client saw. */
     void exchange(Ask ask, String id, long at, int status) {
-        records.add(new Records.Exchange(FLEET, id, ask.key(), classNames.get(ask.requestClass), Long.toHexString(ask.customer),
-            planNames.get(ask.plan), ask.units, at, ask.patience, status == 0 ? Records.NONE : status, time.now(), true,
-            status == 0));
+        records.add(new Records.Exchange(
+                FLEET,
+                id,
+                ask.key(),
+                classNames.get(ask.requestClass),
+                Long.toHexString(ask.customer),
+                planNames.get(ask.plan),
+                ask.units,
+                at,
+                ask.patience,
+                status == 0 ? Records.NONE : status,
+                time.now(),
+                true,
+                status == 0));
     }
 
     /** The whole list as discovery has it, for a node that asks. */
@@ -187,7 +227,11 @@
         List<Judge.Breach> breaches = new ArrayList<>(Judge.judge(records, rules()));
         breaches.addAll(Judge.judge(drains, rules()));
         result.put("breaches", (double) breaches.size());
-        result.put("breach", breaches.isEmpty() ? "" : breaches.get(0).rule() + ": " + breaches.get(0).what());
+        result.put(
+                "breach",
+                breaches.isEmpty()
+                        ? ""
+                        : breaches.get(0).rule() + ": " + breaches.get(0).what());
         return result;
     }
 
@@ -196,12 +240,14 @@
         Map<String, Judge.Ceiling> ceilings = new HashMap<>();
         for (int i = 0; i < classNames.size(); i++) {
             RequestClass spec = settings.classes().get(i);
-            kinds.put(classNames.get(i), new Judge.Kind(spec.repeat() == Repeat.SAFE, spec.repeat() == Repeat.KEYED,
-                spec.keyWindow()));
+            kinds.put(
+                    classNames.get(i),
+                    new Judge.Kind(spec.repeat() == Repeat.SAFE, spec.repeat() == Repeat.KEYED, spec.keyWindow()));
         }
         for (int i = 0; i < planNames.size(); i++) {
             var plan = settings.plans().get(i);
-            ceilings.put(planNames.get(i), new Judge.Ceiling(plan.ceilingRate(), plan.ceilingBurst(), plan.ceilingSlack()));
+            ceilings.put(
+                    planNames.get(i), new Judge.Ceiling(plan.ceilingRate(), plan.ceilingBurst(), plan.ceilingSlack()));
         }
         return new Judge.Rules(kinds, ceilings, DRAIN_GRACE);
     }
@@ -218,16 +264,17 @@
     private void begin(Day.Trouble t) {
         switch (t.kind()) {
             case NODES_DIE -> part(nodes, t.part(), t).forEach(node -> kill(node, t.span()));
-            case SERVERS_FAIL_FAST -> part(living, t.part(), t).forEach(s -> during(t, () -> s.failing(t.strength()),
-                () -> s.failing(0)));
-            case SERVERS_SLOW -> part(living, t.part(), t).forEach(s -> during(t, () -> s.slow(t.strength()), () -> s.slow(1)));
+            case SERVERS_FAIL_FAST ->
+                part(living, t.part(), t).forEach(s -> during(t, () -> s.failing(t.strength()), () -> s.failing(0)));
+            case SERVERS_SLOW ->
+                part(living, t.part(), t).forEach(s -> during(t, () -> s.slow(t.strength()), () -> s.slow(1)));
             case SERVERS_PAUSE -> part(living, t.part(), t).forEach(s -> s.pause(time.now() + t.span()));
             case SERVERS_REPLACED -> replace(part(living, t.part(), t), t.span());
             case ZONE_LOST -> loseZone(t);
             case COUNTER_SILENT -> during(t, () -> counter.silent(true), () -> counter.silent(false));
             case COUNTER_BLANK -> counter.blank();
             // The clients know of these two from the start.
-            case OVERLOAD, HEAVY_CUSTOMER -> { }
+            case OVERLOAD, HEAVY_CUSTOMER -> {}
         }
     }
 
@@ -284,7 +331,8 @@
         }
         time.after(t.span(), () -> {
             // What was on its way out does not come back.
-            for (Station each : lost.stream().filter(s -> !drainsTold.containsKey(s.id)).toList()) {
+            for (Station each :
+                    lost.stream().filter(s -> !drainsTold.containsKey(s.id)).toList()) {
                 each.start();
                 living.add(each);
                 tell(each, Readiness.READY);
--- a/src/main/java/rushpin/net/AnswerHandler.java
+++ b/src/main/java/rushpin/net/AnswerHandler.java
@@ -32,6 +32,7 @@
     private boolean spoilt;
     /** Where the pieces of a long answer go; else null. */
     private Passage passage;
+
     private long length, passed;
 
     /** Takes answers of so many bytes at most. */
@@ -69,8 +70,14 @@
 
     /** Passes on what has come of an answer of unknown or great length; false if there is none. */
     final boolean openEarly() {
-        boolean may = !spoilt && head != null && passage == null && longest > most && body.size() > 0 && !isInformational()
-            && head.status().code() == 200 && (length > most || length < 0);
+        boolean may = !spoilt
+                && head != null
+                && passage == null
+                && longest > most
+                && body.size() > 0
+                && !isInformational()
+                && head.status().code() == 200
+                && (length > most || length < 0);
         if (may) {
             open(Unpooled.EMPTY_BUFFER);
         }
@@ -120,8 +127,9 @@
         if (part instanceof HttpResponse begun) {
             head = begun;
             length = HttpUtil.getContentLength(begun, -1L);
-            if (isInformational() ? begun.status().code() == 101 || ++informational > MOST_INFORMATIONAL
-                : !isFramed(begun)) {
+            if (isInformational()
+                    ? begun.status().code() == 101 || ++informational > MOST_INFORMATIONAL
+                    : !isFramed(begun)) {
                 spoil();
                 return;
             }
--- a/src/main/java/rushpin/net/ArrivalTimes.java
+++ b/src/main/java/rushpin/net/ArrivalTimes.java
@@ -15,8 +15,7 @@
     private static final long TOGETHER = 10_000_000L;
 
     /** The bytes up to a place in the stream arrived after a moment. */
-    private record Read(long end, long after) {
-    }
+    private record Read(long end, long after) {}
 
     private final ArrayDeque<Read> reads = new ArrayDeque<>();
     private long end;
--- a/src/main/java/rushpin/net/ByteBudget.java
+++ b/src/main/java/rushpin/net/ByteBudget.java
@@ -7,6 +7,7 @@
 public final class ByteBudget {
     /** Usual requests are small. They have the last quarter to themselves. */
     private static final int SMALL = 4 * 1024;
+
     private static final long LEAST = 1L << 20, MOST = 8L << 20;
 
     private final long most;
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -63,6 +63,7 @@
     private static final long LINGER = 1_000 * MS;
     /** An answer up to this size has left with its write; a longer one is given so long to be taken before the close. */
     private static final int SENT_AT_ONCE = 8 * 1024;
+
     private static final long DELIVERED = 1_000 * MS;
     /** A look that comes so late was kept from it by more than a busy loop. */
     private static final long STOOD = 4 * SWEEP;
@@ -77,6 +78,7 @@
     private static final long NEGLIGIBLE_AGE = 50 * MS;
     /** The same at the end, when what waits in the queue is taken: how soon, and how often in all. */
     private static final long TAKE_AGAIN = 5 * MS;
+
     private static final int MOST_TAKES = 20;
     /** For how long requests are decoded before the loop looks at its sockets again. */
     private static final long SLICE = MS;
@@ -95,6 +97,7 @@
     private final int most, mostKept;
     /** Where several pools share this loop: whose connection is read next; else null, and each is as it comes. */
     private final Turns<Session> turns;
+
     private final LoopWatch watch;
     private long swept = System.nanoTime();
     private boolean turning;
@@ -104,10 +107,12 @@
     private long untaken = System.nanoTime() - 2 * AGAIN;
     /** Accepting has failed, and goes on in a moment. */
     private boolean pausing;
+
     private Channel listening;
     private final Acceptor acceptor;
     /** The listening socket if it is this process's own, be it beside others' at the same address; else null. */
     private ServerSocketChannel own;
+
     private boolean draining;
     private long drainingSince;
     private boolean stopped;
@@ -119,14 +124,20 @@
      *
      * @param byTurns whether the loop's time is dealt out to pools: a request is decoded when its pool's turn comes
      */
-    public ClientServer(Front node, EventLoop loop, SocketAddress listen, int sockets, ByteBudget budget,
-                        boolean byTurns) {
+    public ClientServer(
+            Front node, EventLoop loop, SocketAddress listen, int sockets, ByteBudget budget, boolean byTurns) {
         this(node, loop, listen, sockets, budget, byTurns, ServerSocketChannel::accept);
     }
 
     /** As above; accepts by way of {@code accepts}. */
-    ClientServer(Front node, EventLoop loop, SocketAddress listen, int sockets, ByteBudget budget, boolean byTurns,
-                 Acceptor.Source accepts) {
+    ClientServer(
+            Front node,
+            EventLoop loop,
+            SocketAddress listen,
+            int sockets,
+            ByteBudget budget,
+            boolean byTurns,
+            Acceptor.Source accepts) {
         acceptor = new Acceptor(accepts);
         this.node = node;
         this.budget = budget;
@@ -167,8 +178,9 @@
     /** Begins to listen. */
     public CompletableFuture<Void> bind() {
         return listen instanceof UnixDomainSocketAddress
-            ? told(accepting(Transport.listening(loop, listen).option(ChannelOption.SO_BACKLOG, BACKLOG)).bind(listen))
-            : bindOwn(false);
+                ? told(accepting(Transport.listening(loop, listen).option(ChannelOption.SO_BACKLOG, BACKLOG))
+                        .bind(listen))
+                : bindOwn(false);
     }
 
     /** Begins to listen beside other processes at the same address; each has a queue of its own. */
@@ -196,39 +208,42 @@
     }
 
     private CompletableFuture<Void> acceptAt(ChannelFactory<ServerChannel> queue) {
-        return told(accepting(new ServerBootstrap().group(loop).channelFactory(queue)
-            .childOption(ChannelOption.TCP_NODELAY, true)).register());
+        return told(accepting(new ServerBootstrap()
+                        .group(loop)
+                        .channelFactory(queue)
+                        .childOption(ChannelOption.TCP_NODELAY, true))
+                .register());
     }
 
     private ServerBootstrap accepting(ServerBootstrap bootstrap) {
         return bootstrap
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new Acceptance(this::places))
-            .handler(new ChannelInboundHandlerAdapter() {
-                @Override
-                public void channelRegistered(ChannelHandlerContext context) {
-                    if (context.channel() instanceof ListeningChannel registered) {
-                        registered.registered();
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new Acceptance(this::places))
+                .handler(new ChannelInboundHandlerAdapter() {
+                    @Override
+                    public void channelRegistered(ChannelHandlerContext context) {
+                        if (context.channel() instanceof ListeningChannel registered) {
+                            registered.registered();
+                        }
+                        context.fireChannelRegistered();
                     }
-                    context.fireChannelRegistered();
-                }
 
-                @Override
-                public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                    pauseAccepting(context.channel());
-                    if (System.nanoTime() - untaken > AGAIN) {
-                        untaken = System.nanoTime();
-                        Trouble.report("a new connection is not taken", cause);
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+                        pauseAccepting(context.channel());
+                        if (System.nanoTime() - untaken > AGAIN) {
+                            untaken = System.nanoTime();
+                            Trouble.report("a new connection is not taken", cause);
+                        }
                     }
-                }
-            })
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 1024, READ))
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    Session session = new Session(channel);
-                    channel.pipeline().addLast(session.decoder, new HttpResponseEncoder(), session);
-                }
-            });
+                })
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 1024, READ))
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        Session session = new Session(channel);
+                        channel.pipeline().addLast(session.decoder, new HttpResponseEncoder(), session);
+                    }
+                });
     }
 
     /** Those who wait are tried again when a connection has ended, or soon; the selector would ask at once. */
@@ -237,12 +252,15 @@
         // One look is enough: with one for each failure, failures would breed looks, and looks failures.
         if (!pausing) {
             pausing = true;
-            loop.schedule(() -> {
-                pausing = false;
-                if (!stopped && sessions.size() < most) {
-                    goOnAccepting(at);
-                }
-            }, AGAIN, TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        pausing = false;
+                        if (!stopped && sessions.size() < most) {
+                            goOnAccepting(at);
+                        }
+                    },
+                    AGAIN,
+                    TimeUnit.NANOSECONDS);
         }
     }
 
@@ -352,7 +370,8 @@
             takeWhatWaits(idleToo ? most - 1 - sessions.size() : BACKLOG + 1);
         } catch (IOException e) {
             if (tries > 1) {
-                // Descriptors may be wanting: those of the connections that rest are free after the selector's next pass.
+                // Descriptors may be wanting: those of the connections that rest are free after the selector's next
+                // pass.
                 leave(idleToo);
                 loop.schedule(() -> takeAndClose(idleToo, tries - 1), TAKE_AGAIN, TimeUnit.NANOSECONDS);
                 return;
@@ -387,11 +406,13 @@
             leave(idleToo);
             return;
         }
-        // A socket that a selector knows goes on taking connections after its close, until the selector's next pass, and resets them.
+        // A socket that a selector knows goes on taking connections after its close, until the selector's next pass,
+        // and resets them.
         letting = true;
         stopAcceptingFor(listening);
-        listening.deregister().addListener(let -> loop.schedule(() -> takeAndClose(idleToo, MOST_TAKES), 1,
-            TimeUnit.NANOSECONDS));
+        listening
+                .deregister()
+                .addListener(let -> loop.schedule(() -> takeAndClose(idleToo, MOST_TAKES), 1, TimeUnit.NANOSECONDS));
     }
 
     private void leave(boolean idleToo) {
@@ -481,18 +502,22 @@
         private Reply current;
         /** Where the rest of a body goes that is longer than is kept, else null. */
         private Passage upload;
+
         private final Pace pace = new Pace();
         private long length;
         /** {@code begun}: a part of a request has come; {@code asked}: a whole one has, ever. */
         private boolean begun, asked, keepAlive, closing;
         /** When the request that is coming, or else the silence, began. */
         private long since = System.nanoTime();
+
         private int held;
         /** The pool that its last request went to, whose time its next one takes; whether it waits for that. */
         private String line = "";
+
         private boolean queued;
         /** How often bytes came, and whether some that were sent are unread, so that its client may have left unseen. */
         private int reads;
+
         private boolean blind;
         /** Bytes that a turn has left as the beginning of something: no reason for another turn. */
         private int decoded, handled;
@@ -615,7 +640,11 @@
 
         /** Where loops are shared, what has come waits for its pool's turn. */
         private void queue() {
-            if (turns != null && !queued && (current == null || upload != null) && !closing && decoder.held() > decoded) {
+            if (turns != null
+                    && !queued
+                    && (current == null || upload != null)
+                    && !closing
+                    && decoder.held() > decoded) {
                 queued = true;
                 turns.add(line, this);
                 if (!turning) {
@@ -729,19 +758,23 @@
 
         /** What still comes of a body that is not kept. */
         private Passage uploadTo(EventLoop taking) {
-            return new Passage(loop, new Passage.Source() {
-                @Override
-                public void flow(boolean go) {
-                    pace.hold(!go, System.nanoTime());
-                    reads(go);
-                }
+            return new Passage(
+                    loop,
+                    new Passage.Source() {
+                        @Override
+                        public void flow(boolean go) {
+                            pace.hold(!go, System.nanoTime());
+                            reads(go);
+                        }
 
-                /** What still comes is read and dropped: its client hears the answer sooner than a reset. */
-                @Override
-                public void stopped() {
-                    flow(true);
-                }
-            }, taking, room);
+                        /** What still comes is read and dropped: its client hears the answer sooner than a reset. */
+                        @Override
+                        public void stopped() {
+                            flow(true);
+                        }
+                    },
+                    taking,
+                    room);
         }
 
         /** The client ends, or is ended, before the last byte of its request: there is none to be answered. */
@@ -765,8 +798,8 @@
             } else if (!budget.allows(Math.min(length, LEAST_KEPT))) {
                 refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
             } else if (HttpUtil.is100ContinueExpected(coming)) {
-                channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
-                    Unpooled.EMPTY_BUFFER));
+                channel.writeAndFlush(new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
 
@@ -819,8 +852,10 @@
             if (!method.equals(HttpMethod.GET)) {
                 refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
             } else {
-                write(node.ready() && !draining ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                    Unpooled.EMPTY_BUFFER, 0);
+                write(
+                        node.ready() && !draining ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        Unpooled.EMPTY_BUFFER,
+                        0);
             }
         }
 
@@ -847,8 +882,11 @@
             DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
             answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
             if (retryAfter > 0) {
-                answer.headers().set(HttpHeaderNames.RETRY_AFTER,
-                    BigDecimal.valueOf((retryAfter + MS - 1) / MS, 3).toPlainString());
+                answer.headers()
+                        .set(
+                                HttpHeaderNames.RETRY_AFTER,
+                                BigDecimal.valueOf((retryAfter + MS - 1) / MS, 3)
+                                        .toPlainString());
             }
             boolean early = dropUpload();
             closing = early || mustClose();
@@ -866,8 +904,13 @@
                 loop.schedule(() -> channel.close(), LINGER, TimeUnit.NANOSECONDS);
                 return;
             }
-            channel.writeAndFlush(answer).addListener(!closing ? ChannelFutureListener.CLOSE_ON_FAILURE
-                : content.readableBytes() > SENT_AT_ONCE ? this::closeBehind : ChannelFutureListener.CLOSE);
+            channel.writeAndFlush(answer)
+                    .addListener(
+                            !closing
+                                    ? ChannelFutureListener.CLOSE_ON_FAILURE
+                                    : content.readableBytes() > SENT_AT_ONCE
+                                            ? this::closeBehind
+                                            : ChannelFutureListener.CLOSE);
             if (!closing) {
                 loop.execute(this::next);
             }
@@ -1032,6 +1075,7 @@
             private boolean taken;
             /** A long answer that goes through, and who hears of its end. */
             private Passage passage;
+
             private Consumer<Boolean> ended;
             private Future<?> watch;
             private final boolean mayChunk;
@@ -1157,8 +1201,12 @@
             public void refused(long retryAfter) {
                 on(() -> {
                     if (isOpen()) {
-                        write(retryAfter > 0 ? HttpResponseStatus.TOO_MANY_REQUESTS
-                            : HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, retryAfter);
+                        write(
+                                retryAfter > 0
+                                        ? HttpResponseStatus.TOO_MANY_REQUESTS
+                                        : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                                Unpooled.EMPTY_BUFFER,
+                                retryAfter);
                     }
                 });
             }
--- a/src/main/java/rushpin/net/CounterClient.java
+++ b/src/main/java/rushpin/net/CounterClient.java
@@ -58,7 +58,8 @@
         address = config.counter();
         prefix = config.countPrefix();
         timeout = Math.max(MS, config.counterTimeout());
-        bootstrap = sockets.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout() / MS));
+        bootstrap =
+                sockets.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout() / MS));
         for (int i = 0; i < PLACES; i++) {
             places[i] = new Place();
         }
@@ -101,8 +102,8 @@
         Call(Place place, long name, double amount, long lifetime) {
             this.place = place;
             this.name = name;
-            uri = "/tally/" + prefix + Long.toUnsignedString(name) + "?n=" + BigDecimal.valueOf(amount).toPlainString()
-                + "&keep_ms=" + Math.max(1, (lifetime + MS - 1) / MS);
+            uri = "/tally/" + prefix + Long.toUnsignedString(name) + "?n="
+                    + BigDecimal.valueOf(amount).toPlainString() + "&keep_ms=" + Math.max(1, (lifetime + MS - 1) / MS);
         }
 
         void end(Outcome outcome, double total) {
@@ -130,7 +131,8 @@
                 return;
             }
             if (!readFirst) {
-                // This process may have been busy, or not let run, and an answer that came in time lie there unread: the
+                // This process may have been busy, or not let run, and an answer that came in time lie there unread:
+                // the
                 // loop reads before it looks at its timers again. All wait for that, so calls end in their order.
                 readFirst = true;
                 loop.schedule(this::expire, 1, TimeUnit.NANOSECONDS);
@@ -238,6 +240,7 @@
         private final AnswerDecoder decoder = new AnswerDecoder();
         /** Null where no socket could be had. */
         private final Channel channel;
+
         private boolean connected, dead;
 
         Line(Place place) {
@@ -275,8 +278,8 @@
         void write(Call call) {
             call.line = this;
             pending.add(call);
-            DefaultFullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-                call.uri);
+            DefaultFullHttpRequest message =
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, call.uri);
             message.headers().set(HttpHeaderNames.HOST, "counter").set(HttpHeaderNames.CONTENT_LENGTH, 0);
             channel.write(message).addListener(done -> {
                 call.written = done.isSuccess();
@@ -355,7 +358,8 @@
             boolean good = HttpUtil.isKeepAlive(answer);
             switch (answer.status().code()) {
                 case 200 -> {
-                    double total = Figures.number(body.toString(StandardCharsets.US_ASCII).strip());
+                    double total = Figures.number(
+                            body.toString(StandardCharsets.US_ASCII).strip());
                     // It was added. A total that cannot be read leaves it unknown, and the line is no good.
                     boolean known = !Double.isNaN(total);
                     good &= known;
--- a/src/main/java/rushpin/net/DiscoveryClient.java
+++ b/src/main/java/rushpin/net/DiscoveryClient.java
@@ -49,6 +49,7 @@
 
     /** Agents are on the nodes' own machines, and what they hold counts as told: the way back has to be short. */
     private static final long FIRST_BACKOFF_MS = 100, MOST_BACKOFF_MS = 250;
+
     private static final long MS = 1_000_000L;
     /** Each watch keeps so much of a span by chance. With more than the most, one slow agent is heard too late. */
     static final double LEAST_PART = 0.9, MOST_PART = 0.96;
@@ -80,6 +81,7 @@
     private Watch watching;
     /** How many in a row have not spoken. */
     private int mute;
+
     private long revision, backoff = FIRST_BACKOFF_MS;
     private boolean closed;
     private volatile boolean heard;
@@ -211,7 +213,8 @@
         long now = System.nanoTime();
         if (!closed && due(now) - now <= 0) {
             if (watching.spoken) {
-                System.out.println("discovery: silent for " + (now - watching.last) / MS + " ms, the watch is begun anew");
+                System.out.println(
+                        "discovery: silent for " + (now - watching.last) / MS + " ms, the watch is begun anew");
             } else {
                 mute++;
             }
@@ -232,6 +235,7 @@
         private Channel channel;
         /** When it was begun or last spoke, and when it was asked for; 0 for not yet. */
         private long last = System.nanoTime(), asked;
+
         private boolean spoken, ended, over;
 
         private long part(long span) {
@@ -256,8 +260,8 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             asked = System.nanoTime();
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                "/catalog/members?watch=1&after=" + revision);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, HttpMethod.GET, "/catalog/members?watch=1&after=" + revision);
             request.headers().set(HttpHeaderNames.HOST, "discovery");
             context.writeAndFlush(request);
         }
@@ -265,8 +269,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) throws Exception {
             // The rest of what was read goes on arriving after a close: the body of an error is no list.
-            ended |= closed || this != watching || part.decoderResult().isFailure()
-                || part instanceof HttpResponse response && response.status().code() != 200;
+            ended |= closed
+                    || this != watching
+                    || part.decoderResult().isFailure()
+                    || part instanceof HttpResponse response
+                            && response.status().code() != 200;
             if (ended) {
                 context.close();
                 return;
@@ -278,7 +285,7 @@
                     spoken = true;
                     mute = 0;
                 }
-                for (ByteBuf bytes = content.content(); bytes.isReadable();) {
+                for (ByteBuf bytes = content.content(); bytes.isReadable(); ) {
                     int length = Math.min(piece.length, bytes.readableBytes());
                     bytes.readBytes(piece, 0, length);
                     messages.feed(piece, length, this::take);
--- a/src/main/java/rushpin/net/Figures.java
+++ b/src/main/java/rushpin/net/Figures.java
@@ -7,8 +7,7 @@
 final class Figures {
     private static final int MOST_LENGTH = 32;
 
-    private Figures() {
-    }
+    private Figures() {}
 
     /** A decimal number; NaN if the text is none. */
     static double number(String text) {
--- a/src/main/java/rushpin/net/Front.java
+++ b/src/main/java/rushpin/net/Front.java
@@ -5,8 +5,7 @@
 /** What the listening side asks of the process behind it; called on the listening side's loop. */
 public interface Front {
     /** Where a request goes. */
-    record Way(Service service, String host) {
-    }
+    record Way(Service service, String host) {}
 
     /** The pool a request belongs to; a refusal if there is none, or if its head can be read in two ways. */
     Way route(HttpRequest head) throws Refusal;
--- a/src/main/java/rushpin/net/GroupGate.java
+++ b/src/main/java/rushpin/net/GroupGate.java
@@ -87,12 +87,14 @@
     private final Ration<Sending> ration = new Ration<>();
     /** What is carried, oldest first. */
     private final Set<Carrying> carrying = new LinkedHashSet<>();
+
     private Permit permit = Permit.NONE;
     private Future<?> due, retry;
     /** What is still carried is cut so long after each end of the last permit that had one: the lease's, and the own part's. */
     private final List<Future<?>> cuts = new ArrayList<>(2);
+
     private Permit ends = Permit.NONE;
-    private Runnable empty, down = () -> { };
+    private Runnable empty, down = () -> {};
     private boolean serving, later, isOver;
     private double mean;
 
@@ -105,7 +107,13 @@
      * @param tenants whose a request is
      * @param shrink closes idle connections while there {@link #mustShrink must be} fewer
      */
-    GroupGate(EventLoop loop, long halfOpen, long longest, long rest, Function<Request, String> tenants, Runnable shrink) {
+    GroupGate(
+            EventLoop loop,
+            long halfOpen,
+            long longest,
+            long rest,
+            Function<Request, String> tenants,
+            Runnable shrink) {
         this.loop = loop;
         this.halfOpen = halfOpen;
         this.longest = longest;
@@ -149,7 +157,8 @@
         }
         long now = System.nanoTime();
         ration.set(permit.at(now), permit.tenants());
-        // A pool that is being replaced has no permit any more: its last lease's end is still an end of what it carries.
+        // A pool that is being replaced has no permit any more: its last lease's end is still an end of what it
+        // carries.
         ends = permit == Permit.NONE ? ends : permit;
         if (ends != Permit.NONE) {
             ends(now);
@@ -336,7 +345,8 @@
                 }
             });
             if (ration.waiting() > 0 && retry == null) {
-                // A connection that rests, or one that the process has lent elsewhere, tells nobody when it may be used.
+                // A connection that rests, or one that the process has lent elsewhere, tells nobody when it may be
+                // used.
                 retry = loop.schedule(this::again, rest, TimeUnit.NANOSECONDS);
             }
         } finally {
--- a/src/main/java/rushpin/net/ListeningChannel.java
+++ b/src/main/java/rushpin/net/ListeningChannel.java
@@ -14,10 +14,12 @@
     private final boolean isShared;
     /** Whether the last look at the queue left connections in it, and since when at most the first of them has waited. */
     private boolean left;
+
     private long waitingSince = Arrival.UNKNOWN;
     private Arrival arrival;
     /** When those were accepted that a full queue's length ago were; empty where nobody knows how long the queue is. */
     private final long[] acceptedAt;
+
     private long accepted;
 
     /** The queue of a socket of one's own, which holds one more than {@code backlog}. */
@@ -30,8 +32,8 @@
         return new ListeningChannel(listening, acceptor, watch, true, 0);
     }
 
-    private ListeningChannel(ServerSocketChannel listening, Acceptor acceptor, LoopWatch watch, boolean isShared,
-                             int longest) {
+    private ListeningChannel(
+            ServerSocketChannel listening, Acceptor acceptor, LoopWatch watch, boolean isShared, int longest) {
         super(listening);
         this.acceptor = acceptor;
         this.watch = watch;
--- a/src/main/java/rushpin/net/OpenRequest.java
+++ b/src/main/java/rushpin/net/OpenRequest.java
@@ -43,9 +43,11 @@
     private final Answers answers;
     /** What is not in {@code body} yet, and how long all of it is, -1 if unknown; null if it is whole. */
     private final Passage rest;
+
     private final long length;
     /** How long the client waits from its last byte on. */
     private final long span;
+
     private long dueAt;
     private boolean whole;
     private int attempts;
@@ -54,8 +56,18 @@
     private Future<?> overdue;
 
     /** Takes over the body; {@code host} as the client named it. */
-    OpenRequest(Request request, String className, HttpMethod method, String uri, String key, String host, ByteBuf body,
-                Answers answers, Passage rest, long length, long span) {
+    OpenRequest(
+            Request request,
+            String className,
+            HttpMethod method,
+            String uri,
+            String key,
+            String host,
+            ByteBuf body,
+            Answers answers,
+            Passage rest,
+            long length,
+            long span) {
         this.rest = rest;
         this.length = length;
         this.span = span;
@@ -85,8 +97,16 @@
     public void hurry(long by) {
         if (by > 0) {
             dueAt -= by;
-            request = new Request(request.id(), request.requestClass(), request.plan(), request.customer(),
-                request.deadline() - by, request.units(), request.setSize(), request.setFirst(), request.repeat());
+            request = new Request(
+                    request.id(),
+                    request.requestClass(),
+                    request.plan(),
+                    request.customer(),
+                    request.deadline() - by,
+                    request.units(),
+                    request.setSize(),
+                    request.setFirst(),
+                    request.repeat());
         }
     }
 
--- a/src/main/java/rushpin/net/Pace.java
+++ b/src/main/java/rushpin/net/Pace.java
@@ -7,6 +7,7 @@
 final class Pace {
     /** Nanoseconds for a head, and of silence; bytes a millisecond of a body at least. */
     static final long SPAN = 2_500_000_000L, LEAST_RATE = 40;
+
     private static final long MS = 1_000_000L;
 
     private long began, last, bytes, heldSince, held;
--- a/src/main/java/rushpin/net/Passage.java
+++ b/src/main/java/rushpin/net/Passage.java
@@ -61,11 +61,13 @@
     private final long began = System.nanoTime();
     /** On the sender's loop. */
     private int onTheWay;
+
     private boolean paused, ended, left;
     /** Read from the taker's loop too. */
     private volatile long progress = System.nanoTime();
     /** On the taker's loop. */
     private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+
     private Sink sink;
     private boolean last, whole, over;
 
--- a/src/main/java/rushpin/net/RequestReader.java
+++ b/src/main/java/rushpin/net/RequestReader.java
@@ -21,25 +21,33 @@
 public final class RequestReader {
     /** By so much the module sees each deadline early: its last answer is written before the client leaves. */
     public static final long ANSWER_MARGIN = 12_000_000L;
+
     private static final long MS = 1_000_000L, MAX_CUSTOMER = 1L << 33;
     /** For how long a body of unknown length is thought to come; its end tells it. */
     private static final long UNKNOWN = 60_000 * MS;
+
     private static final int CUSTOMER_DIGITS = 16, MOST_DIGITS = 15, MOST_NAME = 128;
 
-    private RequestReader() {
-    }
+    private RequestReader() {}
 
     /**
      * Reads a request; what it cannot read it names. Nothing is taken that means different things to readers.
      */
     static OpenRequest read(HttpRequest head, ByteBuf body, Front.Way way, long now, OpenRequest.Answers answers)
-        throws Refusal {
+            throws Refusal {
         return read(head, body, way, now, answers, null, 0);
     }
 
     /** As above; {@code rest} is where what is not in {@code body} comes from, {@code length} how long all of it is. */
-    static OpenRequest read(HttpRequest head, ByteBuf body, Front.Way way, long now, OpenRequest.Answers answers,
-                            Passage rest, long length) throws Refusal {
+    static OpenRequest read(
+            HttpRequest head,
+            ByteBuf body,
+            Front.Way way,
+            long now,
+            OpenRequest.Answers answers,
+            Passage rest,
+            long length)
+            throws Refusal {
         Names names = way.service().names();
         Settings settings = way.service().settings();
         HttpHeaders headers = head.headers();
@@ -61,15 +69,29 @@
         int siblings = settings.siblings();
         long waits = Math.max(MS, span * MS - ANSWER_MARGIN);
         // Its client's time counts from its last byte: until that is there, the latest moment at which it may be.
-        long coming = rest == null ? 0 : length < 0 ? UNKNOWN
-            : (length - body.readableBytes()) * MS / Pace.LEAST_RATE;
-        Request request = new Request(id, requestClass, plan, customer(headers),
-            now + coming + waits, units(quota.get("units"), settings.counter().largest()),
-            (int) whole(quota.get("spread"), "X-Quota spread", 1, siblings),
-            (int) whole(quota.get("first"), "X-Quota first", 0, siblings - 1L),
-            "1".equals(headers.get("X-Second-Try")));
-        return new OpenRequest(request, names.classes().get(requestClass), method, head.uri(), key, way.host(), body, answers,
-            rest, length, waits);
+        long coming = rest == null ? 0 : length < 0 ? UNKNOWN : (length - body.readableBytes()) * MS / Pace.LEAST_RATE;
+        Request request = new Request(
+                id,
+                requestClass,
+                plan,
+                customer(headers),
+                now + coming + waits,
+                units(quota.get("units"), settings.counter().largest()),
+                (int) whole(quota.get("spread"), "X-Quota spread", 1, siblings),
+                (int) whole(quota.get("first"), "X-Quota first", 0, siblings - 1L),
+                "1".equals(headers.get("X-Second-Try")));
+        return new OpenRequest(
+                request,
+                names.classes().get(requestClass),
+                method,
+                head.uri(),
+                key,
+                way.host(),
+                body,
+                answers,
+                rest,
+                length,
+                waits);
     }
 
     /** A header that stands once at most; null if it does not stand there. */
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -42,6 +42,7 @@
 public final class ServerPool {
     /** The largest body, in bytes. */
     public static final int MOST_BODY = 64 * 1024;
+
     private static final long MS = 1_000_000L, SWEEP = 1_000 * MS;
     /** A second copy or noise may come right behind an answer: for so long nothing new is written there. */
     private static final long REST = 10 * MS;
@@ -111,6 +112,7 @@
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     /** The same by address: a list of thousands must not cost a look at all for each of them. */
     private final Map<SocketAddress, Endpoint> places = new HashMap<>();
+
     private int held, most = Integer.MAX_VALUE;
     private long idleLimit;
     private final Slots slots;
@@ -135,15 +137,15 @@
         this.slots = slots;
         host = config.host();
         bootstrap = connecting
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout() / MS))
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 2_048, READ))
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    AnswerDecoder decoder = new AnswerDecoder();
-                    channel.pipeline().addLast(decoder, new HttpRequestEncoder(), new Connection(decoder));
-                }
-            });
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout() / MS))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 2_048, READ))
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        AnswerDecoder decoder = new AnswerDecoder();
+                        channel.pipeline().addLast(decoder, new HttpRequestEncoder(), new Connection(decoder));
+                    }
+                });
         sweep = loop.scheduleAtFixedRate(this::closeIdle, SWEEP, SWEEP, TimeUnit.NANOSECONDS);
     }
 
@@ -203,8 +205,8 @@
             }
             told.add(server);
             Endpoint known = endpoints.get(server.id());
-            boolean same = known != null && known.address.equals(member.address())
-                && known.startedAt == server.startedAt();
+            boolean same =
+                    known != null && known.address.equals(member.address()) && known.startedAt == server.startedAt();
             if (known != null && (!ready || !same)) {
                 drop(known);
             }
@@ -215,7 +217,9 @@
             }
         }
         if (whole) {
-            List.copyOf(endpoints.values()).stream().filter(e -> !named.contains(e.server.id())).forEach(this::drop);
+            List.copyOf(endpoints.values()).stream()
+                    .filter(e -> !named.contains(e.server.id()))
+                    .forEach(this::drop);
         }
         return told;
     }
@@ -433,6 +437,7 @@
         private final long patience;
         /** For how long after {@code decidedAt} its first byte may be written. */
         private final long startWithin;
+
         private final long decidedAt = System.nanoTime();
         private long sentAt = decidedAt, begunAt = sentAt;
         private boolean written, over;
@@ -440,6 +445,7 @@
         private Future<?> expiry;
         /** Under a permit: whether its turn is yet to come, and what carries it then. */
         private boolean waiting;
+
         private GroupGate.Sending turn;
         private GroupGate.Carrying by;
 
@@ -533,8 +539,8 @@
         }
 
         FullHttpRequest message() {
-            FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, of.method, of.uri,
-                of.body().retainedDuplicate());
+            FullHttpRequest message = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, of.method, of.uri, of.body().retainedDuplicate());
             address(message, (patience - (System.nanoTime() - sentAt)) / MS);
             if (of.body().isReadable()) {
                 message.headers().set(HttpHeaderNames.CONTENT_LENGTH, of.body().readableBytes());
@@ -555,8 +561,10 @@
         }
 
         private void address(HttpRequest message, long expires) {
-            message.headers().set(HttpHeaderNames.HOST, host == null ? of.host : host).set("X-Trace-Id", of.request().id())
-                .set("X-Expires-In-Ms", Math.max(1, expires - Math.min(DEADLINE_MARGIN, expires / DEADLINE_PART)));
+            message.headers()
+                    .set(HttpHeaderNames.HOST, host == null ? of.host : host)
+                    .set("X-Trace-Id", of.request().id())
+                    .set("X-Expires-In-Ms", Math.max(1, expires - Math.min(DEADLINE_MARGIN, expires / DEADLINE_PART)));
             if (of.key != null) {
                 message.headers().set("Idempotency-Key", of.key);
             }
@@ -689,7 +697,8 @@
                         gone = true;
                         node.bodyGone(of);
                     }
-                    channel.writeAndFlush(new DefaultHttpContent(piece)).addListener(done -> of.rest().taken(size));
+                    channel.writeAndFlush(new DefaultHttpContent(piece))
+                            .addListener(done -> of.rest().taken(size));
                 }
 
                 @Override
@@ -700,7 +709,7 @@
                             next.endsAfter(Math.max(0, node.left(of)));
                         }
                         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
-                            .addListener(done -> wrote(next, done.isSuccess()));
+                                .addListener(done -> wrote(next, done.isSuccess()));
                     } else {
                         // The app server never had all of it, so it has not begun.
                         close(channel);
@@ -829,7 +838,8 @@
             if (status == 200) {
                 return Outcome.OK;
             }
-            boolean neverRan = (status == 503 || status == 504) && "1".equals(answer.headers().get("X-Never-Ran"));
+            boolean neverRan = (status == 503 || status == 504)
+                    && "1".equals(answer.headers().get("X-Never-Ran"));
             return neverRan ? Outcome.FULL : Outcome.ERROR;
         }
 
--- a/src/main/java/rushpin/net/Transport.java
+++ b/src/main/java/rushpin/net/Transport.java
@@ -27,22 +27,25 @@
         void ended();
     }
 
-    private Transport() {
-    }
+    private Transport() {}
 
     /** For connections to addresses of the kind of {@code like}. */
     public static Bootstrap connecting(EventLoop loop, SocketAddress like) {
         Bootstrap bootstrap = new Bootstrap().group(loop);
-        return like instanceof UnixDomainSocketAddress ? bootstrap.channel(NioDomainSocketChannel.class)
-            : bootstrap.channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true);
+        return like instanceof UnixDomainSocketAddress
+                ? bootstrap.channel(NioDomainSocketChannel.class)
+                : bootstrap.channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true);
     }
 
     /** For listening at an address of the kind of {@code like}. */
     public static ServerBootstrap listening(EventLoop loop, SocketAddress like) {
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
-        return like instanceof UnixDomainSocketAddress ? bootstrap.channel(NioServerDomainSocketChannel.class)
-            : bootstrap.channel(NioServerSocketChannel.class).option(ChannelOption.SO_REUSEADDR, true)
-                .childOption(ChannelOption.TCP_NODELAY, true);
+        return like instanceof UnixDomainSocketAddress
+                ? bootstrap.channel(NioServerDomainSocketChannel.class)
+                : bootstrap
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(ChannelOption.TCP_NODELAY, true);
     }
 
     /**
@@ -53,7 +56,8 @@
      *
      * @return the channel, by which the connect may be given up; null if no socket could be had
      */
-    public static Channel connect(Bootstrap bootstrap, EventLoop loop, SocketAddress address, ConnectListener listener) {
+    public static Channel connect(
+            Bootstrap bootstrap, EventLoop loop, SocketAddress address, ConnectListener listener) {
         ChannelFuture connecting = bootstrap.connect(address);
         if (connecting.isDone()) {
             loop.execute(() -> settle(connecting, listener));
--- a/src/main/java/rushpin/net/Trouble.java
+++ b/src/main/java/rushpin/net/Trouble.java
@@ -2,8 +2,7 @@
 
 /** One line for what should not have happened; it ends one request or connection, never the process. */
 public final class Trouble {
-    private Trouble() {
-    }
+    private Trouble() {}
 
     /** Says what was hit, by what, and where. */
     public static void report(String what, Throwable e) {
--- a/src/main/java/rushpin/net/Upstream.java
+++ b/src/main/java/rushpin/net/Upstream.java
@@ -16,6 +16,13 @@
  * @param countPrefix what the pool's names at the counter begin with, so that two pools' stay apart
  * @param host the {@code Host} that app servers are told; null to pass on the client's
  */
-public record Upstream(SocketAddress discovery, SocketAddress counter, long counterTimeout, long connectTimeout,
-                       long keepAlive, double mostUnits, Names names, String countPrefix, String host) {
-}
+public record Upstream(
+        SocketAddress discovery,
+        SocketAddress counter,
+        long counterTimeout,
+        long connectTimeout,
+        long keepAlive,
+        double mostUnits,
+        Names names,
+        String countPrefix,
+        String host) {}
--- a/src/main/java/rushpin/net/xds/FileWatch.java
+++ b/src/main/java/rushpin/net/xds/FileWatch.java
@@ -27,10 +27,11 @@
 final class FileWatch {
     private static final long MOST_BYTES = 16L << 20;
     private static final JsonFormat.TypeRegistry TYPES = JsonFormat.TypeRegistry.newBuilder()
-        .add(Cluster.getDescriptor()).add(ClusterLoadAssignment.getDescriptor()).build();
+            .add(Cluster.getDescriptor())
+            .add(ClusterLoadAssignment.getDescriptor())
+            .build();
 
-    private record Stamp(Object file, long changed, long size) {
-    }
+    private record Stamp(Object file, long changed, long size) {}
 
     private final Path file;
     private final String wanted;
@@ -66,7 +67,7 @@
         }
         if (stamp.size < 0 || stamp.size > MOST_BYTES) {
             source.log(at + (stamp.size < 0 ? " is not there" : " has more than " + MOST_BYTES + " bytes")
-                + "; the list stays as it is");
+                    + "; the list stays as it is");
             return;
         }
         try {
@@ -94,7 +95,9 @@
         int number = 0;
         for (JsonNode each : resources) {
             number++;
-            String name = each.path("name").asText(each.path("cluster_name").asText(each.path("clusterName").asText("resource " + number)));
+            String name = each.path("name")
+                    .asText(each.path("cluster_name")
+                            .asText(each.path("clusterName").asText("resource " + number)));
             try {
                 Any.Builder any = Any.newBuilder();
                 JsonFormat.parser().usingTypeRegistry(TYPES).merge(each.toString(), any);
--- a/src/main/java/rushpin/net/xds/GrpcStream.java
+++ b/src/main/java/rushpin/net/xds/GrpcStream.java
@@ -42,25 +42,34 @@
     private final Form form;
     /** The stream, and the same by its form: one of these is there. */
     private ClientCallStreamObserver<?> call;
+
     private ClientCallStreamObserver<DiscoveryRequest> whole;
     private ClientCallStreamObserver<DeltaDiscoveryRequest> changes;
     private boolean first = true, answered, over;
 
-    GrpcStream(XdsPlan plan, InetSocketAddress server, EventLoop loop, Executor thread, XdsSource source) throws IOException {
+    GrpcStream(XdsPlan plan, InetSocketAddress server, EventLoop loop, Executor thread, XdsSource source)
+            throws IOException {
         this.server = server;
         this.source = source;
         form = plan.form();
         node = Node.newBuilder().setId(plan.node()).setUserAgentName("rushpin").build();
-        NettyChannelBuilder builder = NettyChannelBuilder.forAddress(server).eventLoopGroup(loop)
-            .channelType(NioSocketChannel.class).executor(thread).offloadExecutor(thread).disableRetry()
-            .maxInboundMessageSize(plan.mostMessage()).keepAliveTime(KEEP_ALIVE_S, TimeUnit.SECONDS)
-            .keepAliveTimeout(KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS);
+        NettyChannelBuilder builder = NettyChannelBuilder.forAddress(server)
+                .eventLoopGroup(loop)
+                .channelType(NioSocketChannel.class)
+                .executor(thread)
+                .offloadExecutor(thread)
+                .disableRetry()
+                .maxInboundMessageSize(plan.mostMessage())
+                .keepAliveTime(KEEP_ALIVE_S, TimeUnit.SECONDS)
+                .keepAliveTimeout(KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS);
         if (plan.tls() == null) {
             builder.usePlaintext();
         } else {
-            SslContextBuilder tls = GrpcSslContexts.forClient().trustManager(plan.tls().ca().toFile());
+            SslContextBuilder tls =
+                    GrpcSslContexts.forClient().trustManager(plan.tls().ca().toFile());
             if (plan.tls().certificate() != null) {
-                tls.keyManager(plan.tls().certificate().toFile(), plan.tls().key().toFile());
+                tls.keyManager(
+                        plan.tls().certificate().toFile(), plan.tls().key().toFile());
             }
             builder.sslContext(tls.build());
         }
@@ -95,8 +104,12 @@
                     for (Resource each : from.getResourcesList()) {
                         items.add(new Item(each.getName(), each.getVersion(), each.getResource()));
                     }
-                    return new Answer(from.getTypeUrl(), from.getSystemVersionInfo(), from.getNonce(), items,
-                        List.copyOf(from.getRemovedResourcesList()));
+                    return new Answer(
+                            from.getTypeUrl(),
+                            from.getSystemVersionInfo(),
+                            from.getNonce(),
+                            items,
+                            List.copyOf(from.getRemovedResourcesList()));
                 }
             });
         }
@@ -129,9 +142,10 @@
         @Override
         public void onNext(A from) {
             source.guarded(() -> {
-                answered = true;
-                source.answered(GrpcStream.this, read(from));
-            }).run();
+                        answered = true;
+                        source.answered(GrpcStream.this, read(from));
+                    })
+                    .run();
         }
 
         @Override
@@ -149,7 +163,8 @@
         if (!over) {
             over = true;
             channel.shutdownNow();
-            source.guarded(() -> source.ended(this, why.length() > 200 ? why.substring(0, 200) : why)).run();
+            source.guarded(() -> source.ended(this, why.length() > 200 ? why.substring(0, 200) : why))
+                    .run();
         }
     }
 
@@ -177,11 +192,18 @@
         if (over) {
             return;
         }
-        Status error = ask.error() == null ? null
-            : Status.newBuilder().setCode(INVALID_ARGUMENT).setMessage(ask.error()).build();
+        Status error = ask.error() == null
+                ? null
+                : Status.newBuilder()
+                        .setCode(INVALID_ARGUMENT)
+                        .setMessage(ask.error())
+                        .build();
         if (form == Form.SOTW) {
-            DiscoveryRequest.Builder request = DiscoveryRequest.newBuilder().setTypeUrl(ask.type())
-                .setVersionInfo(ask.version()).setResponseNonce(ask.nonce()).addAllResourceNames(ask.names());
+            DiscoveryRequest.Builder request = DiscoveryRequest.newBuilder()
+                    .setTypeUrl(ask.type())
+                    .setVersionInfo(ask.version())
+                    .setResponseNonce(ask.nonce())
+                    .addAllResourceNames(ask.names());
             if (first) {
                 request.setNode(node);
             }
@@ -190,9 +212,12 @@
             }
             whole.onNext(request.build());
         } else {
-            DeltaDiscoveryRequest.Builder request = DeltaDiscoveryRequest.newBuilder().setTypeUrl(ask.type())
-                .setResponseNonce(ask.nonce()).addAllResourceNamesSubscribe(ask.subscribe())
-                .addAllResourceNamesUnsubscribe(ask.unsubscribe()).putAllInitialResourceVersions(ask.initial());
+            DeltaDiscoveryRequest.Builder request = DeltaDiscoveryRequest.newBuilder()
+                    .setTypeUrl(ask.type())
+                    .setResponseNonce(ask.nonce())
+                    .addAllResourceNamesSubscribe(ask.subscribe())
+                    .addAllResourceNamesUnsubscribe(ask.unsubscribe())
+                    .putAllInitialResourceVersions(ask.initial());
             if (first) {
                 request.setNode(node);
             }
--- a/src/main/java/rushpin/net/xds/LastGood.java
+++ b/src/main/java/rushpin/net/xds/LastGood.java
@@ -58,7 +58,9 @@
         }
         try {
             Roll roll = RollReader.read(Files.readString(file), names);
-            return roll.members().stream().filter(member -> member.server().readiness() != Readiness.GONE).toList();
+            return roll.members().stream()
+                    .filter(member -> member.server().readiness() != Readiness.GONE)
+                    .toList();
         } catch (IOException | RollReader.Malformed e) {
             log.accept("the list as last had, " + file + ", cannot be used: " + e.getMessage());
             return List.of();
@@ -75,14 +77,20 @@
         ArrayNode all = root.putArray("members");
         for (Member member : members) {
             Server s = member.server();
-            all.addObject().put("id", s.id()).put("host_port", member.address().toString().replaceFirst("^[^/]*/", ""))
-                .put("locality", at(names.zones(), s.zone())).put("flavor", at(names.kinds(), s.kind())).put("cell", s.cell())
-                .put("phase", s.readiness() == Readiness.READY ? "Ready" : "Terminating").put("size", s.size())
-                .put("up_since_ms", s.startedAt() / MS);
+            all.addObject()
+                    .put("id", s.id())
+                    .put("host_port", member.address().toString().replaceFirst("^[^/]*/", ""))
+                    .put("locality", at(names.zones(), s.zone()))
+                    .put("flavor", at(names.kinds(), s.kind()))
+                    .put("cell", s.cell())
+                    .put("phase", s.readiness() == Readiness.READY ? "Ready" : "Terminating")
+                    .put("size", s.size())
+                    .put("up_since_ms", s.startedAt() / MS);
         }
         try {
             Files.createDirectories(file.getParent());
-            Path draft = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid() + ".draft");
+            Path draft = file.resolveSibling(
+                    file.getFileName() + "." + ProcessHandle.current().pid() + ".draft");
             write(draft, root.toString());
             Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
             failed = false;
@@ -96,8 +104,8 @@
 
     /** Forced, or the name could be given to bytes that never come to the disk; each save writes all of them anew. */
     private void write(Path draft, String text) throws IOException {
-        try (FileChannel channel = FileChannel.open(draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-            StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel channel = FileChannel.open(
+                draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
                 channel.write(bytes);
--- a/src/main/java/rushpin/net/xds/XdsPlan.java
+++ b/src/main/java/rushpin/net/xds/XdsPlan.java
@@ -17,9 +17,16 @@
  * @param tls files to trust and to be trusted by; null for plain text
  * @param mostMessage bytes of one message
  */
-public record XdsPlan(Form form, List<InetSocketAddress> servers, Path path, String cluster, boolean all, String node,
-                      Tls tls, int mostMessage, ClusterView.Rules rules) {
+public record XdsPlan(
+        Form form,
+        List<InetSocketAddress> servers,
+        Path path,
+        String cluster,
+        boolean all,
+        String node,
+        Tls tls,
+        int mostMessage,
+        ClusterView.Rules rules) {
     /** PEM files; {@code certificate} and {@code key} are null where only the server proves itself. */
-    public record Tls(Path ca, Path certificate, Path key) {
-    }
+    public record Tls(Path ca, Path certificate, Path key) {}
 }
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -55,8 +55,16 @@
      * Connects nowhere yet; {@code known} is the list as last known, {@code state} the folder that keeps it, or null,
      * {@code wallMs} the machine's clock, Unix milliseconds, by which servers that are new are dated.
      */
-    public XdsSource(XdsPlan plan, String pool, Names names, List<Member> known, Path state, long seed, EventLoop loop,
-                     DiscoveryClient.Listener listener, LongSupplier wallMs) {
+    public XdsSource(
+            XdsPlan plan,
+            String pool,
+            Names names,
+            List<Member> known,
+            Path state,
+            long seed,
+            EventLoop loop,
+            DiscoveryClient.Listener listener,
+            LongSupplier wallMs) {
         this.plan = plan;
         this.wallMs = wallMs;
         this.pool = listener;
@@ -77,11 +85,20 @@
     public void start(boolean hasList) {
         // With a list from before, a management server that is away must not keep the node from serving.
         long patience = hasList ? 1_000 * MS : plan.rules().warming();
-        thread.schedule(() -> { heard = true; }, patience, TimeUnit.NANOSECONDS);
-        thread.scheduleWithFixedDelay(guarded(() -> {
-            view.time(System.nanoTime(), wall());
-            tellDropped();
-        }), LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        thread.schedule(
+                () -> {
+                    heard = true;
+                },
+                patience,
+                TimeUnit.NANOSECONDS);
+        thread.scheduleWithFixedDelay(
+                guarded(() -> {
+                    view.time(System.nanoTime(), wall());
+                    tellDropped();
+                }),
+                LOOK_MS,
+                LOOK_MS,
+                TimeUnit.MILLISECONDS);
         if (plan.path() != null) {
             FileWatch watch = new FileWatch(plan.path(), plan.cluster(), this);
             thread.scheduleWithFixedDelay(guarded(watch::look), 0, LOOK_MS, TimeUnit.MILLISECONDS);
@@ -150,12 +167,15 @@
         }
         GrpcStream opened = stream;
         subscription.opened(to.equals(lastAnswered));
-        thread.schedule(guarded(() -> {
-            if (opened == stream && !opened.hasAnswered()) {
-                opened.close("no answer for " + SILENT / 1_000 / MS + " s");
-                ended(opened, "no answer");
-            }
-        }), SILENT, TimeUnit.NANOSECONDS);
+        thread.schedule(
+                guarded(() -> {
+                    if (opened == stream && !opened.hasAnswered()) {
+                        opened.close("no answer for " + SILENT / 1_000 / MS + " s");
+                        ended(opened, "no answer");
+                    }
+                }),
+                SILENT,
+                TimeUnit.NANOSECONDS);
     }
 
     private void again(boolean hadAnswered) {
@@ -183,8 +203,7 @@
         }
         stream = null;
         subscription.closed();
-        log("the stream to the management server " + of.server() + " has ended: " + why
-            + "; the list stays as it is");
+        log("the stream to the management server " + of.server() + " has ended: " + why + "; the list stays as it is");
         again(of.hasAnswered());
     }
 
@@ -233,10 +252,13 @@
         loop.execute(() -> pool.list(roll, whole ? ListKind.FULL : ListKind.DELTA));
         if (lastGood != null && !saving) {
             saving = true;
-            thread.schedule(guarded(() -> {
-                saving = false;
-                lastGood.save(new ArrayList<>(view.members()), this::log);
-            }), 1, TimeUnit.SECONDS);
+            thread.schedule(
+                    guarded(() -> {
+                        saving = false;
+                        lastGood.save(new ArrayList<>(view.members()), this::log);
+                    }),
+                    1,
+                    TimeUnit.SECONDS);
         }
     }
 
--- a/src/main/java/rushpin/node/Allotments.java
+++ b/src/main/java/rushpin/node/Allotments.java
@@ -46,10 +46,15 @@
         }
         of.last = account;
         Of to = of;
-        account.uses().forEach((tenant, use) -> to.needs.merge(tenant,
-            new Report.Need(account.group(), tenant, use.wanted(), use.used()),
-            (one, other) -> new Report.Need(one.group(), one.tenant(), Math.max(one.wanted(), other.wanted()),
-                Math.max(one.used(), other.used()))));
+        account.uses()
+                .forEach((tenant, use) -> to.needs.merge(
+                        tenant,
+                        new Report.Need(account.group(), tenant, use.wanted(), use.used()),
+                        (one, other) -> new Report.Need(
+                                one.group(),
+                                one.tenant(),
+                                Math.max(one.wanted(), other.wanted()),
+                                Math.max(one.used(), other.used()))));
     }
 
     /** The session goes on, or there is a new one. */
@@ -118,7 +123,9 @@
         }
         groups.forEach((group, of) -> {
             all.add(new Report.Need(group, "", 0, 0));
-            of.needs.values().stream().limit(Report.MOST_NEEDS / Math.max(1, groups.size()) - 1).forEach(all::add);
+            of.needs.values().stream()
+                    .limit(Report.MOST_NEEDS / Math.max(1, groups.size()) - 1)
+                    .forEach(all::add);
             of.needs.clear();
         });
         return all;
--- a/src/main/java/rushpin/node/Budgets.java
+++ b/src/main/java/rushpin/node/Budgets.java
@@ -15,7 +15,8 @@
     private final Share requests, connections, bytes, connects;
     /** Where the process has one pool, bodies count together with what clients' connections hold. */
     private final ByteBudget common;
-    private Runnable onClose = () -> { };
+
+    private Runnable onClose = () -> {};
 
     Budgets(Share requests, Share connections, Share bytes, Share connects, ByteBudget common) {
         this.requests = requests;
@@ -27,8 +28,12 @@
 
     /** All that the process has, for its one pool. */
     static Budgets whole(int sockets, ByteBudget common) {
-        return new Budgets(Share.fixed(Long.MAX_VALUE / 4), Share.fixed(Descriptors.of(sockets).servers()),
-            null, Share.fixed(Long.MAX_VALUE / 4), common);
+        return new Budgets(
+                Share.fixed(Long.MAX_VALUE / 4),
+                Share.fixed(Descriptors.of(sockets).servers()),
+                null,
+                Share.fixed(Long.MAX_VALUE / 4),
+                common);
     }
 
     boolean take(OpenRequest request) {
--- a/src/main/java/rushpin/node/Clock.java
+++ b/src/main/java/rushpin/node/Clock.java
@@ -13,6 +13,7 @@
     private static final long LEAST_JUMP = 100 * MS;
     /** The two clocks are read one after the other: a process that stood still for longer between them reads again. */
     private static final long MOST_PAUSE = 10 * MS;
+
     private static final int MOST_READINGS = 5;
 
     private final LongSupplier wallMs;
--- a/src/main/java/rushpin/node/Console.java
+++ b/src/main/java/rushpin/node/Console.java
@@ -31,18 +31,23 @@
         String[] words = line.split("\\s+");
         EdgeNode serving = node.get();
         return switch (words.length + words[0]) {
-            case "1READY" -> (serving == null ? CompletableFuture.completedFuture(false) : serving.takesClients())
-                .thenApply(ready -> ready ? DONE : "error not yet, or no more\n");
+            case "1READY" ->
+                (serving == null ? CompletableFuture.completedFuture(false) : serving.takesClients())
+                        .thenApply(ready -> ready ? DONE : "error not yet, or no more\n");
             case "1STATS" -> CompletableFuture.completedFuture(desk.counts().lines() + "end\n");
             case "2DISABLE" -> withhold(serving, words[1], true);
             case "2ENABLE" -> withhold(serving, words[1], false);
-            default -> CompletableFuture.completedFuture("error no such call; there are READY, STATS, DISABLE ID, ENABLE ID\n");
+            default ->
+                CompletableFuture.completedFuture(
+                        "error no such call; there are READY, STATS, DISABLE ID, ENABLE ID\n");
         };
     }
 
     private static CompletionStage<String> withhold(EdgeNode serving, String id, boolean out) {
-        return serving == null ? CompletableFuture.completedFuture("error not yet: nothing is listed\n")
-            : serving.withhold(id, out).thenApply(known -> known ? DONE : "error no app server of that id was listed\n");
+        return serving == null
+                ? CompletableFuture.completedFuture("error not yet: nothing is listed\n")
+                : serving.withhold(id, out)
+                        .thenApply(known -> known ? DONE : "error no app server of that id was listed\n");
     }
 
     @Override
--- a/src/main/java/rushpin/node/Divisions.java
+++ b/src/main/java/rushpin/node/Divisions.java
@@ -35,17 +35,21 @@
      * @param groups the operator's
      * @param at log time
      */
-    record Look(long session, long fence, Map<Long, String> sessions, Map<String, Budget> budgets, List<GroupPlan> groups,
-                long at) {
-    }
+    record Look(
+            long session,
+            long fence,
+            Map<Long, String> sessions,
+            Map<String, Budget> budgets,
+            List<GroupPlan> groups,
+            long at) {}
 
-    private record Heard(long session, long sequence, List<Report.Need> needs, long at) {
-    }
+    private record Heard(long session, long sequence, List<Report.Need> needs, long at) {}
 
     private static final int AGE_S = 5;
     private static final long AGE = TimeUnit.SECONDS.toNanos(AGE_S);
     /** A division stands for so long, and moves so many hundredths of the number at least, unless a floor is owed. */
     private static final long CALM = TimeUnit.SECONDS.toNanos(1);
+
     private static final int LEAST = 2, HUNDRED = 100;
 
     private final Consumer<List<Command.Divide>> drafts;
@@ -79,8 +83,10 @@
     private void read(Report report) {
         long now = System.nanoTime();
         Heard known = heard.get(report.process());
-        boolean isOld = known != null && now - known.at() <= AGE && (report.session() < known.session()
-            || report.session() == known.session() && report.sequence() <= known.sequence());
+        boolean isOld = known != null
+                && now - known.at() <= AGE
+                && (report.session() < known.session()
+                        || report.session() == known.session() && report.sequence() <= known.sequence());
         if (!report.isSound() || isOld) {
             return;
         }
@@ -112,22 +118,37 @@
         Optional<Budget> inForce = Optional.ofNullable(look.budgets().get(group.name()));
         // Two of the figures never go down: whoever is cut off goes by those that it was told.
         // When a lease ends a connection carries its request to the end, and then is closed.
-        long halfOpen = Math.max(group.halfOpen() + group.longest(), inForce.map(each -> each.figures().halfOpen()).orElse(0L));
-        long forget = Math.max(group.forget(), inForce.map(each -> each.figures().forget()).orElse(0L));
+        long halfOpen = Math.max(
+                group.halfOpen() + group.longest(),
+                inForce.map(each -> each.figures().halfOpen()).orElse(0L));
+        long forget = Math.max(
+                group.forget(), inForce.map(each -> each.figures().forget()).orElse(0L));
         Budget.Figures figures = new Budget.Figures(group.most(), group.reserve(), group.own(), halfOpen, forget);
-        List<Rules.Tenant> tenants = group.tenants().stream().map(tenant -> new Rules.Tenant(tenant.name(), tenant.floor(),
-            tenant.weight(), tenant.cap())).sorted(Comparator.comparing(Rules.Tenant::name)).toList();
+        List<Rules.Tenant> tenants = group.tenants().stream()
+                .map(tenant -> new Rules.Tenant(tenant.name(), tenant.floor(), tenant.weight(), tenant.cap()))
+                .sorted(Comparator.comparing(Rules.Tenant::name))
+                .toList();
         Map<Long, List<Report.Need>> told = new TreeMap<>();
         for (Heard each : heard.values()) {
-            List<Report.Need> own = each.needs().stream().filter(need -> need.group().equals(group.name())).toList();
+            List<Report.Need> own = each.needs().stream()
+                    .filter(need -> need.group().equals(group.name()))
+                    .toList();
             if (!own.isEmpty()) {
-                told.put(each.session(), own.stream().filter(need -> !need.tenant().isEmpty()).toList());
+                told.put(
+                        each.session(),
+                        own.stream().filter(need -> !need.tenant().isEmpty()).toList());
             }
         }
         Rules rules = new Rules(figures, tenants, Math.max(1, group.most() * LEAST / HUNDRED), CALM);
         return Divider.next(inForce, Divider.Sight.of(look.sessions().keySet(), inForce, told), rules, look.at())
-            .map(draft -> new Command.Divide(look.session(), look.fence(), draft.after(), group.name(), figures,
-                draft.tenants(), draft.shares()));
+                .map(draft -> new Command.Divide(
+                        look.session(),
+                        look.fence(),
+                        draft.after(),
+                        group.name(),
+                        figures,
+                        draft.tenants(),
+                        draft.shares()));
     }
 
     @Override
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -39,6 +39,7 @@
     private final Desk desk;
     /** What is shared with other processes; null for nothing. */
     private final Together together;
+
     private final CompletableFuture<Integer> drained = new CompletableFuture<>();
 
     /** A node with the platform's one pool; opens nothing yet. */
@@ -66,19 +67,22 @@
         this.desk = desk;
         ByteBudget bytes = new ByteBudget(operator == null ? config.memory() : config.memory() / 2);
         clients = new ClientServer(this, loop, config.listen(), config.sockets(), bytes, operator != null);
-        services = operator == null ? new PlatformService(config, loop, clock, bytes, desk)
-            : new PooledServices(operator, config.name(), loop, clock, clients::forget, desk);
+        services = operator == null
+                ? new PlatformService(config, loop, clock, bytes, desk)
+                : new PooledServices(operator, config.name(), loop, clock, clients::forget, desk);
         // Who gives a node a console replaces its process while it serves.
-        listener = operator != null ? operator.listener()
-            : desk == null ? Operator.Listener.OWN : Operator.Listener.REUSEPORT;
-        together = operator == null || operator.fleet() == null ? null : new Together(operator.fleet(), services::agree,
-            services::permit);
+        listener = operator != null
+                ? operator.listener()
+                : desk == null ? Operator.Listener.OWN : Operator.Listener.REUSEPORT;
+        together = operator == null || operator.fleet() == null
+                ? null
+                : new Together(operator.fleet(), services::agree, services::permit);
         if (together != null) {
             services.account(together::has);
             services.watch(together::saw);
         }
-        lifecycle = new Lifecycle(new Lifecycle.Bounds(DRAIN_GRACE, DRAIN_MOST), listener != Operator.Listener.OWN, this,
-            now());
+        lifecycle = new Lifecycle(
+                new Lifecycle.Bounds(DRAIN_GRACE, DRAIN_MOST), listener != Operator.Listener.OWN, this, now());
     }
 
     /** Begins to serve; returns when it listens. */
@@ -89,7 +93,7 @@
         }
         if (desk != null) {
             // Clients come at once beside another process: the list is heard first, or has been silent for long.
-            for (long end = System.nanoTime() + HEAR; !services.ready() && System.nanoTime() - end < 0;) {
+            for (long end = System.nanoTime() + HEAR; !services.ready() && System.nanoTime() - end < 0; ) {
                 Thread.sleep(5);
             }
             desk.beside().serve();
@@ -146,7 +150,8 @@
      * meanwhile that this process ends, and after it that its part of groups' connections is free.
      */
     public CompletableFuture<Integer> drain() {
-        CompletableFuture<Void> left = together == null ? CompletableFuture.completedFuture(null) : together.leave(drained);
+        CompletableFuture<Void> left =
+                together == null ? CompletableFuture.completedFuture(null) : together.leave(drained);
         loop.execute(() -> {
             if (desk != null && listener == Operator.Listener.REUSEPORT) {
                 // Alone, it goes on taking those who still come for a moment; else they are the other process's.
--- a/src/main/java/rushpin/node/Gathered.java
+++ b/src/main/java/rushpin/node/Gathered.java
@@ -25,8 +25,7 @@
     /** The report itself: its process, zone and numbers. */
     private static final int HEAD_BYTES = 300;
 
-    private record Row(String zone, String of) {
-    }
+    private record Row(String zone, String of) {}
 
     /** Sums of one pool since the last report. */
     private static final class OfPool {
@@ -58,8 +57,14 @@
     }
 
     private static Report.Seen sum(Report.Seen one, Report.Seen other) {
-        return new Report.Seen(one.zone(), one.of(), one.sent() + other.sent(), one.ok() + other.ok(),
-            one.failed() + other.failed(), one.slow() + other.slow(), one.unreachable() + other.unreachable());
+        return new Report.Seen(
+                one.zone(),
+                one.of(),
+                one.sent() + other.sent(),
+                one.ok() + other.ok(),
+                one.failed() + other.failed(),
+                one.slow() + other.slow(),
+                one.unreachable() + other.unreachable());
     }
 
     /** The report, after which all is counted anew. */
@@ -71,27 +76,58 @@
             span = Math.max(span, pool.span);
             trouble = Math.max(trouble, pool.span == 0 ? 0 : Plan.WHOLE * pool.late / pool.span);
             for (Report.Stock each : pool.stocks) {
-                stocks.merge(each.zone(), each, (one, other) -> new Report.Stock(one.zone(), one.ready() + other.ready(),
-                    Math.min(Report.MOST, one.warm() + other.warm()), one.held() + other.held()));
+                stocks.merge(
+                        each.zone(),
+                        each,
+                        (one, other) -> new Report.Stock(
+                                one.zone(),
+                                one.ready() + other.ready(),
+                                Math.min(Report.MOST, one.warm() + other.warm()),
+                                one.held() + other.held()));
             }
         }
-        List<Report.Stock> toldStocks = cut(stocks.values().stream()
-            .sorted(Comparator.comparingLong(Report.Stock::warm).reversed()).toList(), Plan.MOST_ZONES, STOCK_BYTES,
-            row -> row.zone().length());
-        List<Report.Entered> toldEntered = cut(entered.entrySet().stream()
-            .map(each -> new Report.Entered(each.getKey(), each.getValue()))
-            .sorted(Comparator.comparingLong(Report.Entered::count).reversed()).toList(), Report.MOST_ENTERED, ENTERED_BYTES,
-            row -> row.of().length());
-        int left = mostBytes - HEAD_BYTES - bytes(toldStocks, row -> row.zone().length())
-            - bytes(toldEntered, row -> row.of().length())
-            - bytes(needs, row -> row.group().length() + row.tenant().length());
-        List<Report.Seen> toldSeen = cut(seen.values().stream()
-            .sorted(Comparator.comparingLong(Report.Seen::sent).reversed().thenComparing(Report.Seen::zone)
-                .thenComparing(Report.Seen::of)).toList(), Report.MOST_SEEN, left,
-            row -> row.zone().length() + row.of().length());
+        List<Report.Stock> toldStocks = cut(
+                stocks.values().stream()
+                        .sorted(Comparator.comparingLong(Report.Stock::warm).reversed())
+                        .toList(),
+                Plan.MOST_ZONES,
+                STOCK_BYTES,
+                row -> row.zone().length());
+        List<Report.Entered> toldEntered = cut(
+                entered.entrySet().stream()
+                        .map(each -> new Report.Entered(each.getKey(), each.getValue()))
+                        .sorted(Comparator.comparingLong(Report.Entered::count).reversed())
+                        .toList(),
+                Report.MOST_ENTERED,
+                ENTERED_BYTES,
+                row -> row.of().length());
+        int left = mostBytes
+                - HEAD_BYTES
+                - bytes(toldStocks, row -> row.zone().length())
+                - bytes(toldEntered, row -> row.of().length())
+                - bytes(needs, row -> row.group().length() + row.tenant().length());
+        List<Report.Seen> toldSeen = cut(
+                seen.values().stream()
+                        .sorted(Comparator.comparingLong(Report.Seen::sent)
+                                .reversed()
+                                .thenComparing(Report.Seen::zone)
+                                .thenComparing(Report.Seen::of))
+                        .toList(),
+                Report.MOST_SEEN,
+                left,
+                row -> row.zone().length() + row.of().length());
         clear();
-        return new Report(session, sequence, who.name(), who.zone(), span, (int) Math.min(Plan.WHOLE, trouble), toldSeen,
-            toldStocks, toldEntered, needs);
+        return new Report(
+                session,
+                sequence,
+                who.name(),
+                who.zone(),
+                span,
+                (int) Math.min(Plan.WHOLE, trouble),
+                toldSeen,
+                toldStocks,
+                toldEntered,
+                needs);
     }
 
     /** What was seen is told to nobody. */
--- a/src/main/java/rushpin/node/GroupSide.java
+++ b/src/main/java/rushpin/node/GroupSide.java
@@ -22,8 +22,7 @@
  */
 final class GroupSide {
     /** A permit, and its number in this process. */
-    record Numbered(String group, long number, Permit permit) {
-    }
+    record Numbered(String group, long number, Permit permit) {}
 
     /**
      * What a pool has and wants of its group.
@@ -48,6 +47,7 @@
     private GroupPlan group;
     /** Tenants by plan, as the settings number them, and by customer. */
     private String[] byPlan;
+
     private Map<Long, String> byCustomer;
     private Numbered last;
 
@@ -74,8 +74,11 @@
         byPlan = new String[plans.size()];
         for (int i = 0; i < byPlan.length; i++) {
             String plan = plans.get(i);
-            byPlan[i] = group.tenants().stream().filter(tenant -> tenant.plans().contains(plan)).map(GroupPlan.Tenant::name)
-                .findFirst().orElse(GroupPlan.OTHERS);
+            byPlan[i] = group.tenants().stream()
+                    .filter(tenant -> tenant.plans().contains(plan))
+                    .map(GroupPlan.Tenant::name)
+                    .findFirst()
+                    .orElse(GroupPlan.OTHERS);
         }
         byCustomer = new HashMap<>();
         group.tenants().forEach(tenant -> tenant.customers().forEach(each -> byCustomer.put(each, tenant.name())));
@@ -91,24 +94,30 @@
         Permit before = last.permit(), now = next.permit();
         last = next;
         gate.permit(now);
-        if (now.most() != before.most() || now.own() != before.own() || !now.tenants().equals(before.tenants())) {
+        if (now.most() != before.most()
+                || now.own() != before.own()
+                || !now.tenants().equals(before.tenants())) {
             // Renewals of the lease alone come three times in its span, and tell nothing.
-            String parts = new TreeMap<>(now.tenants()).entrySet().stream().map(each -> each.getKey() + ":" + each.getValue())
-                .collect(Collectors.joining(","));
+            String parts = new TreeMap<>(now.tenants())
+                    .entrySet().stream()
+                            .map(each -> each.getKey() + ":" + each.getValue())
+                            .collect(Collectors.joining(","));
             System.out.println("fleet permit group=" + group.name() + " most=" + now.most() + " own=" + now.own()
-                + " open=" + gate.use().open() + " tenants=" + (parts.isEmpty() ? "-" : parts) + " at=" + System.nanoTime());
+                    + " open=" + gate.use().open() + " tenants=" + (parts.isEmpty() ? "-" : parts) + " at="
+                    + System.nanoTime());
         }
         tell();
     }
 
     private void tell() {
-        accounts.accept(new Account(group.name(), last.number(), gate.use().open(), gate.use().uses()));
+        accounts.accept(new Account(
+                group.name(), last.number(), gate.use().open(), gate.use().uses()));
     }
 
     /** Opens nothing any more, and tells nothing more. */
     void close() {
         beat.cancel(false);
-        gate.onDown(() -> { });
+        gate.onDown(() -> {});
         gate.permit(Permit.NONE);
     }
 
--- a/src/main/java/rushpin/node/Hearing.java
+++ b/src/main/java/rushpin/node/Hearing.java
@@ -42,14 +42,19 @@
         });
         thread.setKeepAliveTime(IDLE_S, TimeUnit.SECONDS);
         thread.allowCoreThreadTimeOut(true);
-        mailbox = new Mailbox<>(1, note -> note instanceof Report report ? report.process() : kind, thread, note -> {
-            ended(note);
-            if (note instanceof Report report) {
-                reports.accept(report);
-            } else {
-                looks.accept(kind.cast(note));
-            }
-        }, this::ended);
+        mailbox = new Mailbox<>(
+                1,
+                note -> note instanceof Report report ? report.process() : kind,
+                thread,
+                note -> {
+                    ended(note);
+                    if (note instanceof Report report) {
+                        reports.accept(report);
+                    } else {
+                        looks.accept(kind.cast(note));
+                    }
+                },
+                this::ended);
     }
 
     private void ended(Object note) {
--- a/src/main/java/rushpin/node/LibraryLines.java
+++ b/src/main/java/rushpin/node/LibraryLines.java
@@ -12,8 +12,7 @@
  * descriptor was left, to say so failed by an Error, and that ended the event loop.
  */
 public final class LibraryLines extends Formatter {
-    private LibraryLines() {
-    }
+    private LibraryLines() {}
 
     /** From now on all handlers write so. */
     public static void plain() {
--- a/src/main/java/rushpin/node/Planning.java
+++ b/src/main/java/rushpin/node/Planning.java
@@ -22,8 +22,7 @@
  */
 final class Planning implements AutoCloseable {
     /** What is to be published in place of a plan, under a fence. */
-    record Draft(long after, long fence, List<Plan.Way> ways, List<Plan.Mark> marks) {
-    }
+    record Draft(long after, long fence, List<Plan.Way> ways, List<Plan.Mark> marks) {}
 
     /**
      * What the log says, at the moment of a look.
@@ -33,14 +32,14 @@
      * @param at log time
      * @param geography the operator's order of regions and zones; may be empty
      */
-    record Look(Plan inForce, long fence, Map<String, String> regions, long at, Geography geography, Limits limits) {
-    }
+    record Look(Plan inForce, long fence, Map<String, String> regions, long at, Geography geography, Limits limits) {}
 
     private static final int AGE_S = 5;
     /** From so many zones somebody has to tell; who sent less has seen too little to tell alone. */
     private static final int FEWEST_ZONES = 2, FEWEST_SENT = 5;
     /** So long a zone that is marked and without processes is kept in the plan by one planner, nanoseconds. */
     private static final long KEPT = 60_000_000_000L;
+
     private static final String UNSEEN = "unseen";
 
     private final Consumer<Optional<Draft>> drafts;
@@ -51,6 +50,7 @@
     private final Map<String, String> regions = new TreeMap<>();
     /** Under this fence: since when zones are there by their marks alone. */
     private final Map<String, Long> marked = new TreeMap<>();
+
     private long fence;
     /** What the last lines say of each zone. */
     private final Map<String, String> said = new TreeMap<>();
@@ -59,8 +59,12 @@
     Planning(int mostProcesses, Consumer<Optional<Draft>> drafts) {
         this.drafts = drafts;
         evidence = new Evidence(mostProcesses, TimeUnit.SECONDS.toNanos(AGE_S), FEWEST_ZONES, FEWEST_SENT);
-        hearing = new Hearing<>("fleet planner", mostProcesses, report -> evidence.report(report, System.nanoTime()),
-            Look.class, this::read);
+        hearing = new Hearing<>(
+                "fleet planner",
+                mostProcesses,
+                report -> evidence.report(report, System.nanoTime()),
+                Look.class,
+                this::read);
     }
 
     /** A report has come, sound or not; any thread. */
@@ -94,17 +98,23 @@
         marked.keySet().removeAll(look.regions().keySet());
         for (Plan.Mark mark : look.inForce().marks()) {
             for (String zone : List.of(mark.zone(), mark.from())) {
-                if (!zone.isEmpty() && !regions.containsKey(zone)
-                    && now - marked.computeIfAbsent(zone, first -> now) < KEPT) {
+                if (!zone.isEmpty()
+                        && !regions.containsKey(zone)
+                        && now - marked.computeIfAbsent(zone, first -> now) < KEPT) {
                     regions.put(zone, "");
                 }
             }
         }
-        Optional<Planner.Draft> next = Planner.next(look.inForce(), learned.sight(picture, look.limits(), look.at()),
-            look.geography().with(regions), look.limits(), look.at());
+        Optional<Planner.Draft> next = Planner.next(
+                look.inForce(),
+                learned.sight(picture, look.limits(), look.at()),
+                look.geography().with(regions),
+                look.limits(),
+                look.at());
         if (next.isEmpty() && look.inForce().number() > 0 && look.inForce().fence() != look.fence()) {
             // Another one's plan stands: it is said anew, so that all know whose word counts.
-            next = Optional.of(new Planner.Draft(look.inForce().ways(), look.inForce().marks()));
+            next = Optional.of(
+                    new Planner.Draft(look.inForce().ways(), look.inForce().marks()));
         }
         return next.map(draft -> new Draft(look.inForce().number(), look.fence(), draft.ways(), draft.marks()));
     }
@@ -119,9 +129,13 @@
             String before = said.getOrDefault(zone, UNSEEN), as = state(view, before, limits);
             if (!as.equals(before)) {
                 said.put(zone, as);
-                System.out.println("fleet sees zone=" + zone + " as=" + as + view.map(of -> " reporters=" + of.reporters()
-                    + " zones=" + of.zones() + " failed=" + of.failed() + " slow=" + of.slow() + " unreachable="
-                    + of.unreachable()).orElse("") + " at=" + System.nanoTime());
+                System.out.println("fleet sees zone=" + zone + " as=" + as
+                        + view.map(of -> " reporters=" + of.reporters()
+                                        + " zones=" + of.zones() + " failed=" + of.failed() + " slow=" + of.slow()
+                                        + " unreachable="
+                                        + of.unreachable())
+                                .orElse("")
+                        + " at=" + System.nanoTime());
             }
         }
         said.values().removeIf(UNSEEN::equals);
@@ -133,8 +147,13 @@
             return UNSEEN;
         }
         Evidence.View of = view.get();
-        return of.failed() >= limits.bad() ? "failing" : of.slow() >= limits.slow() ? "slow"
-            : before.equals(UNSEEN) || of.mostFailed() <= limits.well() && of.mostSlow() <= limits.well() ? "well" : before;
+        return of.failed() >= limits.bad()
+                ? "failing"
+                : of.slow() >= limits.slow()
+                        ? "slow"
+                        : before.equals(UNSEEN) || of.mostFailed() <= limits.well() && of.mostSlow() <= limits.well()
+                                ? "well"
+                                : before;
     }
 
     @Override
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -77,6 +77,7 @@
     private final Budgets budgets;
     /** Where lists go first, if other pools have a word in them; their answer comes by {@link #apply}. */
     private final DiscoveryClient.Listener claims;
+
     private final Map<String, OpenRequest> open = new HashMap<>();
     private final ServerPool servers;
     private final CounterClient counter;
@@ -84,11 +85,13 @@
     private Gateway gateway;
     /** What operators' calls go to, and who is out by them; null for none. */
     private Desk desk;
+
     private Withheld withheld;
     private final List<Beside.Gift> gifts = new ArrayList<>();
     private int processes = 1;
     /** As they are now: classes that are dropped stand behind the others until their last clients are gone. */
     private Names names;
+
     private Settings settings;
     private final Map<String, Long> leaving = new HashMap<>();
     private int retunes;
@@ -96,10 +99,12 @@
     private boolean deskTrouble;
     /** In place of discovery; null for none. */
     private XdsSource xds;
+
     private double dropped, dropDebt;
     private int mostOpen;
     /** Long pauses of this process. */
     private final Stalls stalls;
+
     private final ReadBarrier barrier;
     private final Starts starts = new Starts();
     private Runnable ended;
@@ -107,6 +112,7 @@
     private boolean inside, closed;
     /** Where use is kept over a hard kill, and calls to the counter that are out, by name in their order; else null. */
     private UseStore use;
+
     private Future<?> adoption;
     private Tellings tellings;
     /** Follows requests for the records; null for none. */
@@ -115,6 +121,7 @@
     private Witness witness;
     /** What the fleet says, null for nothing yet; whether the local rule is in its place; the last look at it. */
     private Standing standing;
+
     private boolean local;
     private int looks;
     /** In which the list has had servers, by index. */
@@ -126,7 +133,13 @@
      * @param clients the loop that reads the clients' connections, which may be the pool's own
      * @param claims null where the list is nobody else's concern
      */
-    Pool(PoolPlan plan, EventLoop loop, EventLoop clients, Clock clock, Budgets budgets, DiscoveryClient.Listener claims) {
+    Pool(
+            PoolPlan plan,
+            EventLoop loop,
+            EventLoop clients,
+            Clock clock,
+            Budgets budgets,
+            DiscoveryClient.Listener claims) {
         this.plan = plan;
         this.loop = loop;
         this.clock = clock;
@@ -135,7 +148,8 @@
         names = plan.upstream().names();
         settings = plan.settings();
         stalls = new Stalls(STALL, clock.now());
-        barrier = barrier(LoopWatch.of(loop), LoopWatch.of(clients), settings.rules().drainGrace());
+        barrier = barrier(
+                LoopWatch.of(loop), LoopWatch.of(clients), settings.rules().drainGrace());
         servers = new ServerPool(this, loop, plan.upstream(), budgets);
         counter = new CounterClient(this::counted, loop, plan.upstream());
         discovery = plan.upstream().discovery() == null ? null : new DiscoveryClient(this, loop, plan.upstream());
@@ -252,8 +266,9 @@
     private void followOut() throws IOException {
         Roll changes = withheld.set(desk.out().read());
         if (!changes.members().isEmpty()) {
-            changes.members().forEach(m -> log((m.isReady() ? "put back by hand: " : "taken out by hand: ")
-                + m.server().id()));
+            changes.members()
+                    .forEach(m -> log((m.isReady() ? "put back by hand: " : "taken out by hand: ")
+                            + m.server().id()));
             tell(changes, ListKind.DELTA);
         }
     }
@@ -289,14 +304,14 @@
     /** As {@link #start(Roll)}, with use kept in a state folder; null for none. */
     void start(Roll known, Path state, String node) {
         gateway = new Gateway(plan.settings(), plan.seed(), now(), this);
-        UseStore.Opened opened = state == null ? null
-            : UseStore.open(state, node, plan.name(), clock.wallMs(), this::log);
+        UseStore.Opened opened =
+                state == null ? null : UseStore.open(state, node, plan.name(), clock.wallMs(), this::log);
         if (opened != null) {
             use = opened.store();
             tellings = new Tellings(use.book());
             restore(opened.untold());
-            adoption = loop.scheduleAtFixedRate(() -> restore(use.adopt(clock.wallMs())), ADOPT, ADOPT,
-                TimeUnit.NANOSECONDS);
+            adoption = loop.scheduleAtFixedRate(
+                    () -> restore(use.adopt(clock.wallMs())), ADOPT, ADOPT, TimeUnit.NANOSECONDS);
         }
         if (plan.xds() != null) {
             startXds(known, state);
@@ -341,8 +356,8 @@
     }
 
     private void restore(List<UseRecord.Balance> untold) {
-        untold.forEach(b -> event(null, now ->
-            gateway.restore(now, b.customer(), b.plan() & 0xff, b.plan() >> 8, b.units())));
+        untold.forEach(b ->
+                event(null, now -> gateway.restore(now, b.customer(), b.plan() & 0xff, b.plan() >> 8, b.units())));
     }
 
     /** A plan of the fleet is in force, or is stale: taken as a whole, and never given up for an older one. */
@@ -355,15 +370,20 @@
         goBy();
         if (newer) {
             Plan taken = now.plan();
-            System.out.println("fleet plan pool=" + plan.name() + " number=" + taken.number() + " fence=" + taken.fence()
-                + " at=" + System.nanoTime());
+            System.out.println("fleet plan pool=" + plan.name() + " number=" + taken.number() + " fence="
+                    + taken.fence() + " at=" + System.nanoTime());
         }
     }
 
     /** Tells the module the ways in force; while the plan is stale they change by themselves, with each lease. */
     private void goBy() {
         long now = System.nanoTime();
-        int[][] parts = standing.parts(now, plan.name(), names, zones, zone -> gateway.fails(names.zones().indexOf(zone)));
+        int[][] parts = standing.parts(
+                now,
+                plan.name(),
+                names,
+                zones,
+                zone -> gateway.fails(names.zones().indexOf(zone)));
         int[][] spare = standing.spare(now, plan.name(), names, zones);
         event(null, at -> gateway.zones(at, parts, spare));
         if (local != standing.isLocal(now)) {
@@ -372,11 +392,14 @@
         }
         int mine = ++looks;
         if (standing.stale()) {
-            loop.schedule(() -> {
-                if (mine == looks && !closed) {
-                    goBy();
-                }
-            }, standing.next(now), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        if (mine == looks && !closed) {
+                            goBy();
+                        }
+                    },
+                    standing.next(now),
+                    TimeUnit.NANOSECONDS);
         }
     }
 
@@ -408,7 +431,10 @@
                 continue;
             }
             // From the reload that dropped it: later ones must not keep it for longer.
-            long until = leaving.computeIfAbsent(name, n -> now + settings.classes().get(names.classes().indexOf(n)).deadline());
+            long until = leaving.computeIfAbsent(
+                    name,
+                    n -> now
+                            + settings.classes().get(names.classes().indexOf(n)).deadline());
             if (until > now) {
                 classes.add(name);
                 specs.add(settings.classes().get(i));
@@ -419,29 +445,45 @@
         leaving.keySet().retainAll(classes);
         int mine = ++retunes;
         if (last > now) {
-            loop.schedule(() -> {
-                if (mine == retunes) {
-                    retune(changed, to);
-                }
-            }, last - now, TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        if (mine == retunes) {
+                            retune(changed, to);
+                        }
+                    },
+                    last - now,
+                    TimeUnit.NANOSECONDS);
         }
     }
 
     private void take(List<String> classes, List<RequestClass> specs, Settings to) {
-        if (classes.equals(names.classes()) && specs.equals(settings.classes()) && to.limits().equals(settings.limits())) {
+        if (classes.equals(names.classes())
+                && specs.equals(settings.classes())
+                && to.limits().equals(settings.limits())) {
             return;
         }
         int[] was = classes.stream().mapToInt(names.classes()::indexOf).toArray();
         names = new Names(List.copyOf(classes), names.plans(), names.zones(), names.kinds());
-        settings = new Settings(settings.me(), settings.siblings(), settings.zone(), settings.tick(), settings.sizesTell(),
-            settings.reports(), List.copyOf(specs), settings.plans(), to.limits(), settings.counter(), settings.rules());
+        settings = new Settings(
+                settings.me(),
+                settings.siblings(),
+                settings.zone(),
+                settings.tick(),
+                settings.sizesTell(),
+                settings.reports(),
+                List.copyOf(specs),
+                settings.plans(),
+                to.limits(),
+                settings.counter(),
+                settings.rules());
         if (desk != null) {
             classes.forEach(name -> desk.counts().of(figure(name)));
         }
         if (witness != null) {
             witness.classes(classes, specs);
         }
-        log("classes are now " + String.join(", ", classes) + "; attempts at most " + to.limits().maxAttempts());
+        log("classes are now " + String.join(", ", classes) + "; attempts at most "
+                + to.limits().maxAttempts());
         Settings now = settings;
         event(null, at -> gateway.settings(at, now, was));
         if (standing != null) {
@@ -556,7 +598,8 @@
             if (about != null) {
                 fail(about);
                 // The module must not go on counting it; an attempt that is out still ends.
-                loop.execute(() -> event(null, now -> gateway.clientGone(now, about.request().id())));
+                loop.execute(() -> event(
+                        null, now -> gateway.clientGone(now, about.request().id())));
             }
         } finally {
             inside = false;
@@ -612,8 +655,13 @@
         if (witness != null) {
             witness.entered(taken.className());
         }
-        if (closed || left(taken) <= 0 || mostOpen > 0 && open.size() >= mostOpen || dropped > 0 && drops() || !budgets.take(taken)) {
-            // Nothing was sent for it, and its time is over, or its pool is full or has just gone: to come again is harmless.
+        if (closed
+                || left(taken) <= 0
+                || mostOpen > 0 && open.size() >= mostOpen
+                || dropped > 0 && drops()
+                || !budgets.take(taken)) {
+            // Nothing was sent for it, and its time is over, or its pool is full or has just gone: to come again is
+            // harmless.
             answer(taken, Counts.OfClass::refused).refused(Budgets.COME_BACK);
             if (tap != null) {
                 tap.turnedAway(taken, names.plans(), now());
@@ -623,7 +671,7 @@
         }
         if (open.putIfAbsent(taken.request().id(), taken) != null) {
             budgets.give(taken);
-            answer(taken, uncounted -> { }).duplicate();
+            answer(taken, uncounted -> {}).duplicate();
             taken.settle();
             return;
         }
@@ -658,7 +706,7 @@
 
     @Override
     public void clientGone(OpenRequest gone) {
-        if (answer(gone, uncounted -> { }) != null) {
+        if (answer(gone, uncounted -> {}) != null) {
             note(gone, Entry.End.GONE);
             settle(gone);
             event(gone, now -> gateway.clientGone(now, gone.request().id()));
@@ -681,8 +729,11 @@
             }
         }
         boolean complete = of.isAnswered();
-        event(of, now -> gateway.attemptEnded(now,
-            new Result(of.request().id(), outcome, took, server, complete, attempt, units, List.of())));
+        event(
+                of,
+                now -> gateway.attemptEnded(
+                        now,
+                        new Result(of.request().id(), outcome, took, server, complete, attempt, units, List.of())));
         settle(of);
     }
 
@@ -720,8 +771,10 @@
             note(of, Entry.End.SERVED);
             answers.begun(passage, length, whole -> ended(of, whole ? Counts.OfClass::served : Counts.OfClass::failed));
         }
-        event(of, now -> gateway.attemptEnded(now,
-            new Result(of.request().id(), Outcome.OK, took, server, true, attempt, units, List.of())));
+        event(
+                of,
+                now -> gateway.attemptEnded(
+                        now, new Result(of.request().id(), Outcome.OK, took, server, true, attempt, units, List.of())));
         settle(of);
     }
 
@@ -786,8 +839,9 @@
         }
         long decidedAt = System.nanoTime();
         // The list and the clients decide whether anything may still be sent.
-        barrier.pass(() -> of.isAnswered() || System.nanoTime() - decidedAt >= Math.min(patience, startWithin),
-            () -> sendOnceRead(of, server, patience, startWithin, decidedAt));
+        barrier.pass(
+                () -> of.isAnswered() || System.nanoTime() - decidedAt >= Math.min(patience, startWithin),
+                () -> sendOnceRead(of, server, patience, startWithin, decidedAt));
     }
 
     private void sendOnceRead(OpenRequest of, String server, long patience, long startWithin, long decidedAt) {
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -41,10 +41,14 @@
     private static final long SWEEP_S = 1;
 
     /** A pool that runs; the key at the lenders and claims differs between two of one name that meet in a reload. */
-    private record Running(Pool pool, String key, EventLoopGroup own, Budgets budgets, GroupSide side) {
-    }
+    private record Running(Pool pool, String key, EventLoopGroup own, Budgets budgets, GroupSide side) {}
 
-    private enum Kind { REQUESTS, CONNECTIONS, BYTES, CONNECTS }
+    private enum Kind {
+        REQUESTS,
+        CONNECTIONS,
+        BYTES,
+        CONNECTS
+    }
 
     private final EventLoop front;
     private final Clock clock;
@@ -54,6 +58,7 @@
     private final Path state;
     /** Where operators' calls end; null where there is no console. */
     private final Desk console;
+
     private final Map<String, Running> running = new LinkedHashMap<>();
     private final List<Running> retiring = new ArrayList<>();
     private final Map<String, Running> byKey = new HashMap<>();
@@ -61,6 +66,7 @@
     private final Claims claims = new Claims();
     /** For the life of the process, like the state folder; null where nothing is recorded. */
     private Recorder recorder;
+
     private Operator operator;
     private RouteTable table;
     /** The newest of the fleet; null for none. */
@@ -71,6 +77,7 @@
     private Consumer<GroupSide.Account> accounts;
     /** The newest permit for each group. */
     private final Map<String, GroupSide.Numbered> permits = new HashMap<>();
+
     private int generation;
 
     /** Opens nothing yet; {@code ended} hears on the listening side's loop of each name that no pool has any more. */
@@ -104,7 +111,7 @@
         front.submit(() -> apply(operator)).get();
         // The hand-over of each pool's first list and first shares is behind these in line.
         for (Running each : List.copyOf(running.values())) {
-            each.pool().loop().submit(() -> { }).get();
+            each.pool().loop().submit(() -> {}).get();
         }
     }
 
@@ -146,8 +153,8 @@
             shares[kind.ordinal()] = new Share(of(plan.guaranteed(), kind), desk(key, kind));
         }
         Budgets budgets = new Budgets(shares[0], shares[1], shares[2], shares[3], null);
-        Pool pool = new Pool(plan, loop, front, clock, budgets,
-            (roll, kind) -> front.execute(() -> admit(key, roll, kind)));
+        Pool pool = new Pool(
+                plan, loop, front, clock, budgets, (roll, kind) -> front.execute(() -> admit(key, roll, kind)));
         if (console != null) {
             pool.serveDesk(console);
         }
@@ -183,9 +190,12 @@
 
     /** A pool's permit, unless another pool may have connections to its group yet. */
     private void permit(Running to) {
-        GroupSide.Numbered permit = to.side() == null ? null : permits.get(to.pool().plan().group());
-        if (permit != null && retiring.stream().noneMatch(old -> old.side() != null
-            && old.pool().plan().group().equals(permit.group()))) {
+        GroupSide.Numbered permit =
+                to.side() == null ? null : permits.get(to.pool().plan().group());
+        if (permit != null
+                && retiring.stream()
+                        .noneMatch(old ->
+                                old.side() != null && old.pool().plan().group().equals(permit.group()))) {
             to.pool().loop().execute(() -> to.side().permit(permit));
         }
     }
@@ -199,7 +209,9 @@
     public void permit(GroupSide.Numbered permit) {
         front.execute(() -> {
             permits.put(permit.group(), permit);
-            running.values().stream().filter(each -> permit.group().equals(each.pool().plan().group())).forEach(this::permit);
+            running.values().stream()
+                    .filter(each -> permit.group().equals(each.pool().plan().group()))
+                    .forEach(this::permit);
             leftAlone(permit);
         });
     }
@@ -207,7 +219,8 @@
     /** A permit that no pool goes by any more: somebody has to say that nothing is open, or what was granted stays so. */
     private void leftAlone(GroupSide.Numbered permit) {
         if (Stream.concat(running.values().stream(), retiring.stream())
-            .noneMatch(each -> each.side() != null && permit.group().equals(each.pool().plan().group()))) {
+                .noneMatch(each -> each.side() != null
+                        && permit.group().equals(each.pool().plan().group()))) {
             accounts.accept(new GroupSide.Account(permit.group(), permit.number(), 0, Map.of()));
         }
     }
@@ -320,8 +333,10 @@
         }
         Reading reading;
         try {
-            reading = Reading.of(head.uri(), hosts.isEmpty() ? null : hosts.get(0),
-                !head.protocolVersion().equals(HttpVersion.HTTP_1_0));
+            reading = Reading.of(
+                    head.uri(),
+                    hosts.isEmpty() ? null : hosts.get(0),
+                    !head.protocolVersion().equals(HttpVersion.HTTP_1_0));
         } catch (Reading.Ambiguous e) {
             throw new Refusal(HttpResponseStatus.BAD_REQUEST, e.getMessage());
         }
@@ -347,13 +362,16 @@
     /** In every pool that knows the id, the retiring ones too. */
     @Override
     public CompletableFuture<Boolean> withhold(String id, boolean out) {
-        return CompletableFuture.supplyAsync(() -> {
-            CompletableFuture<Boolean> any = CompletableFuture.completedFuture(false);
-            for (Running each : List.copyOf(byKey.values())) {
-                any = any.thenCombine(each.pool().withholdLater(id, out), (one, other) -> one || other);
-            }
-            return any;
-        }, front).thenCompose(any -> any);
+        return CompletableFuture.supplyAsync(
+                        () -> {
+                            CompletableFuture<Boolean> any = CompletableFuture.completedFuture(false);
+                            for (Running each : List.copyOf(byKey.values())) {
+                                any = any.thenCombine(each.pool().withholdLater(id, out), (one, other) -> one || other);
+                            }
+                            return any;
+                        },
+                        front)
+                .thenCompose(any -> any);
     }
 
     @Override
@@ -367,7 +385,9 @@
         front.execute(() -> {
             if (agreed == null || !agreed.plan().isNewerThan(standing.plan())) {
                 agreed = standing;
-                running.values().forEach(each -> each.pool().loop().execute(() -> each.pool().agree(standing)));
+                running.values()
+                        .forEach(each ->
+                                each.pool().loop().execute(() -> each.pool().agree(standing)));
             }
         });
     }
@@ -378,7 +398,9 @@
         if (recorder != null) {
             recorder.close();
         }
-        running.values().stream().filter(each -> each.own() == null).forEach(each -> each.pool().leave());
+        running.values().stream()
+                .filter(each -> each.own() == null)
+                .forEach(each -> each.pool().leave());
     }
 
     @Override
--- a/src/main/java/rushpin/node/Rehearsal.java
+++ b/src/main/java/rushpin/node/Rehearsal.java
@@ -12,8 +12,8 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
 import io.netty.handler.codec.http.HttpObject;
@@ -75,6 +75,7 @@
     private static final long FIRST_CUSTOMER = 1L << 60;
     /** The module's controllers come once a second: a fast machine waits for them. */
     private static final long INTERVALS = TimeUnit.MILLISECONDS.toNanos(1_300);
+
     private static final byte[] BODY = "x".repeat(300).getBytes(StandardCharsets.US_ASCII);
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -91,7 +92,8 @@
         this.config = config;
         this.requests = requests;
         // A name by chance would cost the start a search for the system's source of it.
-        folder = Files.createDirectory(parent.resolve("rehearsal-" + ProcessHandle.current().pid()));
+        folder = Files.createDirectory(
+                parent.resolve("rehearsal-" + ProcessHandle.current().pid()));
     }
 
     /**
@@ -118,7 +120,8 @@
      */
     private void tryOut() throws IOException {
         SocketAddress address = file("try");
-        try (ServerSocketChannel listening = ServerSocketChannel.open(StandardProtocolFamily.UNIX).bind(address)) {
+        try (ServerSocketChannel listening =
+                ServerSocketChannel.open(StandardProtocolFamily.UNIX).bind(address)) {
             SocketChannel.open(address).close();
         }
     }
@@ -128,27 +131,48 @@
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             SocketAddress address = file("s" + i);
-            Transport.listening(loop, address).childHandler(handlers(() -> new ChannelHandler[] {
-                new HttpServerCodec(), new StandIn()})).bind(address).sync();
+            Transport.listening(loop, address)
+                    .childHandler(handlers(() -> new ChannelHandler[] {new HttpServerCodec(), new StandIn()}))
+                    .bind(address)
+                    .sync();
             long started = i > 0 ? 0 : new Clock().now();
-            members.add(new Member(new Server("rehearsal-" + i, 1, i % Math.max(1, config.names().zones().size()), i, 0,
-                Readiness.READY, started), address));
+            members.add(new Member(
+                    new Server(
+                            "rehearsal-" + i,
+                            1,
+                            i % Math.max(1, config.names().zones().size()),
+                            i,
+                            0,
+                            Readiness.READY,
+                            started),
+                    address));
         }
         SocketAddress peer = members.get(0).address();
-        Config mine = new Config("rehearsal", file("n"), peer, config.counter() == null ? null : peer, config.seed(),
-            Math.min(DESCRIPTORS, config.sockets()), config.memory(), new Roll(1, true, members), config.connectTimeout(),
-            config.keepAlive(), config.names(), unceiled(config.settings()));
+        Config mine = new Config(
+                "rehearsal",
+                file("n"),
+                peer,
+                config.counter() == null ? null : peer,
+                config.seed(),
+                Math.min(DESCRIPTORS, config.sockets()),
+                config.memory(),
+                new Roll(1, true, members),
+                config.connectTimeout(),
+                config.keepAlive(),
+                config.names(),
+                unceiled(config.settings()));
         try (EdgeNode node = new EdgeNode(mine)) {
             node.start();
             for (int i = 0; i < CLIENTS; i++) {
                 AnswerDecoder decoder = new AnswerDecoder();
                 Transport.connecting(loop, node.address())
-                    .handler(handlers(() -> new ChannelHandler[] {decoder, new Client()}))
-                    .connect(node.address()).addListener(made -> {
-                        if (!made.isSuccess()) {
-                            done.completeExceptionally(made.cause());
-                        }
-                    });
+                        .handler(handlers(() -> new ChannelHandler[] {decoder, new Client()}))
+                        .connect(node.address())
+                        .addListener(made -> {
+                            if (!made.isSuccess()) {
+                                done.completeExceptionally(made.cause());
+                            }
+                        });
             }
             try {
                 done.get(span, TimeUnit.MILLISECONDS);
@@ -161,10 +185,30 @@
 
     /** A ceiling starts with nothing and would turn away all that is asked at once. */
     private static Settings unceiled(Settings of) {
-        List<Plan> plans = of.plans().stream().map(plan -> new Plan(plan.rate(), plan.burst(), plan.atOnce(),
-            plan.price(), plan.beyondEarns(), plan.beyondCosts(), 0, 0, 0)).toList();
-        return new Settings(of.me(), of.siblings(), of.zone(), of.tick(), of.sizesTell(), of.reports(), of.classes(),
-            plans, of.limits(), of.counter(), of.rules());
+        List<Plan> plans = of.plans().stream()
+                .map(plan -> new Plan(
+                        plan.rate(),
+                        plan.burst(),
+                        plan.atOnce(),
+                        plan.price(),
+                        plan.beyondEarns(),
+                        plan.beyondCosts(),
+                        0,
+                        0,
+                        0))
+                .toList();
+        return new Settings(
+                of.me(),
+                of.siblings(),
+                of.zone(),
+                of.tick(),
+                of.sizesTell(),
+                of.reports(),
+                of.classes(),
+                plans,
+                of.limits(),
+                of.counter(),
+                of.rules());
     }
 
     private interface Handlers {
@@ -208,8 +252,14 @@
                     answer(context, HttpResponseStatus.OK, new byte[] {'1'});
                 } else {
                     taken++;
-                    answer(context, taken % REFUSED == 0 ? HttpResponseStatus.SERVICE_UNAVAILABLE
-                        : taken % FAILED == 0 ? HttpResponseStatus.INTERNAL_SERVER_ERROR : HttpResponseStatus.OK, BODY);
+                    answer(
+                            context,
+                            taken % REFUSED == 0
+                                    ? HttpResponseStatus.SERVICE_UNAVAILABLE
+                                    : taken % FAILED == 0
+                                            ? HttpResponseStatus.INTERNAL_SERVER_ERROR
+                                            : HttpResponseStatus.OK,
+                            BODY);
                 }
             }
         }
@@ -221,8 +271,8 @@
         }
 
         private void answer(ChannelHandlerContext context, HttpResponseStatus status, byte[] body) {
-            DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(body));
+            DefaultFullHttpResponse answer =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
             answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             if (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)) {
                 answer.headers().set("X-Never-Ran", "1");
@@ -244,18 +294,37 @@
 
         private void ask(Channel channel) {
             int n = sent++;
-            RequestClass spec = config.settings().classes().get(n % config.settings().classes().size());
+            RequestClass spec = config.settings()
+                    .classes()
+                    .get(n % config.settings().classes().size());
             boolean safe = spec.repeat() == Repeat.SAFE;
-            StringBuilder text = new StringBuilder(safe ? "GET" : "POST").append(" /api?slot=").append(n)
-                .append(" HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: r").append(n)
-                .append("\r\nX-Qos: ").append(config.names().classes().get(n % config.names().classes().size()))
-                .append("\r\nX-Plan: ").append(config.names().plans().get(n / 2 % config.names().plans().size()))
-                .append("\r\nCookie: customer=").append("0" + Long.toHexString(FIRST_CUSTOMER + n % CUSTOMERS).substring(1))
-                .append("\r\nX-Expires-In-Ms: ").append(spec.deadline() / 1_000_000)
-                .append("\r\nX-Quota: units=1,spread=").append(config.settings().siblings()).append(",first=0\r\n");
+            StringBuilder text = new StringBuilder(safe ? "GET" : "POST")
+                    .append(" /api?slot=")
+                    .append(n)
+                    .append(" HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: r")
+                    .append(n)
+                    .append("\r\nX-Qos: ")
+                    .append(config.names()
+                            .classes()
+                            .get(n % config.names().classes().size()))
+                    .append("\r\nX-Plan: ")
+                    .append(config.names()
+                            .plans()
+                            .get(n / 2 % config.names().plans().size()))
+                    .append("\r\nCookie: customer=")
+                    .append("0"
+                            + Long.toHexString(FIRST_CUSTOMER + n % CUSTOMERS).substring(1))
+                    .append("\r\nX-Expires-In-Ms: ")
+                    .append(spec.deadline() / 1_000_000)
+                    .append("\r\nX-Quota: units=1,spread=")
+                    .append(config.settings().siblings())
+                    .append(",first=0\r\n");
             if (!safe) {
-                text.append("Idempotency-Key: k").append(n).append("\r\nContent-Length: ").append(BODY.length)
-                    .append("\r\n");
+                text.append("Idempotency-Key: k")
+                        .append(n)
+                        .append("\r\nContent-Length: ")
+                        .append(BODY.length)
+                        .append("\r\n");
             }
             ByteBuf message = channel.alloc().buffer();
             message.writeCharSequence(text.append("\r\n"), StandardCharsets.US_ASCII);
--- a/src/main/java/rushpin/node/Standing.java
+++ b/src/main/java/rushpin/node/Standing.java
@@ -51,12 +51,17 @@
      * @param fails whether a zone fails by what this process sees alone; asked for the local rule only
      */
     int[][] parts(long now, String pool, Names names, BitSet listed, Predicate<String> fails) {
-        List<Plan.Way> own = plan.ways().stream().filter(way -> way.from().equals(zone)).toList();
+        List<Plan.Way> own =
+                plan.ways().stream().filter(way -> way.from().equals(zone)).toList();
         if (own.isEmpty()) {
             return null;
         }
-        return rows(isLocal(now) ? Fallback.ways(plan, zone, now - since, lease, fails) : own, Plan.Part::thousandths, pool,
-            names, listed);
+        return rows(
+                isLocal(now) ? Fallback.ways(plan, zone, now - since, lease, fails) : own,
+                Plan.Part::thousandths,
+                pool,
+                names,
+                listed);
     }
 
     private int[][] rows(List<Plan.Way> ways, ToIntFunction<Plan.Part> which, String pool, Names names, BitSet listed) {
--- a/src/main/java/rushpin/node/Tap.java
+++ b/src/main/java/rushpin/node/Tap.java
@@ -21,6 +21,7 @@
     private final Allowance allowance;
     /** Unix time in microseconds at nanosecond 0 of the loop's clock, as it was when this began. */
     private final long base;
+
     private final Map<OpenRequest, Sketch> open = new HashMap<>();
 
     private static final class Sketch {
@@ -66,8 +67,11 @@
         Sketch sketch = open.get(of);
         if (sketch != null && sketch.server != null) {
             if (sketch.tries.size() < Entry.MOST_TRIES) {
-                sketch.tries.add(new Entry.Try(sketch.server, (sketch.sentAt - sketch.came) / 1_000,
-                    (now - sketch.sentAt) / 1_000, outcome.name()));
+                sketch.tries.add(new Entry.Try(
+                        sketch.server,
+                        (sketch.sentAt - sketch.came) / 1_000,
+                        (now - sketch.sentAt) / 1_000,
+                        outcome.name()));
             }
             sketch.server = null;
             sketch.trueUnits = Math.max(sketch.trueUnits, trueUnits);
@@ -88,9 +92,23 @@
         Sketch sketch = open.remove(of);
         if (sketch != null && sketch.end != null) {
             Request r = of.request();
-            recorder.offer(new Entry(node, pool, base + sketch.came / 1_000, of.className(), plans.get(r.plan()),
-                r.customer(), r.units(), sketch.trueUnits, Math.max(0, r.deadline() - sketch.came) / 1_000, r.repeat(),
-                r.setSize(), r.setFirst(), sketch.end, sketch.took, sketch.tries, 0));
+            recorder.offer(new Entry(
+                    node,
+                    pool,
+                    base + sketch.came / 1_000,
+                    of.className(),
+                    plans.get(r.plan()),
+                    r.customer(),
+                    r.units(),
+                    sketch.trueUnits,
+                    Math.max(0, r.deadline() - sketch.came) / 1_000,
+                    r.repeat(),
+                    r.setSize(),
+                    r.setFirst(),
+                    sketch.end,
+                    sketch.took,
+                    sketch.tries,
+                    0));
         }
     }
 
--- a/src/main/java/rushpin/node/Tellings.java
+++ b/src/main/java/rushpin/node/Tellings.java
@@ -8,8 +8,7 @@
 
 /** Calls to the counter that are out, by name in their order, so that the record of use hears how each ended. */
 final class Tellings {
-    private record Telling(long customer, double units) {
-    }
+    private record Telling(long customer, double units) {}
 
     private final UseBook book;
     private final Map<Long, ArrayDeque<Telling>> out = new HashMap<>();
--- a/src/main/java/rushpin/node/Together.java
+++ b/src/main/java/rushpin/node/Together.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.security.SecureRandom;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -47,6 +46,7 @@
     private static final int MOST_SESSIONS = 5_000, MOST_HELD = 50_000;
     /** Resources of one process. */
     private static final int MOST_OWN = 64;
+
     private static final int MOST_NOTES = 64;
     /** Plans are made no more often than so many times a lease: processes start one after the other. */
     private static final int PLANS = 10;
@@ -60,56 +60,42 @@
     private static final long GIVE = 750_000_000L;
 
     private sealed interface Note {
-        record Answered(long id, Outcome outcome) implements Note {
-        }
+        record Answered(long id, Outcome outcome) implements Note {}
 
-        record Failed(long id, Failure why) implements Note {
-        }
+        record Failed(long id, Failure why) implements Note {}
 
-        record Stream(Line of, boolean open) implements Note {
-        }
+        record Stream(Line of, boolean open) implements Note {}
 
-        record Told(Plan plan) implements Note {
-        }
+        record Told(Plan plan) implements Note {}
 
         /** This process's own voter knows more than before. */
-        record Learned(Decision decision) implements Note {
-        }
+        record Learned(Decision decision) implements Note {}
 
         /** What this process may have open to a group of servers. */
-        record Allotted(Allotment word) implements Note {
-        }
+        record Allotted(Allotment word) implements Note {}
 
         /** A pool of this process has something open to a group of servers. */
-        record Has(GroupSide.Account account) implements Note {
-        }
+        record Has(GroupSide.Account account) implements Note {}
 
         /** A pool of this process has seen something. */
-        record Saw(Witness.Account account) implements Note {
-        }
+        record Saw(Witness.Account account) implements Note {}
 
         /** What came of a look at the fleet. */
-        record Drafted(Optional<Planning.Draft> draft) implements Note {
-        }
+        record Drafted(Optional<Planning.Draft> draft) implements Note {}
 
         /** What came of a look at what is wanted of groups of servers. */
-        record Divided(List<Command.Divide> drafts) implements Note {
-        }
+        record Divided(List<Command.Divide> drafts) implements Note {}
 
-        record Change(FleetPlan next) implements Note {
-        }
+        record Change(FleetPlan next) implements Note {}
 
-        record Leave() implements Note {
-        }
+        record Leave() implements Note {}
 
         /** All that was taken is answered. */
-        record Drained() implements Note {
-        }
+        record Drained() implements Note {}
     }
 
     /** A division that is out. */
-    private record Sent(String group, long at) {
-    }
+    private record Sent(String group, long at) {}
 
     private final Consumer<Standing> agreed;
     private final Who who;
@@ -125,12 +111,15 @@
     private final Planning planning;
     /** Where connections are divided; null for a process that divides none. */
     private final Divisions divisions;
+
     private List<Command.Divide> divides = List.of();
     /** Divisions that are out, by their number: until they are answered, or for as long as a lease. */
     private final Map<Long, Sent> dividing = new TreeMap<>();
+
     private final CompletableFuture<Void> left = new CompletableFuture<>();
     /** What is held by lines that were said, with its fences. */
     private final Map<String, Long> held = new TreeMap<>();
+
     private volatile FleetPlan plan;
     private SessionClient client;
     private Line line;
@@ -139,14 +128,17 @@
     private final Gathered gathered = new Gathered(SessionDesk.MOST_REPORT);
     /** Of the session's reports the last, and when it was sent. */
     private long sequence, reportedAt;
+
     private boolean open;
     /** The process ends; all is answered, and until when connections may be given back; the session ends. */
     private boolean ending, drained, leaving;
+
     private long giveBy;
     /** Whether this process would make the plans. */
     private boolean stands;
     /** The newest plan that was told, and when. */
     private Plan newest = Plan.NONE;
+
     private long toldAt;
     /** The session that is alive by a line that was said; 0 for none. */
     private long alive;
@@ -154,6 +146,7 @@
     private long saidUntil;
     /** What the log said at the last look, when that was, and what came of it; null for nothing. */
     private Voter.Known looked;
+
     private long lookedAt;
     private Planning.Draft draft;
     /** Publications have numbers below zero, so that none is an ask's; one at a time is out. */
@@ -178,16 +171,18 @@
         });
         thread.setRemoveOnCancelPolicy(true);
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        mailbox = new Mailbox<>(MOST_NOTES, Together::kind, thread, this::read, note -> { });
+        mailbox = new Mailbox<>(MOST_NOTES, Together::kind, thread, this::read, note -> {});
         publishAgain = System.nanoTime();
         reportedAt = publishAgain;
         lookedAt = publishAgain - LOOK;
         holding = new Holding(who, plan.lease() / Holding.MOST_OUT, MOST_OWN, System.nanoTime());
         Terms terms = new Terms(plan.lease(), plan.drift(), plan.effect(), MOST_SESSIONS, MOST_HELD);
         planning = plan.votes() ? new Planning(MOST_SESSIONS, draft -> mailbox.offer(new Note.Drafted(draft))) : null;
-        divisions = plan.votes() ? new Divisions(MOST_SESSIONS, drafts -> mailbox.offer(new Note.Divided(drafts))) : null;
-        voter = plan.votes() ? new Voter(plan, terms, sockets, decision -> mailbox.offer(new Note.Learned(decision)),
-            this::reported) : null;
+        divisions =
+                plan.votes() ? new Divisions(MOST_SESSIONS, drafts -> mailbox.offer(new Note.Divided(drafts))) : null;
+        voter = plan.votes()
+                ? new Voter(plan, terms, sockets, decision -> mailbox.offer(new Note.Learned(decision)), this::reported)
+                : null;
     }
 
     /** A pool tells what it saw lately; any thread. What this task does not read before the next account is left out. */
@@ -207,11 +202,17 @@
 
     /** Answers, and that a stream has come or gone, stand for themselves; of the rest the newest counts, for each pool. */
     private static Object kind(Note note) {
-        return note instanceof Note.Answered || note instanceof Note.Failed || note instanceof Note.Stream ? null
-            : note instanceof Note.Learned learned ? learned.decision().getClass()
-            : note instanceof Note.Saw saw ? saw.account().by()
-            : note instanceof Note.Allotted allotted ? "word " + allotted.word().group()
-            : note instanceof Note.Has has ? "has " + has.account().group() : note.getClass();
+        return note instanceof Note.Answered || note instanceof Note.Failed || note instanceof Note.Stream
+                ? null
+                : note instanceof Note.Learned learned
+                        ? learned.decision().getClass()
+                        : note instanceof Note.Saw saw
+                                ? saw.account().by()
+                                : note instanceof Note.Allotted allotted
+                                        ? "word " + allotted.word().group()
+                                        : note instanceof Note.Has has
+                                                ? "has " + has.account().group()
+                                                : note.getClass();
     }
 
     /** Begins; returns when a voter listens. The fleet is not waited for. */
@@ -310,7 +311,8 @@
             open = stream.open();
         } else if (note instanceof Note.Told told) {
             // Before any pool goes by it.
-            say("agreed number=" + told.plan().number() + " fence=" + told.plan().fence() + " ways=" + told.plan().text());
+            say("agreed number=" + told.plan().number() + " fence="
+                    + told.plan().fence() + " ways=" + told.plan().text());
             if (told.plan().isNewerThan(newest)) {
                 newest = told.plan();
                 toldAt = now;
@@ -499,7 +501,8 @@
             allotments.renewed(holding);
         }
         for (Holding.Event event : events) {
-            if (event instanceof Holding.Event.Gained gained && holding.fence(gained.resource(), now) == gained.fence()) {
+            if (event instanceof Holding.Event.Gained gained
+                    && holding.fence(gained.resource(), now) == gained.fence()) {
                 held.put(gained.resource(), gained.fence());
                 sayHolds(gained.resource(), gained.fence());
             } else if (event instanceof Holding.Event.Refused refused) {
@@ -515,7 +518,9 @@
 
     /** Who makes the plans divides too: the reports of all come to it. */
     private void divide(long now) {
-        boolean plans = planning != null && holding.fence(Command.PLANNER, now) != 0 && !plan.groups().isEmpty();
+        boolean plans = planning != null
+                && holding.fence(Command.PLANNER, now) != 0
+                && !plan.groups().isEmpty();
         if (plans) {
             holding.want(Command.DIVIDER, now);
         } else {
@@ -525,7 +530,8 @@
         dividing.values().removeIf(sent -> now - sent.at() >= plan.lease());
         for (Command.Divide draft : divides) {
             long fence = holding.fence(Command.DIVIDER, System.nanoTime());
-            if (fence == draft.fence() && dividing.values().stream().noneMatch(sent -> sent.group().equals(draft.group()))) {
+            if (fence == draft.fence()
+                    && dividing.values().stream().noneMatch(sent -> sent.group().equals(draft.group()))) {
                 long id = --publications;
                 if (client.ask(id, draft)) {
                     dividing.put(id, new Sent(draft.group(), now));
@@ -543,11 +549,16 @@
             lookedAt = now;
             long divider = holding.fence(Command.DIVIDER, now);
             if (divider != 0) {
-                divisions.look(new Divisions.Look(holding.session(), divider, voter.connections().sessions(),
-                    voter.connections().budgets(), plan.groups(), voter.logTime()));
+                divisions.look(new Divisions.Look(
+                        holding.session(),
+                        divider,
+                        voter.connections().sessions(),
+                        voter.connections().budgets(),
+                        plan.groups(),
+                        voter.logTime()));
             }
-            planning.look(new Planning.Look(looked.plan(), fence, looked.regions(), voter.logTime(),
-                plan.geography(), plan.limits()));
+            planning.look(new Planning.Look(
+                    looked.plan(), fence, looked.regions(), voter.logTime(), plan.geography(), plan.limits()));
         }
     }
 
@@ -555,7 +566,11 @@
     private Planning.Draft wouldPublish(long now) {
         long fence = draft == null ? 0 : holding.fence(Command.PLANNER, now);
         // What was made from another plan than is in force now is refused; it is made anew.
-        return fence != 0 && draft.fence() == fence && draft.after() == voter.known().plan().number() ? draft : null;
+        return fence != 0
+                        && draft.fence() == fence
+                        && draft.after() == voter.known().plan().number()
+                ? draft
+                : null;
     }
 
     private void publish(long now) {
@@ -565,11 +580,14 @@
         }
         Planning.Draft what = publishing != 0 || now - publishAgain < 0 ? null : wouldPublish(now);
         if (what != null) {
-            // The last look before the effect; what a pause slips in behind it meets the machine, which knows the fence.
+            // The last look before the effect; what a pause slips in behind it meets the machine, which knows the
+            // fence.
             long fence = holding.fence(Command.PLANNER, System.nanoTime());
             long id = --publications;
-            if (fence == what.fence() && client.ask(id,
-                new Command.Publish(holding.session(), fence, what.after(), what.ways(), what.marks()))) {
+            if (fence == what.fence()
+                    && client.ask(
+                            id,
+                            new Command.Publish(holding.session(), fence, what.after(), what.ways(), what.marks()))) {
                 publishing = id;
             }
             publishAgain = now + plan.lease() / PLANS;
@@ -613,15 +631,16 @@
         mailbox.close();
         try {
             thread.submit(() -> {
-                if (client != null) {
-                    client.close();
-                }
-                if (voter != null) {
-                    planning.close();
-                    divisions.close();
-                    voter.close();
-                }
-            }).get(LEAVE_MS, TimeUnit.MILLISECONDS);
+                        if (client != null) {
+                            client.close();
+                        }
+                        if (voter != null) {
+                            planning.close();
+                            divisions.close();
+                            voter.close();
+                        }
+                    })
+                    .get(LEAVE_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException | RejectedExecutionException e) {
--- a/src/main/java/rushpin/node/UseStore.java
+++ b/src/main/java/rushpin/node/UseStore.java
@@ -41,9 +41,11 @@
 final class UseStore implements UseBook.Port, AutoCloseable {
     /** A mebibyte holds some 26,000 entries; beyond that the file is written anew, in a millisecond or two. */
     static final int SIZE = 1 << 20;
+
     private static final int MOST = (SIZE - UseRecord.HEADER) / UseRecord.ENTRY, MOST_CUSTOMERS = 8_192;
     /** The counter forgets names after a minute at the latest: older use is nobody's concern. */
     private static final long MOST_AGE_MS = 60_000;
+
     private static final long NANOS_A_MS = 1_000_000, NANOS_A_SECOND = 1_000_000_000;
     private static final String SUFFIX = ".use";
 
@@ -120,13 +122,16 @@
 
     /** What is amiss, the worse the later; a line says it when it becomes worse, and one when all is well again. */
     private enum Trouble {
-        NONE, OTHERS_NOT_TAKEN_OVER, NOT_KEPT
+        NONE,
+        OTHERS_NOT_TAKEN_OVER,
+        NOT_KEPT
     }
 
     private final Path folder;
     private final String node, pool;
     /** Nanoseconds of a clock that nobody sets, the same for all processes of the machine. */
     private final LongSupplier nanos;
+
     private final long startMs, startNanos;
     private final Consumer<String> log;
     private final Disk disk;
@@ -135,6 +140,7 @@
     private final Map<Path, Long> leftOver = new LinkedHashMap<>();
     /** Files that are another's, each of which has cost its line. */
     private final Set<Path> leftAlone = new HashSet<>();
+
     private Path file;
     private FileChannel channel;
     private long begun, lastBegin;
@@ -142,7 +148,8 @@
     private Trouble said = Trouble.NONE;
     private boolean closed;
 
-    private UseStore(Path folder, String node, String pool, long nowMs, Consumer<String> log, Disk disk, LongSupplier nanos) {
+    private UseStore(
+            Path folder, String node, String pool, long nowMs, Consumer<String> log, Disk disk, LongSupplier nanos) {
         this.folder = folder;
         // In the form in which records have the names.
         Origin origin = new Origin(node, pool, nowMs);
@@ -157,8 +164,7 @@
     }
 
     /** What a start finds. */
-    record Opened(UseStore store, List<Balance> untold) {
-    }
+    record Opened(UseStore store, List<Balance> untold) {}
 
     /** Opens the folder; one that cannot be used costs a line, and is tried again with each {@link #adopt}. */
     static Opened open(Path folder, String node, String pool, long nowMs, Consumer<String> log) {
@@ -166,8 +172,8 @@
     }
 
     /** As above, on a given disk, with ages by a given clock. */
-    static Opened open(Path folder, String node, String pool, long nowMs, Consumer<String> log, Disk disk,
-                       LongSupplier nanos) {
+    static Opened open(
+            Path folder, String node, String pool, long nowMs, Consumer<String> log, Disk disk, LongSupplier nanos) {
         UseStore store = new UseStore(folder, node, pool, nowMs, log, disk, nanos);
         return new Opened(store, store.adopt(nowMs));
     }
@@ -310,9 +316,11 @@
             log.accept("the state folder " + folder + " can be used again: use is kept over a hard kill");
         } else if (now.compareTo(said) > 0) {
             said = now;
-            log.accept(now == Trouble.NOT_KEPT
-                ? "use is not kept over a hard kill: the state folder " + folder + " cannot be used: " + fault
-                : "the state folder " + folder + " cannot be looked through: " + fault);
+            log.accept(
+                    now == Trouble.NOT_KEPT
+                            ? "use is not kept over a hard kill: the state folder " + folder + " cannot be used: "
+                                    + fault
+                            : "the state folder " + folder + " cannot be looked through: " + fault);
         }
     }
 
@@ -344,7 +352,8 @@
             if (lock == null) {
                 return;
             }
-            if (!contents.origin().node().equals(node) || !contents.origin().pool().equals(pool)) {
+            if (!contents.origin().node().equals(node)
+                    || !contents.origin().pool().equals(pool)) {
                 if (!contents.origin().node().equals(node)) {
                     leaveAlone(each, " is node " + contents.origin().node() + "'s record, this is " + node);
                 }
@@ -395,8 +404,12 @@
         }
         // One draft at most, also where none can be deleted.
         Path draft = path(startMs, ".draft"), whole = path(begin, SUFFIX);
-        FileChannel made = disk.open(draft, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-            StandardOpenOption.READ, StandardOpenOption.WRITE);
+        FileChannel made = disk.open(
+                draft,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING,
+                StandardOpenOption.READ,
+                StandardOpenOption.WRITE);
         try {
             if (lock(made) == null) {
                 throw new IOException(draft + " is held by another");
@@ -417,7 +430,8 @@
     }
 
     private Path path(long begin, String suffix) {
-        return folder.resolve((pool.isEmpty() ? "pool" : pool) + "-" + begin + "-" + ProcessHandle.current().pid() + suffix);
+        return folder.resolve((pool.isEmpty() ? "pool" : pool) + "-" + begin + "-"
+                + ProcessHandle.current().pid() + suffix);
     }
 
     private void discard(FileChannel made, Path draft) {
--- a/src/main/java/rushpin/node/Voter.java
+++ b/src/main/java/rushpin/node/Voter.java
@@ -65,15 +65,12 @@
      * @param planner the session that makes the plans, 0 for none
      * @param planning the name of its process, null for none
      */
-    record Known(Plan plan, Map<String, String> regions, long planner, String planning) {
-    }
+    record Known(Plan plan, Map<String, String> regions, long planner, String planning) {}
 
     /** What the log says of connections to groups: who is there, by session, and what is granted. */
-    record Connections(Map<Long, String> sessions, Map<String, Budget> budgets) {
-    }
+    record Connections(Map<Long, String> sessions, Map<String, Budget> budgets) {}
 
-    private record Heard(Introduction what, long at) {
-    }
+    private record Heard(Introduction what, long at) {}
 
     /** Streams of processes, and connections beyond these: the other voters', and strangers'. */
     private static final int MOST_STREAMS = 2_000, MORE_CONNECTIONS = 64;
@@ -81,6 +78,7 @@
     private static final int LOOKS = 10;
     /** The log's pace in parts of a lease: a new leader is there well before leases end for want of one. */
     private static final int HEARTBEAT = 12, ELECTION_LEAST = 5;
+
     private static final String ERA = "era-";
     /** A log in which nothing is decided for so long stands still, however short the lease; nanoseconds. */
     private static final long STILL = 2_000_000_000L;
@@ -88,6 +86,7 @@
     private static final long AGAIN = 5_000_000_000L;
     /** Longer ago than any lease. */
     private static final long MOST_ASKED = 3_600_000_000_000L;
+
     private static final int LONGEST_WHY = 200;
     /** Log time between two looks at what is granted, nanoseconds: it is as long as there are processes. */
     private static final long GRANTS = 200_000_000L;
@@ -103,11 +102,13 @@
     private final Codec codec = new Codec();
     /** Of the sessions that are there; the log's thread alone. */
     private final Map<Long, Who> sessions = new HashMap<>();
+
     private Plan inForce = Plan.NONE;
     private long planner;
     private volatile Known known = new Known(Plan.NONE, Map.of(), 0, null);
     /** The log's thread alone: what is applied now, and when its grants were looked at. */
     private Machine machine;
+
     private long grantsAt;
     private volatile Connections connections = new Connections(Map.of(), Map.of());
     private volatile Replica replica;
@@ -116,6 +117,7 @@
     private volatile long appliedAt;
     /** Log time up to which all is known: a log that is opened anew tells it once more. Set on the log's thread. */
     private volatile long newest = Long.MIN_VALUE;
+
     private volatile Folder folder;
     private volatile String id;
     /** Who votes by the file as it is now. */
@@ -134,6 +136,7 @@
     private boolean busy;
     /** Nothing more, until the operator changes something. */
     private volatile boolean refused;
+
     private volatile String told;
     /** When the log was last opened. */
     private long openedAt;
@@ -158,7 +161,8 @@
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
         links = new Links(others(plan), sockets);
         desk = new SessionDesk(plan.name(), this, links, MOST_STREAMS, pace, evidence);
-        InetSocketAddress listen = new InetSocketAddress(plan.listen().getHostString(), plan.listen().getPort());
+        InetSocketAddress listen = new InetSocketAddress(
+                plan.listen().getHostString(), plan.listen().getPort());
         server = new PeerServer(listen, MOST_STREAMS + MORE_CONNECTIONS, this, desk, sockets);
     }
 
@@ -177,8 +181,8 @@
     void open() throws IOException {
         long newest = newestEra(plan.state());
         if (newest > plan.era()) {
-            throw new IOException("fleet.state " + plan.state() + " has seen era " + newest + ", and fleet.era is "
-                + plan.era());
+            throw new IOException(
+                    "fleet.state " + plan.state() + " has seen era " + newest + ", and fleet.era is " + plan.era());
         }
         try {
             folder = Folder.open(plan.state().resolve(ERA + plan.era()));
@@ -204,8 +208,11 @@
             return 0;
         }
         try (Stream<Path> all = Files.list(state)) {
-            return all.map(each -> each.getFileName().toString()).filter(each -> each.matches(ERA + "[0-9]{1,9}"))
-                .mapToLong(each -> Long.parseLong(each.substring(ERA.length()))).max().orElse(0);
+            return all.map(each -> each.getFileName().toString())
+                    .filter(each -> each.matches(ERA + "[0-9]{1,9}"))
+                    .mapToLong(each -> Long.parseLong(each.substring(ERA.length())))
+                    .max()
+                    .orElse(0);
         }
     }
 
@@ -223,10 +230,18 @@
     private void open(UUID log, List<String> ids) throws IOException {
         openedAt = System.nanoTime();
         long lease = plan.lease();
-        Replica.Timing timing = new Replica.Timing(lease / HEARTBEAT, lease / ELECTION_LEAST, 2 * lease / ELECTION_LEAST);
-        Replica made = new Replica(peer(id), new Replica.Group(log, ids.stream().map(Voter::peer).toList()),
-            plan.state().resolve(ERA + plan.era()), this::machine, codec, links,
-            timing, System::nanoTime, this);
+        Replica.Timing timing =
+                new Replica.Timing(lease / HEARTBEAT, lease / ELECTION_LEAST, 2 * lease / ELECTION_LEAST);
+        Replica made = new Replica(
+                peer(id),
+                new Replica.Group(log, ids.stream().map(Voter::peer).toList()),
+                plan.state().resolve(ERA + plan.era()),
+                this::machine,
+                codec,
+                links,
+                timing,
+                System::nanoTime,
+                this);
         made.start();
         replica = made;
     }
@@ -301,7 +316,10 @@
     /** Only who makes the plans divides, and only it needs to know. */
     private void lookAtGrants(long at, Command command) {
         boolean divides = plan.name().equals(known.planning());
-        if (divides && (command instanceof Command.Divide || at - grantsAt >= GRANTS || connections.sessions().isEmpty())) {
+        if (divides
+                && (command instanceof Command.Divide
+                        || at - grantsAt >= GRANTS
+                        || connections.sessions().isEmpty())) {
             grantsAt = at;
             Map<Long, String> names = new TreeMap<>();
             sessions.forEach((session, who) -> names.put(session, who.name()));
@@ -354,8 +372,9 @@
             }
             if (!isMember() || leading && System.nanoTime() - askedAt < plan.lease()) {
                 Introduced own = wire(self());
-                links.voters().forEach(voter -> links.introduce(voter, own, pace.patience())
-                    .thenAccept(theirs -> execute(() -> answered(theirs))));
+                links.voters()
+                        .forEach(voter -> links.introduce(voter, own, pace.patience())
+                                .thenAccept(theirs -> execute(() -> answered(theirs))));
             }
             if (log != null && log.counts() != counts) {
                 counts = !counts;
@@ -381,7 +400,9 @@
     /** What this voter says of itself; any thread. */
     private Introduction self() {
         Replica log = replica;
-        List<String> ids = log == null ? members : log.voters().stream().map(Replica.Peer::id).toList();
+        List<String> ids = log == null
+                ? members
+                : log.voters().stream().map(Replica.Peer::id).toList();
         List<String> said = !ids.isEmpty() ? ids : log == null || !members.isEmpty() ? members : List.of(id);
         return new Introduction(plan.name(), id, log == null, plan.era(), said.isEmpty() ? null : group, said);
     }
@@ -409,7 +430,11 @@
         }
         heard.put(what.name(), new Heard(what, System.nanoTime()));
         if (!isMember() && !refused) {
-            step(Founding.decide(self(), names, folder.era(), heard.values().stream().map(Heard::what).toList()));
+            step(Founding.decide(
+                    self(),
+                    names,
+                    folder.era(),
+                    heard.values().stream().map(Heard::what).toList()));
         }
     }
 
@@ -422,8 +447,12 @@
                 members = found.memberIds();
                 begin(found.group(), found.memberIds(), true);
             } else if (step instanceof Founding.Step.AskToReplace ask) {
-                members = heard.values().stream().map(Heard::what).filter(each -> ask.group().equals(each.groupId()))
-                    .map(Introduction::memberIds).findFirst().orElse(members);
+                members = heard.values().stream()
+                        .map(Heard::what)
+                        .filter(each -> ask.group().equals(each.groupId()))
+                        .map(Introduction::memberIds)
+                        .findFirst()
+                        .orElse(members);
                 if (replica == null) {
                     begin(ask.group(), List.of(), true);
                 }
@@ -443,11 +472,14 @@
         Set<String> there = new TreeSet<>();
         voters.forEach(each -> there.add(each.name()));
         if (there.containsAll(names)) {
-            voters.stream().filter(each -> !names.contains(each.name())).findFirst().ifPresent(gone -> {
-                List<Replica.Peer> rest = new ArrayList<>(voters);
-                rest.remove(gone);
-                busy(replica.change(rest), "voter " + gone.id() + " is taken out");
-            });
+            voters.stream()
+                    .filter(each -> !names.contains(each.name()))
+                    .findFirst()
+                    .ifPresent(gone -> {
+                        List<Replica.Peer> rest = new ArrayList<>(voters);
+                        rest.remove(gone);
+                        busy(replica.change(rest), "voter " + gone.id() + " is taken out");
+                    });
         }
     }
 
@@ -477,7 +509,11 @@
     public Introduced introduce(Introduced theirs) {
         execute(() -> {
             Introduction what = read(theirs);
-            if (what != null && !what.blank() && replica != null && replica.leads() && what.groupId().equals(group)) {
+            if (what != null
+                    && !what.blank()
+                    && replica != null
+                    && replica.leads()
+                    && what.groupId().equals(group)) {
                 takeIn(what);
             }
         });
@@ -494,9 +530,14 @@
         }
         askedAt = now;
         List<String> there = new ArrayList<>(List.of(id));
-        heard.values().stream().filter(each -> now - each.at() < plan.lease()).forEach(each -> there.add(each.what().id()));
-        String old = voters.stream().filter(each -> each.name().equals(theirs.name())).map(Replica.Peer::id).findFirst()
-            .orElse(null);
+        heard.values().stream()
+                .filter(each -> now - each.at() < plan.lease())
+                .forEach(each -> there.add(each.what().id()));
+        String old = voters.stream()
+                .filter(each -> each.name().equals(theirs.name()))
+                .map(Replica.Peer::id)
+                .findFirst()
+                .orElse(null);
         if (Founding.mayChange(ids, there, busy, names, old, theirs.id()) == Founding.Answer.YES) {
             voters.removeIf(each -> each.id().equals(old));
             voters.add(peer(theirs.id()));
@@ -566,7 +607,8 @@
             } else if (decision instanceof Decision.InForce newer) {
                 inForce = newer.plan();
                 changed = true;
-            } else if (decision instanceof Decision.Holds holds && holds.resource().equals(Command.PLANNER)) {
+            } else if (decision instanceof Decision.Holds holds
+                    && holds.resource().equals(Command.PLANNER)) {
                 planner = holds.session();
                 changed = true;
             } else if (decision instanceof Decision.Free free && free.resource().equals(Command.PLANNER)) {
@@ -588,8 +630,10 @@
     private void know() {
         Map<String, String> regions = new TreeMap<>();
         // Of two that name another region for one zone the first by name has it, for all alike.
-        sessions.values().stream().filter(who -> Who.isName(who.zone()))
-            .forEach(who -> regions.merge(who.zone(), who.region(), (one, two) -> one.compareTo(two) <= 0 ? one : two));
+        sessions.values().stream()
+                .filter(who -> Who.isName(who.zone()))
+                .forEach(who ->
+                        regions.merge(who.zone(), who.region(), (one, two) -> one.compareTo(two) <= 0 ? one : two));
         Who plans = sessions.get(planner);
         known = new Known(inForce, Map.copyOf(regions), planner, plans == null ? null : plans.name());
         if (inForce.number() > 0) {
@@ -603,8 +647,11 @@
         sessions.clear();
         state.sessions().forEach(each -> sessions.put(each.number(), each.who()));
         inForce = state.plan();
-        planner = state.holders().stream().filter(each -> each.resource().equals(Command.PLANNER))
-            .mapToLong(State.Holder::session).findFirst().orElse(0);
+        planner = state.holders().stream()
+                .filter(each -> each.resource().equals(Command.PLANNER))
+                .mapToLong(State.Holder::session)
+                .findFirst()
+                .orElse(0);
         if (state.now() < newest) {
             return;
         }
--- a/src/main/java/rushpin/node/Witness.java
+++ b/src/main/java/rushpin/node/Witness.java
@@ -40,15 +40,20 @@
      * @param span nanoseconds
      * @param late how much of it the loop stood still or was late, nanoseconds
      */
-    record Account(Witness by, long span, long late, List<Report.Seen> seen, List<Report.Stock> stocks,
-                   List<Report.Entered> entered) {
-    }
+    record Account(
+            Witness by,
+            long span,
+            long late,
+            List<Report.Seen> seen,
+            List<Report.Stock> stocks,
+            List<Report.Entered> entered) {}
 
     private static final long MS = 1_000_000L, BEAT = 100 * MS;
     /** A loop on a busy machine is late by so much without being in trouble. */
     private static final long SLACK = 50 * MS;
     /** Beats between two accounts. */
     private static final int BEATS = 10;
+
     private static final int SENT = 0, OK = 1, FAILED = 2, SLOW = 3, UNREACHABLE = 4, ROW = 5;
 
     private static final class OfClass {
@@ -70,6 +75,7 @@
     private final Map<String, Server> listed = new HashMap<>();
     /** Whether the module holds a server out. */
     private Predicate<String> heldOut = server -> false;
+
     private Future<?> beats;
     private long began, beatAt, late;
     private int beat;
@@ -90,7 +96,8 @@
     void classes(List<String> names, List<RequestClass> specs) {
         classes.keySet().retainAll(names);
         for (int i = 0; i < names.size(); i++) {
-            classes.computeIfAbsent(names.get(i), name -> new OfClass(zones.size())).aim = specs.get(i).aim();
+            classes.computeIfAbsent(names.get(i), name -> new OfClass(zones.size())).aim =
+                    specs.get(i).aim();
         }
     }
 
@@ -129,8 +136,12 @@
     void ended(String className, String server, Outcome outcome, long took) {
         OfClass of = classes.get(className);
         Server at = listed.get(server);
-        if (of == null || at == null || outcome == Outcome.NOT_SENT || outcome == Outcome.CANCELLED || at.zone() < 0
-            || at.zone() >= zones.size()) {
+        if (of == null
+                || at == null
+                || outcome == Outcome.NOT_SENT
+                || outcome == Outcome.CANCELLED
+                || at.zone() < 0
+                || at.zone() >= zones.size()) {
             return;
         }
         int row = at.zone() * ROW;
@@ -180,8 +191,14 @@
             for (int zone = 0; zone < zones.size(); zone++) {
                 int row = zone * ROW;
                 if (of.rows[row + SENT] > 0) {
-                    seen.add(new Report.Seen(zone(zone), all, of.rows[row + SENT], of.rows[row + OK], of.rows[row + FAILED],
-                        of.rows[row + SLOW], of.rows[row + UNREACHABLE]));
+                    seen.add(new Report.Seen(
+                            zone(zone),
+                            all,
+                            of.rows[row + SENT],
+                            of.rows[row + OK],
+                            of.rows[row + FAILED],
+                            of.rows[row + SLOW],
+                            of.rows[row + UNREACHABLE]));
                 }
             }
             if (of.entered > 0) {
@@ -216,9 +233,8 @@
             }
         }
         List<Report.Stock> stocks = new ArrayList<>();
-        of.forEach((zone, sums) ->
-            stocks.add(new Report.Stock(zone, (int) sums[0], Math.min(Report.MOST, Math.round(sums[1] * Plan.WHOLE)),
-                (int) sums[2])));
+        of.forEach((zone, sums) -> stocks.add(new Report.Stock(
+                zone, (int) sums[0], Math.min(Report.MOST, Math.round(sums[1] * Plan.WHOLE)), (int) sums[2])));
         stocks.removeIf(stock -> !Who.isName(stock.zone()));
         return stocks;
     }
@@ -234,8 +250,13 @@
 
     /** The median of the list's; 0 where sizes mean nothing. */
     private double usualSize() {
-        double[] sizes = !sizesTell ? new double[0]
-            : listed.values().stream().mapToDouble(Server::size).filter(size -> size > 0).sorted().toArray();
+        double[] sizes = !sizesTell
+                ? new double[0]
+                : listed.values().stream()
+                        .mapToDouble(Server::size)
+                        .filter(size -> size > 0)
+                        .sorted()
+                        .toArray();
         return sizes.length == 0 ? 0 : sizes[sizes.length / 2];
     }
 }
--- a/src/main/java/rushpin/peer/Calls.java
+++ b/src/main/java/rushpin/peer/Calls.java
@@ -27,29 +27,30 @@
     static final String SERVICE = "rushpin.peer.Peers";
 
     static final MethodDescriptor<Wire.Carried, Wire.Answered> RAFT =
-        unary("Raft", Wire.Carried.getDefaultInstance(), Wire.Answered.getDefaultInstance());
+            unary("Raft", Wire.Carried.getDefaultInstance(), Wire.Answered.getDefaultInstance());
     static final MethodDescriptor<Wire.Proposal, Wire.Verdict> PROPOSE =
-        unary("Propose", Wire.Proposal.getDefaultInstance(), Wire.Verdict.getDefaultInstance());
+            unary("Propose", Wire.Proposal.getDefaultInstance(), Wire.Verdict.getDefaultInstance());
     static final MethodDescriptor<Wire.Introduction, Wire.Introduction> INTRODUCE =
-        unary("Introduce", Wire.Introduction.getDefaultInstance(), Wire.Introduction.getDefaultInstance());
+            unary("Introduce", Wire.Introduction.getDefaultInstance(), Wire.Introduction.getDefaultInstance());
     static final MethodDescriptor<Wire.Reports, Wire.Nothing> REPORT =
-        unary("Report", Wire.Reports.getDefaultInstance(), Wire.Nothing.getDefaultInstance());
+            unary("Report", Wire.Reports.getDefaultInstance(), Wire.Nothing.getDefaultInstance());
     static final MethodDescriptor<Wire.Up, Wire.Down> SESSION =
-        method(MethodType.BIDI_STREAMING, "Session", Wire.Up.getDefaultInstance(), Wire.Down.getDefaultInstance());
+            method(MethodType.BIDI_STREAMING, "Session", Wire.Up.getDefaultInstance(), Wire.Down.getDefaultInstance());
 
-    private Calls() {
-    }
+    private Calls() {}
 
     private static <Q extends Message, A extends Message> MethodDescriptor<Q, A> unary(String name, Q asked, A answer) {
         return method(MethodType.UNARY, name, asked, answer);
     }
 
-    private static <Q extends Message, A extends Message> MethodDescriptor<Q, A> method(MethodType type, String name,
-            Q asked, A answer) {
-        return MethodDescriptor.<Q, A>newBuilder().setType(type)
-            .setFullMethodName(MethodDescriptor.generateFullMethodName(SERVICE, name))
-            .setRequestMarshaller(ProtoUtils.marshaller(asked)).setResponseMarshaller(ProtoUtils.marshaller(answer))
-            .build();
+    private static <Q extends Message, A extends Message> MethodDescriptor<Q, A> method(
+            MethodType type, String name, Q asked, A answer) {
+        return MethodDescriptor.<Q, A>newBuilder()
+                .setType(type)
+                .setFullMethodName(MethodDescriptor.generateFullMethodName(SERVICE, name))
+                .setRequestMarshaller(ProtoUtils.marshaller(asked))
+                .setResponseMarshaller(ProtoUtils.marshaller(answer))
+                .build();
     }
 
     /**
@@ -59,13 +60,24 @@
     static ManagedChannel channel(InetSocketAddress to, Sockets sockets, Executor thread) {
         String host = to.getHostString();
         NettyChannelBuilder builder = to.isUnresolved()
-            ? NettyChannelBuilder.forTarget("dns:///" + (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + to.getPort())
-            : NettyChannelBuilder.forAddress(to);
-        return builder.eventLoopGroup(sockets.loop()).channelType(NioSocketChannel.class).executor(thread)
-            .offloadExecutor(sockets.names()).usePlaintext().disableRetry().disableServiceConfigLookUp()
-            .proxyDetector(address -> null).withOption(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-            .withOption(ChannelOption.TCP_NODELAY, true).maxInboundMessageSize(MOST_MESSAGE).flowControlWindow(WINDOW)
-            .keepAliveTime(KEEP_ALIVE_S, TimeUnit.SECONDS).keepAliveTimeout(KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS)
-            .keepAliveWithoutCalls(true).build();
+                ? NettyChannelBuilder.forTarget(
+                        "dns:///" + (host.indexOf(':') < 0 ? host : "[" + host + "]") + ":" + to.getPort())
+                : NettyChannelBuilder.forAddress(to);
+        return builder.eventLoopGroup(sockets.loop())
+                .channelType(NioSocketChannel.class)
+                .executor(thread)
+                .offloadExecutor(sockets.names())
+                .usePlaintext()
+                .disableRetry()
+                .disableServiceConfigLookUp()
+                .proxyDetector(address -> null)
+                .withOption(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .withOption(ChannelOption.TCP_NODELAY, true)
+                .maxInboundMessageSize(MOST_MESSAGE)
+                .flowControlWindow(WINDOW)
+                .keepAliveTime(KEEP_ALIVE_S, TimeUnit.SECONDS)
+                .keepAliveTimeout(KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS)
+                .keepAliveWithoutCalls(true)
+                .build();
     }
 }
