--- a/src/main/java/rushpin/peer/Codec.java
+++ b/src/main/java/rushpin/peer/Codec.java
@@ -53,18 +53,32 @@
         } else if (command instanceof Command.Acquire of) {
             to.setAcquire(Wire.Acquire.newBuilder().setSession(of.session()).setResource(of.resource()));
         } else if (command instanceof Command.Release of) {
-            to.setRelease(Wire.Release.newBuilder().setSession(of.session()).setResource(of.resource())
-                .setFence(of.fence()));
+            to.setRelease(Wire.Release.newBuilder()
+                    .setSession(of.session())
+                    .setResource(of.resource())
+                    .setFence(of.fence()));
         } else if (command instanceof Command.Publish of) {
-            to.setPublish(Wire.Publish.newBuilder().setSession(of.session()).setFence(of.fence()).setAfter(of.after())
-                .addAllWays(wire(of.ways())).addAllMarks(marks(of.marks())));
+            to.setPublish(Wire.Publish.newBuilder()
+                    .setSession(of.session())
+                    .setFence(of.fence())
+                    .setAfter(of.after())
+                    .addAllWays(wire(of.ways()))
+                    .addAllMarks(marks(of.marks())));
         } else if (command instanceof Command.Divide of) {
-            to.setDivide(Wire.Divide.newBuilder().setSession(of.session()).setFence(of.fence()).setAfter(of.after())
-                .setGroup(of.group()).setFigures(wire(of.figures())).addAllTenants(of.tenants())
-                .addAllShares(shares(of.shares())));
+            to.setDivide(Wire.Divide.newBuilder()
+                    .setSession(of.session())
+                    .setFence(of.fence())
+                    .setAfter(of.after())
+                    .setGroup(of.group())
+                    .setFigures(wire(of.figures()))
+                    .addAllTenants(of.tenants())
+                    .addAllShares(shares(of.shares())));
         } else if (command instanceof Command.Cede of) {
-            to.setCede(Wire.Cede.newBuilder().setSession(of.session()).setGroup(of.group()).setNumber(of.number())
-                .setTo(of.to()));
+            to.setCede(Wire.Cede.newBuilder()
+                    .setSession(of.session())
+                    .setGroup(of.group())
+                    .setNumber(of.number())
+                    .setTo(of.to()));
         } else if (command instanceof Command.Unknown of) {
             return bounded(of.bytes().clone(), MOST_COMMAND);
         } else if (command instanceof Command.Carried of) {
@@ -80,22 +94,43 @@
         return read(bytes, MOST_COMMAND, "command", () -> {
             Wire.Command from = Wire.Command.parseFrom(bytes);
             Command command = switch (from.getKindCase()) {
-                case FOUND -> new Command.Found(from.getFound().getEra(), terms(from.getFound().getTerms()));
+                case FOUND ->
+                    new Command.Found(
+                            from.getFound().getEra(), terms(from.getFound().getTerms()));
                 case TICK -> new Command.Tick();
                 case JOIN -> new Command.Join(who(from.getJoin().getWho()));
                 case RENEW -> new Command.Renew(from.getRenew().getSession());
                 case LEAVE -> new Command.Leave(from.getLeave().getSession());
-                case ACQUIRE -> new Command.Acquire(from.getAcquire().getSession(), from.getAcquire().getResource());
-                case RELEASE -> new Command.Release(from.getRelease().getSession(), from.getRelease().getResource(),
-                    from.getRelease().getFence());
-                case PUBLISH -> new Command.Publish(from.getPublish().getSession(), from.getPublish().getFence(),
-                    from.getPublish().getAfter(), ways(from.getPublish().getWaysList()),
-                    read(from.getPublish().getMarksList()));
-                case DIVIDE -> new Command.Divide(from.getDivide().getSession(), from.getDivide().getFence(),
-                    from.getDivide().getAfter(), from.getDivide().getGroup(), figures(from.getDivide().getFigures()),
-                    from.getDivide().getTenantsList(), read(from.getDivide().getSharesList(), Codec::share));
-                case CEDE -> new Command.Cede(from.getCede().getSession(), from.getCede().getGroup(),
-                    from.getCede().getNumber(), from.getCede().getTo());
+                case ACQUIRE ->
+                    new Command.Acquire(
+                            from.getAcquire().getSession(), from.getAcquire().getResource());
+                case RELEASE ->
+                    new Command.Release(
+                            from.getRelease().getSession(),
+                            from.getRelease().getResource(),
+                            from.getRelease().getFence());
+                case PUBLISH ->
+                    new Command.Publish(
+                            from.getPublish().getSession(),
+                            from.getPublish().getFence(),
+                            from.getPublish().getAfter(),
+                            ways(from.getPublish().getWaysList()),
+                            read(from.getPublish().getMarksList()));
+                case DIVIDE ->
+                    new Command.Divide(
+                            from.getDivide().getSession(),
+                            from.getDivide().getFence(),
+                            from.getDivide().getAfter(),
+                            from.getDivide().getGroup(),
+                            figures(from.getDivide().getFigures()),
+                            from.getDivide().getTenantsList(),
+                            read(from.getDivide().getSharesList(), Codec::share));
+                case CEDE ->
+                    new Command.Cede(
+                            from.getCede().getSession(),
+                            from.getCede().getGroup(),
+                            from.getCede().getNumber(),
+                            from.getCede().getTo());
                 // A message of a newer version has at least the field that says its kind.
                 case KIND_NOT_SET -> {
                     if (bytes.length == 0) {
@@ -127,7 +162,8 @@
         } else if (outcome instanceof Outcome.Allotted of) {
             to.setAllotted(wire(of.word()));
         } else if (outcome instanceof Outcome.Refused of) {
-            to.setRefused(Wire.Refused.newBuilder().setReason(Wire.Refused.Reason.valueOf(of.reason().name())));
+            to.setRefused(Wire.Refused.newBuilder()
+                    .setReason(Wire.Refused.Reason.valueOf(of.reason().name())));
         } else {
             throw new IllegalArgumentException("no form for " + outcome.getClass());
         }
@@ -140,12 +176,23 @@
             Wire.Outcome from = Wire.Outcome.parseFrom(bytes);
             return switch (from.getKindCase()) {
                 case DONE -> new Outcome.Done();
-                case JOINED -> new Outcome.Joined(from.getJoined().getSession(), terms(from.getJoined().getTerms()));
-                case GRANTED -> new Outcome.Granted(from.getGranted().getResource(), from.getGranted().getFence());
-                case HELD -> new Outcome.Held(from.getHeld().getResource(), from.getHeld().getBy());
+                case JOINED ->
+                    new Outcome.Joined(
+                            from.getJoined().getSession(),
+                            terms(from.getJoined().getTerms()));
+                case GRANTED ->
+                    new Outcome.Granted(
+                            from.getGranted().getResource(), from.getGranted().getFence());
+                case HELD ->
+                    new Outcome.Held(
+                            from.getHeld().getResource(), from.getHeld().getBy());
                 case PUBLISHED -> new Outcome.Published(from.getPublished().getNumber());
-                case REFUSED -> new Outcome.Refused(from.getRefused().getReason() == Wire.Refused.Reason.UNRECOGNIZED
-                    ? Outcome.Reason.UNKNOWN : Outcome.Reason.valueOf(from.getRefused().getReason().name()));
+                case REFUSED ->
+                    new Outcome.Refused(
+                            from.getRefused().getReason() == Wire.Refused.Reason.UNRECOGNIZED
+                                    ? Outcome.Reason.UNKNOWN
+                                    : Outcome.Reason.valueOf(
+                                            from.getRefused().getReason().name()));
                 case DIVIDED -> new Outcome.Divided(from.getDivided().getNumber());
                 case ALLOTTED -> new Outcome.Allotted(allotment(from.getAllotted()));
                 case KIND_NOT_SET -> throw new Unreadable("an outcome of no known kind");
@@ -155,24 +202,38 @@
 
     @Override
     public byte[] bytes(State state) {
-        Wire.State.Builder to = Wire.State.newBuilder().setEra(state.era()).setNow(state.now()).setLast(state.last())
-            .setPlan(wire(state.plan()));
+        Wire.State.Builder to = Wire.State.newBuilder()
+                .setEra(state.era())
+                .setNow(state.now())
+                .setLast(state.last())
+                .setPlan(wire(state.plan()));
         if (state.terms() != null) {
             to.setTerms(wire(state.terms()));
         }
         for (State.Session each : state.sessions()) {
-            to.addSessions(Wire.Session.newBuilder().setNumber(each.number()).setWho(wire(each.who()))
-                .setUntil(each.until()));
+            to.addSessions(Wire.Session.newBuilder()
+                    .setNumber(each.number())
+                    .setWho(wire(each.who()))
+                    .setUntil(each.until()));
         }
         for (State.Holder each : state.holders()) {
-            to.addHolders(Wire.Holder.newBuilder().setResource(each.resource()).setSession(each.session())
-                .setFence(each.fence()));
+            to.addHolders(Wire.Holder.newBuilder()
+                    .setResource(each.resource())
+                    .setSession(each.session())
+                    .setFence(each.fence()));
         }
         for (Budget each : state.budgets()) {
-            to.addBudgets(Wire.Budget.newBuilder().setGroup(each.group()).setFigures(wire(each.figures()))
-                .setNumber(each.number()).setFence(each.fence()).setAt(each.at()).setFirst(each.first())
-                .setChanges(each.changes()).addAllTenants(each.tenants()).addAllShares(shares(each.shares()))
-                .addAllGrants(each.grants().stream().map(Codec::wire).toList()));
+            to.addBudgets(Wire.Budget.newBuilder()
+                    .setGroup(each.group())
+                    .setFigures(wire(each.figures()))
+                    .setNumber(each.number())
+                    .setFence(each.fence())
+                    .setAt(each.at())
+                    .setFirst(each.first())
+                    .setChanges(each.changes())
+                    .addAllTenants(each.tenants())
+                    .addAllShares(shares(each.shares()))
+                    .addAllGrants(each.grants().stream().map(Codec::wire).toList()));
         }
         return bounded(to.build(), MOST_STATE);
     }
@@ -189,8 +250,15 @@
             for (Wire.Holder each : from.getHoldersList()) {
                 holders.add(new State.Holder(each.getResource(), each.getSession(), each.getFence()));
             }
-            return new State(from.getEra(), from.hasTerms() ? terms(from.getTerms()) : null, from.getNow(), from.getLast(),
-                sessions, holders, plan(from.getPlan()), read(from.getBudgetsList(), Codec::budget));
+            return new State(
+                    from.getEra(),
+                    from.hasTerms() ? terms(from.getTerms()) : null,
+                    from.getNow(),
+                    from.getLast(),
+                    sessions,
+                    holders,
+                    plan(from.getPlan()),
+                    read(from.getBudgetsList(), Codec::budget));
         });
     }
 
@@ -225,8 +293,12 @@
     }
 
     static Wire.Plan wire(Plan plan) {
-        return Wire.Plan.newBuilder().setNumber(plan.number()).setFence(plan.fence()).addAllWays(wire(plan.ways()))
-            .addAllMarks(marks(plan.marks())).build();
+        return Wire.Plan.newBuilder()
+                .setNumber(plan.number())
+                .setFence(plan.fence())
+                .addAllWays(wire(plan.ways()))
+                .addAllMarks(marks(plan.marks()))
+                .build();
     }
 
     static Plan plan(Wire.Plan from) {
@@ -234,13 +306,28 @@
     }
 
     private static List<Wire.Mark> marks(List<Plan.Mark> marks) {
-        return marks.stream().map(mark -> Wire.Mark.newBuilder().setFrom(mark.from()).setZone(mark.zone()).setOf(mark.of())
-            .setOpen(mark.open()).setSince(mark.since()).setRelapses(mark.relapses()).build()).toList();
+        return marks.stream()
+                .map(mark -> Wire.Mark.newBuilder()
+                        .setFrom(mark.from())
+                        .setZone(mark.zone())
+                        .setOf(mark.of())
+                        .setOpen(mark.open())
+                        .setSince(mark.since())
+                        .setRelapses(mark.relapses())
+                        .build())
+                .toList();
     }
 
     private static List<Plan.Mark> read(List<Wire.Mark> from) {
-        return from.stream().map(mark -> new Plan.Mark(mark.getFrom(), mark.getZone(), mark.getOf(), mark.getOpen(),
-            mark.getSince(), mark.getRelapses())).toList();
+        return from.stream()
+                .map(mark -> new Plan.Mark(
+                        mark.getFrom(),
+                        mark.getZone(),
+                        mark.getOf(),
+                        mark.getOpen(),
+                        mark.getSince(),
+                        mark.getRelapses()))
+                .toList();
     }
 
     private static List<Wire.Way> wire(List<Plan.Way> ways) {
@@ -248,8 +335,10 @@
         for (Plan.Way way : ways) {
             Wire.Way.Builder made = Wire.Way.newBuilder().setFrom(way.from()).setOf(way.of());
             for (Plan.Part part : way.parts()) {
-                made.addParts(Wire.Part.newBuilder().setTo(part.to()).setThousandths(part.thousandths())
-                    .setSpare(part.spare()));
+                made.addParts(Wire.Part.newBuilder()
+                        .setTo(part.to())
+                        .setThousandths(part.thousandths())
+                        .setSpare(part.spare()));
             }
             to.add(made.build());
         }
@@ -273,17 +362,28 @@
     }
 
     private static Wire.Figures wire(Budget.Figures of) {
-        return Wire.Figures.newBuilder().setMost(of.most()).setReserve(of.reserve()).setOwn(of.own())
-            .setHalfOpen(of.halfOpen()).setForget(of.forget()).build();
+        return Wire.Figures.newBuilder()
+                .setMost(of.most())
+                .setReserve(of.reserve())
+                .setOwn(of.own())
+                .setHalfOpen(of.halfOpen())
+                .setForget(of.forget())
+                .build();
     }
 
     private static Budget.Figures figures(Wire.Figures from) {
-        return new Budget.Figures(from.getMost(), from.getReserve(), from.getOwn(), from.getHalfOpen(), from.getForget());
+        return new Budget.Figures(
+                from.getMost(), from.getReserve(), from.getOwn(), from.getHalfOpen(), from.getForget());
     }
 
     private static List<Wire.Share> shares(List<Budget.Share> shares) {
-        return shares.stream().map(share -> Wire.Share.newBuilder().setSession(share.session())
-            .setConnections(share.connections()).addAllTenants(share.tenants()).build()).toList();
+        return shares.stream()
+                .map(share -> Wire.Share.newBuilder()
+                        .setSession(share.session())
+                        .setConnections(share.connections())
+                        .addAllTenants(share.tenants())
+                        .build())
+                .toList();
     }
 
     private static Budget.Share share(Wire.Share from) {
@@ -291,43 +391,99 @@
     }
 
     private static Wire.Grant wire(Budget.Grant of) {
-        return Wire.Grant.newBuilder().setSession(of.session()).setName(of.name()).setIncarnation(of.incarnation())
-            .setNumber(of.number()).setMost(of.most()).setOwn(of.own()).setGranted(of.granted()).setFloor(of.floor())
-            .setRenewed(of.renewed()).build();
+        return Wire.Grant.newBuilder()
+                .setSession(of.session())
+                .setName(of.name())
+                .setIncarnation(of.incarnation())
+                .setNumber(of.number())
+                .setMost(of.most())
+                .setOwn(of.own())
+                .setGranted(of.granted())
+                .setFloor(of.floor())
+                .setRenewed(of.renewed())
+                .build();
     }
 
     private static Budget budget(Wire.Budget from) {
-        return new Budget(from.getGroup(), figures(from.getFigures()), from.getNumber(), from.getFence(), from.getAt(),
-            from.getFirst(), from.getChanges(), from.getTenantsList(), read(from.getSharesList(), Codec::share),
-            read(from.getGrantsList(), each -> new Budget.Grant(each.getSession(), each.getName(), each.getIncarnation(),
-                each.getNumber(), each.getMost(), each.getOwn(), each.getGranted(), each.getFloor(), each.getRenewed())));
+        return new Budget(
+                from.getGroup(),
+                figures(from.getFigures()),
+                from.getNumber(),
+                from.getFence(),
+                from.getAt(),
+                from.getFirst(),
+                from.getChanges(),
+                from.getTenantsList(),
+                read(from.getSharesList(), Codec::share),
+                read(
+                        from.getGrantsList(),
+                        each -> new Budget.Grant(
+                                each.getSession(),
+                                each.getName(),
+                                each.getIncarnation(),
+                                each.getNumber(),
+                                each.getMost(),
+                                each.getOwn(),
+                                each.getGranted(),
+                                each.getFloor(),
+                                each.getRenewed())));
     }
 
     static Wire.Allotment wire(Allotment of) {
-        return Wire.Allotment.newBuilder().setGroup(of.group()).setSession(of.session()).setNumber(of.number())
-            .setMost(of.most()).setOwn(of.own()).setGranted(of.granted()).setForget(of.forget())
-            .setHalfOpen(of.halfOpen()).addAllTenants(of.tenants().stream().map(each -> Wire.Quota.newBuilder().setTenant(each.tenant())
-                .setConnections(each.connections()).build()).toList()).build();
+        return Wire.Allotment.newBuilder()
+                .setGroup(of.group())
+                .setSession(of.session())
+                .setNumber(of.number())
+                .setMost(of.most())
+                .setOwn(of.own())
+                .setGranted(of.granted())
+                .setForget(of.forget())
+                .setHalfOpen(of.halfOpen())
+                .addAllTenants(of.tenants().stream()
+                        .map(each -> Wire.Quota.newBuilder()
+                                .setTenant(each.tenant())
+                                .setConnections(each.connections())
+                                .build())
+                        .toList())
+                .build();
     }
 
     static Allotment allotment(Wire.Allotment from) {
-        return new Allotment(from.getGroup(), from.getSession(), from.getNumber(), from.getMost(), from.getOwn(),
-            from.getGranted(), from.getForget(), from.getHalfOpen(),
-            read(from.getTenantsList(), each -> new Allotment.Quota(each.getTenant(), each.getConnections())));
+        return new Allotment(
+                from.getGroup(),
+                from.getSession(),
+                from.getNumber(),
+                from.getMost(),
+                from.getOwn(),
+                from.getGranted(),
+                from.getForget(),
+                from.getHalfOpen(),
+                read(from.getTenantsList(), each -> new Allotment.Quota(each.getTenant(), each.getConnections())));
     }
 
     private static Wire.Terms wire(Terms terms) {
-        return Wire.Terms.newBuilder().setLease(terms.lease()).setDrift(terms.drift()).setEffect(terms.effect())
-            .setMostSessions(terms.mostSessions()).setMostHeld(terms.mostHeld()).build();
+        return Wire.Terms.newBuilder()
+                .setLease(terms.lease())
+                .setDrift(terms.drift())
+                .setEffect(terms.effect())
+                .setMostSessions(terms.mostSessions())
+                .setMostHeld(terms.mostHeld())
+                .build();
     }
 
     private static Terms terms(Wire.Terms from) {
-        return new Terms(from.getLease(), from.getDrift(), from.getEffect(), from.getMostSessions(), from.getMostHeld());
+        return new Terms(
+                from.getLease(), from.getDrift(), from.getEffect(), from.getMostSessions(), from.getMostHeld());
     }
 
     static Wire.Who wire(Who who) {
-        return Wire.Who.newBuilder().setName(who.name()).setIncarnation(who.incarnation()).setZone(who.zone())
-            .setRegion(who.region()).setLevel(who.level()).build();
+        return Wire.Who.newBuilder()
+                .setName(who.name())
+                .setIncarnation(who.incarnation())
+                .setZone(who.zone())
+                .setRegion(who.region())
+                .setLevel(who.level())
+                .build();
     }
 
     static Who who(Wire.Who from) {
@@ -335,45 +491,93 @@
     }
 
     static Wire.Report wire(Report report) {
-        Wire.Report.Builder to = Wire.Report.newBuilder().setSession(report.session()).setSequence(report.sequence())
-            .setProcess(report.process()).setZone(report.zone()).setSpan(report.span()).setTrouble(report.trouble());
+        Wire.Report.Builder to = Wire.Report.newBuilder()
+                .setSession(report.session())
+                .setSequence(report.sequence())
+                .setProcess(report.process())
+                .setZone(report.zone())
+                .setSpan(report.span())
+                .setTrouble(report.trouble());
         for (Report.Seen each : report.seen()) {
-            to.addSeen(Wire.Seen.newBuilder().setZone(each.zone()).setOf(each.of()).setSent(each.sent()).setOk(each.ok())
-                .setFailed(each.failed()).setSlow(each.slow()).setUnreachable(each.unreachable()));
+            to.addSeen(Wire.Seen.newBuilder()
+                    .setZone(each.zone())
+                    .setOf(each.of())
+                    .setSent(each.sent())
+                    .setOk(each.ok())
+                    .setFailed(each.failed())
+                    .setSlow(each.slow())
+                    .setUnreachable(each.unreachable()));
         }
         for (Report.Stock each : report.stocks()) {
-            to.addStocks(Wire.Stock.newBuilder().setZone(each.zone()).setReady(each.ready()).setWarm(each.warm())
-                .setHeld(each.held()));
+            to.addStocks(Wire.Stock.newBuilder()
+                    .setZone(each.zone())
+                    .setReady(each.ready())
+                    .setWarm(each.warm())
+                    .setHeld(each.held()));
         }
         for (Report.Entered each : report.entered()) {
             to.addEntered(Wire.Entered.newBuilder().setOf(each.of()).setCount(each.count()));
         }
         for (Report.Need each : report.needs()) {
-            to.addNeeds(Wire.Need.newBuilder().setGroup(each.group()).setTenant(each.tenant()).setWanted(each.wanted())
-                .setUsed(each.used()));
+            to.addNeeds(Wire.Need.newBuilder()
+                    .setGroup(each.group())
+                    .setTenant(each.tenant())
+                    .setWanted(each.wanted())
+                    .setUsed(each.used()));
         }
         return to.build();
     }
 
     static Report report(Wire.Report from) {
-        List<Report.Seen> seen = from.getSeenList().stream().map(each -> new Report.Seen(each.getZone(), each.getOf(),
-            each.getSent(), each.getOk(), each.getFailed(), each.getSlow(), each.getUnreachable())).toList();
+        List<Report.Seen> seen = from.getSeenList().stream()
+                .map(each -> new Report.Seen(
+                        each.getZone(),
+                        each.getOf(),
+                        each.getSent(),
+                        each.getOk(),
+                        each.getFailed(),
+                        each.getSlow(),
+                        each.getUnreachable()))
+                .toList();
         List<Report.Stock> stocks = from.getStocksList().stream()
-            .map(each -> new Report.Stock(each.getZone(), each.getReady(), each.getWarm(), each.getHeld())).toList();
+                .map(each -> new Report.Stock(each.getZone(), each.getReady(), each.getWarm(), each.getHeld()))
+                .toList();
         List<Report.Entered> entered = from.getEnteredList().stream()
-            .map(each -> new Report.Entered(each.getOf(), each.getCount())).toList();
-        return new Report(from.getSession(), from.getSequence(), from.getProcess(), from.getZone(), from.getSpan(),
-            from.getTrouble(), seen, stocks, entered, read(from.getNeedsList(),
-                each -> new Report.Need(each.getGroup(), each.getTenant(), each.getWanted(), each.getUsed())));
+                .map(each -> new Report.Entered(each.getOf(), each.getCount()))
+                .toList();
+        return new Report(
+                from.getSession(),
+                from.getSequence(),
+                from.getProcess(),
+                from.getZone(),
+                from.getSpan(),
+                from.getTrouble(),
+                seen,
+                stocks,
+                entered,
+                read(
+                        from.getNeedsList(),
+                        each -> new Report.Need(each.getGroup(), each.getTenant(), each.getWanted(), each.getUsed())));
     }
 
     static Wire.Introduction wire(Introduced of) {
-        return Wire.Introduction.newBuilder().setName(of.name()).setId(of.id()).setBlank(of.blank()).setEra(of.era())
-            .setGroup(of.group() == null ? "" : of.group()).addAllMembers(of.members()).build();
+        return Wire.Introduction.newBuilder()
+                .setName(of.name())
+                .setId(of.id())
+                .setBlank(of.blank())
+                .setEra(of.era())
+                .setGroup(of.group() == null ? "" : of.group())
+                .addAllMembers(of.members())
+                .build();
     }
 
     static Introduced introduced(Wire.Introduction from) {
-        return new Introduced(from.getName(), from.getId(), from.getBlank(), from.getEra(),
-            from.getGroup().isEmpty() ? null : from.getGroup(), from.getMembersList());
+        return new Introduced(
+                from.getName(),
+                from.getId(),
+                from.getBlank(),
+                from.getEra(),
+                from.getGroup().isEmpty() ? null : from.getGroup(),
+                from.getMembersList());
     }
 }
--- a/src/main/java/rushpin/peer/Links.java
+++ b/src/main/java/rushpin/peer/Links.java
@@ -35,6 +35,7 @@
     public static final int MOST_OUT = 64;
     /** Bytes of them: a few messages of the greatest size, so that a slow voter holds 2 MB of this process and no more. */
     public static final int MOST_BYTES_OUT = 4 * Calls.MOST_MESSAGE;
+
     private static final long SECOND = 1_000_000_000L;
     /** A connection on which calls end by their deadline and nothing came for so long is made anew: it may stay dumb. */
     private static final long DUMB = 3 * SECOND;
@@ -103,8 +104,8 @@
                 bytesOut -= bytes;
                 long now = System.nanoTime();
                 // Any other end than these two was said by the voter or by the connection itself.
-                boolean silent = status.getCode() == Status.Code.DEADLINE_EXCEEDED
-                    || status.getCode() == Status.Code.CANCELLED;
+                boolean silent =
+                        status.getCode() == Status.Code.DEADLINE_EXCEEDED || status.getCode() == Status.Code.CANCELLED;
                 if (!silent && by == channel) {
                     heardAt = now;
                 }
@@ -131,8 +132,8 @@
     }
 
     /** A call to a voter; the future fails with {@link Busy} where nothing was sent, else with what gRPC says. */
-    private <Q extends MessageLite, A, R> CompletableFuture<R> call(String voter, MethodDescriptor<Q, A> method, Q asked,
-            Function<A, R> read, long patience) {
+    private <Q extends MessageLite, A, R> CompletableFuture<R> call(
+            String voter, MethodDescriptor<Q, A> method, Q asked, Function<A, R> read, long patience) {
         Way way = ways.get(voter);
         int bytes = asked.getSerializedSize();
         if (way == null) {
@@ -148,8 +149,8 @@
             return CompletableFuture.failedFuture(e);
         }
         CompletableFuture<R> done = new CompletableFuture<>();
-        ClientCall<Q, A> call = channel.newCall(method,
-            CallOptions.DEFAULT.withDeadlineAfter(Math.max(1, patience), TimeUnit.NANOSECONDS));
+        ClientCall<Q, A> call = channel.newCall(
+                method, CallOptions.DEFAULT.withDeadlineAfter(Math.max(1, patience), TimeUnit.NANOSECONDS));
         ClientCalls.asyncUnaryCall(call, asked, new StreamObserver<>() {
             private A answer;
 
@@ -175,8 +176,9 @@
     }
 
     static String said(Status status) {
-        String text = status.getCode() + (status.getDescription() == null ? "" : " " + status.getDescription())
-            + (status.getCause() == null ? "" : " (" + status.getCause().getMessage() + ")");
+        String text = status.getCode()
+                + (status.getDescription() == null ? "" : " " + status.getDescription())
+                + (status.getCause() == null ? "" : " (" + status.getCause().getMessage() + ")");
         text = text.replace('\n', ' ');
         return text.length() > 200 ? text.substring(0, 200) : text;
     }
@@ -184,8 +186,10 @@
     @Override
     public CompletableFuture<byte[]> carry(String voter, Kind kind, byte[] body, long patience) {
         // The body is the library's own and is not changed after this: a copy of each batch can be saved.
-        Wire.Carried asked = Wire.Carried.newBuilder().setKind(Wire.Carried.Kind.valueOf(kind.name()))
-            .setBody(UnsafeByteOperations.unsafeWrap(body)).build();
+        Wire.Carried asked = Wire.Carried.newBuilder()
+                .setKind(Wire.Carried.Kind.valueOf(kind.name()))
+                .setBody(UnsafeByteOperations.unsafeWrap(body))
+                .build();
         return call(voter, Calls.RAFT, asked, answer -> answer.getBody().toByteArray(), patience);
     }
 
@@ -194,7 +198,10 @@
      * fails with {@link Elsewhere}, {@link Busy} (nothing was done) or {@link Uncertain}.
      */
     public CompletableFuture<byte[]> propose(String voter, byte[] command, long patience) {
-        Wire.Proposal asked = Wire.Proposal.newBuilder().setCommand(ByteString.copyFrom(command)).setHops(1).build();
+        Wire.Proposal asked = Wire.Proposal.newBuilder()
+                .setCommand(ByteString.copyFrom(command))
+                .setHops(1)
+                .build();
         CompletableFuture<byte[]> done = new CompletableFuture<>();
         call(voter, Calls.PROPOSE, asked, verdict -> verdict, patience).whenComplete((verdict, cause) -> {
             if (cause instanceof Busy) {
@@ -204,14 +211,18 @@
             } else if (verdict.getKindCase() == Wire.Verdict.KindCase.OUTCOME) {
                 done.complete(verdict.getOutcome().toByteArray());
             } else {
-                done.completeExceptionally(switch (verdict.getFailure().getWhy()) {
-                    case NOT_LEADING -> new Elsewhere(verdict.getFailure().getLeader().isEmpty() ? null
-                        : verdict.getFailure().getLeader());
-                    case BUSY -> new Busy(voter + " is busy");
-                    // It was read here, so the leader has other bounds.
-                    case UNREADABLE -> new Busy(voter + " can't read it");
-                    default -> new Uncertain(voter + " does not know");
-                });
+                done.completeExceptionally(
+                        switch (verdict.getFailure().getWhy()) {
+                            case NOT_LEADING ->
+                                new Elsewhere(
+                                        verdict.getFailure().getLeader().isEmpty()
+                                                ? null
+                                                : verdict.getFailure().getLeader());
+                            case BUSY -> new Busy(voter + " is busy");
+                            // It was read here, so the leader has other bounds.
+                            case UNREADABLE -> new Busy(voter + " can't read it");
+                            default -> new Uncertain(voter + " does not know");
+                        });
             }
         });
         return done;
--- a/src/main/java/rushpin/peer/Mailbox.java
+++ b/src/main/java/rushpin/peer/Mailbox.java
@@ -21,7 +21,12 @@
  */
 public final class Mailbox<M> {
     /** What became of an offer. */
-    public enum Offer { TAKEN, REPLACED_OLDER, FULL, CLOSED }
+    public enum Offer {
+        TAKEN,
+        REPLACED_OLDER,
+        FULL,
+        CLOSED
+    }
 
     /** Messages read at one turn of the executor, so that other tasks of its thread have theirs. */
     private static final int TURN = 64;
@@ -52,8 +57,12 @@
      * @param reader reads; what it throws ends that message alone
      * @param unread is told, on the thread of the offer or of {@link #close}, of what was taken and will not be read
      */
-    public Mailbox(int most, Function<? super M, ?> kinds, Executor executor, Consumer<? super M> reader,
-                   Consumer<? super M> unread) {
+    public Mailbox(
+            int most,
+            Function<? super M, ?> kinds,
+            Executor executor,
+            Consumer<? super M> reader,
+            Consumer<? super M> unread) {
         if (most < 1) {
             throw new IllegalArgumentException("a mailbox of " + most);
         }
--- a/src/main/java/rushpin/peer/Pace.java
+++ b/src/main/java/rushpin/peer/Pace.java
@@ -16,7 +16,7 @@
     public Pace {
         if (beat <= 0 || silent <= beat || patience <= 0 || firstWait <= 0 || mostWait < firstWait) {
             throw new IllegalArgumentException("pace out of bounds: beat " + beat + ", silent " + silent + ", patience "
-                + patience + ", first wait " + firstWait + ", most wait " + mostWait);
+                    + patience + ", first wait " + firstWait + ", most wait " + mostWait);
         }
     }
 
@@ -25,7 +25,11 @@
      * has time for another.
      */
     public static Pace of(long lease) {
-        return new Pace(Math.max(1, lease / 20), Math.max(2, lease / 5), Math.max(1, lease / 4), Math.max(1, lease / 200),
-            Math.max(1, Math.min(lease / 10, 1_000 * MS)));
+        return new Pace(
+                Math.max(1, lease / 20),
+                Math.max(2, lease / 5),
+                Math.max(1, lease / 4),
+                Math.max(1, lease / 200),
+                Math.max(1, Math.min(lease / 10, 1_000 * MS)));
     }
 }
--- a/src/main/java/rushpin/peer/PeerServer.java
+++ b/src/main/java/rushpin/peer/PeerServer.java
@@ -34,30 +34,39 @@
     private final SessionDesk desk;
 
     /** Not listening yet. */
-    public PeerServer(InetSocketAddress listen, int mostConnections, Ballots ballots, SessionDesk desk, Sockets sockets) {
+    public PeerServer(
+            InetSocketAddress listen, int mostConnections, Ballots ballots, SessionDesk desk, Sockets sockets) {
         this.ballots = ballots;
         this.desk = desk;
-        server = NettyServerBuilder.forAddress(listen).channelFactory(() -> new Door(mostConnections))
-            .bossEventLoopGroup(sockets.loop()).workerEventLoopGroup(sockets.loop()).executor(sockets.work())
-            .callExecutor(new ServerCallExecutorSupplier() {
-                @Override
-                public <Q, A> Executor getExecutor(ServerCall<Q, A> call, Metadata metadata) {
-                    return call.getMethodDescriptor().getFullMethodName().equals(Calls.SESSION.getFullMethodName())
-                        ? desk.thread() : sockets.work();
-                }
-            })
-            .maxInboundMessageSize(Calls.MOST_MESSAGE).maxConcurrentCallsPerConnection(Links.MOST_OUT)
-            .flowControlWindow(Calls.WINDOW).handshakeTimeout(HANDSHAKE_S, TimeUnit.SECONDS)
-            .permitKeepAliveTime(Calls.KEEP_ALIVE_S / 2, TimeUnit.SECONDS).permitKeepAliveWithoutCalls(true)
-            .keepAliveTime(Calls.KEEP_ALIVE_S, TimeUnit.SECONDS)
-            .keepAliveTimeout(Calls.KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS)
-            .addService(ServerServiceDefinition.builder(Calls.SERVICE)
-                .addMethod(Calls.RAFT, ServerCalls.asyncUnaryCall(this::carried))
-                .addMethod(Calls.PROPOSE, ServerCalls.asyncUnaryCall(this::proposed))
-                .addMethod(Calls.INTRODUCE, ServerCalls.asyncUnaryCall(this::introduced))
-                .addMethod(Calls.REPORT, ServerCalls.asyncUnaryCall(this::reported))
-                .addMethod(Calls.SESSION, ServerCalls.asyncBidiStreamingCall(desk::opened)).build())
-            .build();
+        server = NettyServerBuilder.forAddress(listen)
+                .channelFactory(() -> new Door(mostConnections))
+                .bossEventLoopGroup(sockets.loop())
+                .workerEventLoopGroup(sockets.loop())
+                .executor(sockets.work())
+                .callExecutor(new ServerCallExecutorSupplier() {
+                    @Override
+                    public <Q, A> Executor getExecutor(ServerCall<Q, A> call, Metadata metadata) {
+                        return call.getMethodDescriptor().getFullMethodName().equals(Calls.SESSION.getFullMethodName())
+                                ? desk.thread()
+                                : sockets.work();
+                    }
+                })
+                .maxInboundMessageSize(Calls.MOST_MESSAGE)
+                .maxConcurrentCallsPerConnection(Links.MOST_OUT)
+                .flowControlWindow(Calls.WINDOW)
+                .handshakeTimeout(HANDSHAKE_S, TimeUnit.SECONDS)
+                .permitKeepAliveTime(Calls.KEEP_ALIVE_S / 2, TimeUnit.SECONDS)
+                .permitKeepAliveWithoutCalls(true)
+                .keepAliveTime(Calls.KEEP_ALIVE_S, TimeUnit.SECONDS)
+                .keepAliveTimeout(Calls.KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS)
+                .addService(ServerServiceDefinition.builder(Calls.SERVICE)
+                        .addMethod(Calls.RAFT, ServerCalls.asyncUnaryCall(this::carried))
+                        .addMethod(Calls.PROPOSE, ServerCalls.asyncUnaryCall(this::proposed))
+                        .addMethod(Calls.INTRODUCE, ServerCalls.asyncUnaryCall(this::introduced))
+                        .addMethod(Calls.REPORT, ServerCalls.asyncUnaryCall(this::reported))
+                        .addMethod(Calls.SESSION, ServerCalls.asyncBidiStreamingCall(desk::opened))
+                        .build())
+                .build();
     }
 
     /** Listens; fails where the address is taken. */
@@ -72,7 +81,7 @@
 
     private void carried(Wire.Carried asked, StreamObserver<Wire.Answered> to) {
         // A caller that has gone must not make the answer an error.
-        ((ServerCallStreamObserver<Wire.Answered>) to).setOnCancelHandler(() -> { });
+        ((ServerCallStreamObserver<Wire.Answered>) to).setOnCancelHandler(() -> {});
         Carrier.Kind kind = switch (asked.getKind()) {
             case VOTE -> Carrier.Kind.VOTE;
             case APPEND -> Carrier.Kind.APPEND;
@@ -81,13 +90,19 @@
             case READ, CLIENT, GROUP, NONE, UNRECOGNIZED -> null;
         };
         if (kind == null) {
-            to.onError(Status.UNIMPLEMENTED.withDescription("kind " + asked.getKindValue()).asRuntimeException());
+            to.onError(Status.UNIMPLEMENTED
+                    .withDescription("kind " + asked.getKindValue())
+                    .asRuntimeException());
             return;
         }
         try {
             ballots.received(kind, asked.getBody().toByteArray()).whenComplete((answer, cause) -> {
                 if (cause == null) {
-                    answer(to, Wire.Answered.newBuilder().setBody(ByteString.copyFrom(answer)).build());
+                    answer(
+                            to,
+                            Wire.Answered.newBuilder()
+                                    .setBody(ByteString.copyFrom(answer))
+                                    .build());
                 } else {
                     fail(to, cause);
                 }
@@ -99,10 +114,11 @@
     }
 
     private void proposed(Wire.Proposal asked, StreamObserver<Wire.Verdict> to) {
-        ((ServerCallStreamObserver<Wire.Verdict>) to).setOnCancelHandler(() -> { });
+        ((ServerCallStreamObserver<Wire.Verdict>) to).setOnCancelHandler(() -> {});
         // What was passed on once is proposed here or nowhere.
-        desk.proposals().verdict(asked.getCommand().toByteArray(), asked.getHops() == 0)
-            .thenAccept(verdict -> answer(to, verdict));
+        desk.proposals()
+                .verdict(asked.getCommand().toByteArray(), asked.getHops() == 0)
+                .thenAccept(verdict -> answer(to, verdict));
     }
 
     private void introduced(Wire.Introduction asked, StreamObserver<Wire.Introduction> to) {
--- a/src/main/java/rushpin/peer/Proposals.java
+++ b/src/main/java/rushpin/peer/Proposals.java
@@ -61,11 +61,13 @@
             here = CompletableFuture.failedFuture(e);
         }
         here.whenComplete((outcome, cause) -> {
-            if (mayPass && bare(cause) instanceof Elsewhere elsewhere && elsewhere.leader() != null
-                && links.voters().contains(elsewhere.leader())) {
+            if (mayPass
+                    && bare(cause) instanceof Elsewhere elsewhere
+                    && elsewhere.leader() != null
+                    && links.voters().contains(elsewhere.leader())) {
                 // In the bytes in which it came, so that what a newer version wrote is kept.
                 links.propose(elsewhere.leader(), bytes, patience)
-                    .whenComplete((passed, why) -> done.complete(verdict(passed, why)));
+                        .whenComplete((passed, why) -> done.complete(verdict(passed, why)));
             } else {
                 done.complete(verdict(outcome, cause));
             }
@@ -80,7 +82,9 @@
     private static Wire.Verdict verdict(byte[] outcome, Throwable wrapped) {
         Throwable cause = bare(wrapped);
         if (cause == null) {
-            return Wire.Verdict.newBuilder().setOutcome(ByteString.copyFrom(outcome)).build();
+            return Wire.Verdict.newBuilder()
+                    .setOutcome(ByteString.copyFrom(outcome))
+                    .build();
         } else if (cause instanceof Elsewhere elsewhere) {
             return failure(Wire.Failure.Why.NOT_LEADING, elsewhere.leader());
         } else if (cause instanceof Busy) {
@@ -90,7 +94,8 @@
     }
 
     static Wire.Verdict failure(Wire.Failure.Why why, String leader) {
-        return Wire.Verdict.newBuilder().setFailure(Wire.Failure.newBuilder().setWhy(why)
-            .setLeader(leader == null ? "" : leader)).build();
+        return Wire.Verdict.newBuilder()
+                .setFailure(Wire.Failure.newBuilder().setWhy(why).setLeader(leader == null ? "" : leader))
+                .build();
     }
 }
--- a/src/main/java/rushpin/peer/SessionClient.java
+++ b/src/main/java/rushpin/peer/SessionClient.java
@@ -40,6 +40,7 @@
 public final class SessionClient implements AutoCloseable {
     /** Requests in a row that a voter could not bring to one that leads. */
     private static final int MOST_FAILURES = 2;
+
     private static final int END_S = 1, LOOK_MS = 2;
 
     /** Hears what becomes of it all, on the client's thread; must not block. */
@@ -66,18 +67,14 @@
     }
 
     private sealed interface Note {
-        record Ask(long request, Command command) implements Note {
-        }
+        record Ask(long request, Command command) implements Note {}
 
-        record Tell(Report report) implements Note {
-        }
+        record Tell(Report report) implements Note {}
 
-        record Next(String why) implements Note {
-        }
+        record Next(String why) implements Note {}
     }
 
-    private record Out(long request, long at) {
-    }
+    private record Out(long request, long at) {}
 
     private final Who who;
     private final Map<String, InetSocketAddress> voters;
@@ -93,6 +90,7 @@
     private final Map<Long, Out> out = new LinkedHashMap<>();
     /** Connections that have been ended and may not have let go of all yet. */
     private final List<ManagedChannel> ended = new ArrayList<>();
+
     private Line line;
     private Plan plan = Plan.NONE;
     private int turn, failures;
@@ -105,8 +103,8 @@
      * @param voters at least one, by name, each with the address under which this process reaches it
      * @param seed of the order of voters and of waits
      */
-    public SessionClient(Who who, Map<String, InetSocketAddress> voters, Pace pace, long seed, Sockets sockets,
-                         Listener listener) {
+    public SessionClient(
+            Who who, Map<String, InetSocketAddress> voters, Pace pace, long seed, Sockets sockets, Listener listener) {
         this.who = who;
         this.voters = Map.copyOf(voters);
         this.sockets = sockets;
@@ -121,8 +119,12 @@
         wait = pace.firstWait();
         thread = new ScheduledThreadPoolExecutor(1, task -> Sockets.daemon(task, "peer session"));
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        mailbox = new Mailbox<>(SessionDesk.MOST_ASKED, note -> note instanceof Note.Ask ? null : note.getClass(), thread,
-            this::read, this::unread);
+        mailbox = new Mailbox<>(
+                SessionDesk.MOST_ASKED,
+                note -> note instanceof Note.Ask ? null : note.getClass(),
+                thread,
+                this::read,
+                this::unread);
     }
 
     /** Begins. */
@@ -189,8 +191,9 @@
             }
             long number = ++numbers;
             out.put(number, new Out(ask.request(), System.nanoTime()));
-            line.up.onNext(Wire.Up.newBuilder().setAsk(Wire.Ask.newBuilder().setRequest(number).setCommand(command))
-                .build());
+            line.up.onNext(Wire.Up.newBuilder()
+                    .setAsk(Wire.Ask.newBuilder().setRequest(number).setCommand(command))
+                    .build());
         }
     }
 
@@ -242,7 +245,7 @@
             at.end("silent");
             return;
         }
-        for (Iterator<Map.Entry<Long, Out>> i = out.entrySet().iterator(); i.hasNext();) {
+        for (Iterator<Map.Entry<Long, Out>> i = out.entrySet().iterator(); i.hasNext(); ) {
             Out oldest = i.next().getValue();
             if (now - oldest.at() < pace.patience()) {
                 break;
@@ -253,7 +256,9 @@
         }
         at.leaveIfFailing();
         if (at == line && at.welcomed && at.up.isReady()) {
-            at.up.onNext(Wire.Up.newBuilder().setBeat(Wire.Beat.newBuilder().setNumber(++beats)).build());
+            at.up.onNext(Wire.Up.newBuilder()
+                    .setBeat(Wire.Beat.newBuilder().setNumber(++beats))
+                    .build());
         }
     }
 
@@ -272,7 +277,9 @@
 
         void open() {
             ClientCalls.asyncBidiStreamingCall(channel.newCall(Calls.SESSION, CallOptions.DEFAULT), this);
-            up.onNext(Wire.Up.newBuilder().setHello(Wire.Hello.newBuilder().setWho(Codec.wire(who))).build());
+            up.onNext(Wire.Up.newBuilder()
+                    .setHello(Wire.Hello.newBuilder().setWho(Codec.wire(who)))
+                    .build());
         }
 
         @Override
@@ -307,7 +314,7 @@
                     tell(() -> listener.allotted(word));
                 }
                 // A beat was to be heard; the other is of a newer version.
-                case BEAT, KIND_NOT_SET -> { }
+                case BEAT, KIND_NOT_SET -> {}
             }
             leaveIfFailing();
             if (!over) {
@@ -380,8 +387,10 @@
             left.forEach(each -> fail(each.request(), Failure.UNCERTAIN));
             tell(() -> listener.ended(voter, why));
             if (!closed) {
-                thread.schedule(guarded(SessionClient.this::connect), wait / 2 + random.nextLong(wait / 2 + 1),
-                    TimeUnit.NANOSECONDS);
+                thread.schedule(
+                        guarded(SessionClient.this::connect),
+                        wait / 2 + random.nextLong(wait / 2 + 1),
+                        TimeUnit.NANOSECONDS);
                 wait = Math.min(pace.mostWait(), 2 * wait);
             }
         }
@@ -414,10 +423,14 @@
         }
         // What a connection holds is released by tasks that are still to come here.
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(END_S);
-        thread.scheduleWithFixedDelay(() -> {
-            if (ended.stream().allMatch(ManagedChannel::isTerminated) || System.nanoTime() >= until) {
-                thread.shutdown();
-            }
-        }, 0, LOOK_MS, TimeUnit.MILLISECONDS);
+        thread.scheduleWithFixedDelay(
+                () -> {
+                    if (ended.stream().allMatch(ManagedChannel::isTerminated) || System.nanoTime() >= until) {
+                        thread.shutdown();
+                    }
+                },
+                0,
+                LOOK_MS,
+                TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/rushpin/peer/SessionDesk.java
+++ b/src/main/java/rushpin/peer/SessionDesk.java
@@ -42,25 +42,22 @@
     public static final int MOST_REPORT = 16 << 10;
     /** Bytes of reports that are passed on in one message. */
     private static final int MOST_REPORTS = 128 << 10;
+
     private static final int MOST_NAME = 100;
 
     /** To the desk's thread. */
     private sealed interface Note {
         /** A command has a verdict. */
-        record Decided(Line line, long request, Wire.Verdict verdict) implements Note {
-        }
+        record Decided(Line line, long request, Wire.Verdict verdict) implements Note {}
 
         /** A plan is in force. */
-        record InForce(Plan plan) implements Note {
-        }
+        record InForce(Plan plan) implements Note {}
 
         /** A process may have other connections open. */
-        record Allotted(String process, Allotment word) implements Note {
-        }
+        record Allotted(String process, Allotment word) implements Note {}
 
         /** Another voter passes reports on. */
-        record Passed(Wire.Reports reports) implements Note {
-        }
+        record Passed(Wire.Reports reports) implements Note {}
     }
 
     private final Proposals proposals;
@@ -73,6 +70,7 @@
     private final Map<String, Line> named = new HashMap<>();
     /** The newest report of each process that waits to be passed on. */
     private final Map<String, Wire.Report> reports = new LinkedHashMap<>();
+
     private Plan plan = Plan.NONE;
     private long lookedAt = System.nanoTime();
     private boolean closed;
@@ -84,18 +82,27 @@
      * @param links the ways to the others; they stay the caller's to close
      * @param evidence hears reports while this voter makes the plans, sound or not, on the desk's thread; must not block
      */
-    public SessionDesk(String voter, Ballots ballots, Links links, int mostStreams, Pace pace, Consumer<Report> evidence) {
+    public SessionDesk(
+            String voter, Ballots ballots, Links links, int mostStreams, Pace pace, Consumer<Report> evidence) {
         proposals = new Proposals(voter, ballots, links, pace.patience());
         this.evidence = evidence;
         this.pace = pace;
         this.mostStreams = mostStreams;
         thread = new ScheduledThreadPoolExecutor(1, task -> Sockets.daemon(task, "peer desk"));
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        // Verdicts: those in hand; what voters pass on: so many calls as one has out. What is refused all the same was of a
+        // Verdicts: those in hand; what voters pass on: so many calls as one has out. What is refused all the same was
+        // of a
         // stream that has gone, or its request is answered as uncertain when its time is over.
-        mailbox = new Mailbox<>(mostStreams * MOST_ASKED + Links.MOST_OUT,
-            note -> note instanceof Note.InForce ? note.getClass()
-                : note instanceof Note.Allotted word ? List.of(word.process(), word.word().group()) : null, thread, this::read, note -> { });
+        mailbox = new Mailbox<>(
+                mostStreams * MOST_ASKED + Links.MOST_OUT,
+                note -> note instanceof Note.InForce
+                        ? note.getClass()
+                        : note instanceof Note.Allotted word
+                                ? List.of(word.process(), word.word().group())
+                                : null,
+                thread,
+                this::read,
+                note -> {});
         thread.scheduleWithFixedDelay(this::look, pace.beat(), pace.beat(), TimeUnit.NANOSECONDS);
     }
 
@@ -177,7 +184,8 @@
         if (report.getSerializedSize() > MOST_REPORT) {
             return;
         }
-        Wire.Report signed = report.toBuilder().setProcess(who.name()).setZone(who.zone()).build();
+        Wire.Report signed =
+                report.toBuilder().setProcess(who.name()).setZone(who.zone()).build();
         if (proposals.plans()) {
             hear(signed);
         } else {
@@ -221,10 +229,12 @@
         private final ServerCallStreamObserver<Wire.Down> down;
         /** Commands in hand, and when each came. */
         private final Map<Long, Long> asked = new LinkedHashMap<>();
+
         private final ArrayDeque<Wire.Answer> answers = new ArrayDeque<>();
         private Wire.Plan next;
         /** The newest word for each group that its reader has not taken. */
         private final Map<String, Wire.Allotment> words = new LinkedHashMap<>();
+
         private Wire.Beat beat;
         private Who who;
         private long heardAt = System.nanoTime(), takenAt = heardAt;
@@ -259,7 +269,7 @@
                     }
                 }
                 // Of a newer version.
-                case KIND_NOT_SET -> { }
+                case KIND_NOT_SET -> {}
             }
             if (!over) {
                 down.request(1);
@@ -276,7 +286,9 @@
             if (older != null) {
                 older.end(Status.ABORTED, "a newer stream of " + who.name());
             }
-            down.onNext(Wire.Down.newBuilder().setWelcome(Wire.Welcome.newBuilder().setVoter(proposals.voter())).build());
+            down.onNext(Wire.Down.newBuilder()
+                    .setWelcome(Wire.Welcome.newBuilder().setVoter(proposals.voter()))
+                    .build());
             if (plan.number() > 0) {
                 tell(Codec.wire(plan));
             }
@@ -290,8 +302,9 @@
                 answer(request, Proposals.failure(Wire.Failure.Why.BUSY, null));
             } else {
                 asked.put(request, heardAt);
-                proposals.verdict(ask.getCommand().toByteArray(), true)
-                    .thenAccept(verdict -> mailbox.offer(new Note.Decided(this, request, verdict)));
+                proposals
+                        .verdict(ask.getCommand().toByteArray(), true)
+                        .thenAccept(verdict -> mailbox.offer(new Note.Decided(this, request, verdict)));
             }
         }
 
@@ -303,7 +316,10 @@
         }
 
         private void answer(long request, Wire.Verdict verdict) {
-            answers.add(Wire.Answer.newBuilder().setRequest(request).setVerdict(verdict).build());
+            answers.add(Wire.Answer.newBuilder()
+                    .setRequest(request)
+                    .setVerdict(verdict)
+                    .build());
             flush();
             if (answers.size() > MOST_ANSWERS) {
                 end(Status.RESOURCE_EXHAUSTED, MOST_ANSWERS + " answers were not read");
@@ -354,7 +370,7 @@
                 heardAt = now;
                 takenAt = now;
             }
-            for (Iterator<Map.Entry<Long, Long>> i = asked.entrySet().iterator(); i.hasNext();) {
+            for (Iterator<Map.Entry<Long, Long>> i = asked.entrySet().iterator(); i.hasNext(); ) {
                 Map.Entry<Long, Long> oldest = i.next();
                 if (now - oldest.getValue() < pace.patience()) {
                     break;
--- a/src/main/java/rushpin/peer/Sockets.java
+++ b/src/main/java/rushpin/peer/Sockets.java
@@ -21,6 +21,7 @@
 public final class Sockets implements AutoCloseable {
     /** Two, so that a vote is not behind an entry that waits for the disk. */
     private static final int WORKERS = 2;
+
     private static final int IDLE_S = 30;
 
     /** The library's word, with a stack trace, on each stream that its other side has left: no news here. */
@@ -37,15 +38,15 @@
 
     /** Opens nothing yet. */
     public Sockets() {
-        loop = new MultiThreadIoEventLoopGroup(1, (ThreadFactory) task -> daemon(task, "peer sockets"),
-            NioIoHandler.newFactory());
+        loop = new MultiThreadIoEventLoopGroup(
+                1, (ThreadFactory) task -> daemon(task, "peer sockets"), NioIoHandler.newFactory());
         work = pool(WORKERS, "peer work");
         names = pool(1, "peer names");
     }
 
     private static ThreadPoolExecutor pool(int threads, String name) {
-        ThreadPoolExecutor made = new ThreadPoolExecutor(threads, threads, IDLE_S, TimeUnit.SECONDS,
-            new LinkedBlockingQueue<>(), task -> daemon(task, name));
+        ThreadPoolExecutor made = new ThreadPoolExecutor(
+                threads, threads, IDLE_S, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), task -> daemon(task, name));
         made.allowCoreThreadTimeOut(true);
         return made;
     }
--- a/src/main/java/rushpin/pooling/Allowance.java
+++ b/src/main/java/rushpin/pooling/Allowance.java
@@ -27,8 +27,17 @@
  * @param to what it said last by this word to have closed down to
  * @param isLeaving it opens nothing any more
  */
-public record Allowance(String group, long session, long lease, long asked, Allotment word, int kept, long keptUntil,
-                        long again, int to, boolean isLeaving) {
+public record Allowance(
+        String group,
+        long session,
+        long lease,
+        long asked,
+        Allotment word,
+        int kept,
+        long keptUntil,
+        long again,
+        int to,
+        boolean isLeaving) {
     private static final int ROUNDS = 3;
 
     /** Before the first session. */
@@ -46,26 +55,48 @@
             return this;
         }
         if (by == session) {
-            return at - asked <= 0 ? this
-                : new Allowance(group, session, lease, at, word, kept, keptUntil, again, to, isLeaving);
+            return at - asked <= 0
+                    ? this
+                    : new Allowance(group, session, lease, at, word, kept, keptUntil, again, to, isLeaving);
         }
-        return word == null ? new Allowance(group, by, terms.lease(), at, null, kept, keptUntil, at, Integer.MAX_VALUE, isLeaving)
-            : new Allowance(group, by, terms.lease(), at, null, word.own(), asked + word.forget(), at, Integer.MAX_VALUE,
-                isLeaving);
+        return word == null
+                ? new Allowance(group, by, terms.lease(), at, null, kept, keptUntil, at, Integer.MAX_VALUE, isLeaving)
+                : new Allowance(
+                        group,
+                        by,
+                        terms.lease(),
+                        at,
+                        null,
+                        word.own(),
+                        asked + word.forget(),
+                        at,
+                        Integer.MAX_VALUE,
+                        isLeaving);
     }
 
     /** The fleet's word, told or answered; of another group or session, or late, it changes nothing. */
     public Allowance told(Allotment next) {
-        if (!next.group().equals(group) || session == 0 || next.session() != session
-            || word != null && next.number() < word.number()) {
+        if (!next.group().equals(group)
+                || session == 0
+                || next.session() != session
+                || word != null && next.number() < word.number()) {
             return this;
         }
         boolean isSame = word != null && next.number() == word.number();
         if (isSame && next.granted() >= word.granted()) {
             return this;
         }
-        return new Allowance(group, session, lease, asked, next, 0, 0, isSame ? again : asked, isSame ? to : Integer.MAX_VALUE,
-            isLeaving);
+        return new Allowance(
+                group,
+                session,
+                lease,
+                asked,
+                next,
+                0,
+                0,
+                isSame ? again : asked,
+                isSame ? to : Integer.MAX_VALUE,
+                isLeaving);
     }
 
     /** Opens nothing from now on, and says so as it closes down. */
@@ -90,8 +121,13 @@
             // What is still open ends with the lease all the same.
             return new Permit(0, 0, asked + lease, asked + word.forget(), Map.of());
         }
-        return new Permit(word.most(), word.own(), asked + lease, asked + word.forget(), word.tenants().stream()
-            .collect(Collectors.toMap(Allotment.Quota::tenant, Allotment.Quota::connections, Math::max)));
+        return new Permit(
+                word.most(),
+                word.own(),
+                asked + lease,
+                asked + word.forget(),
+                word.tenants().stream()
+                        .collect(Collectors.toMap(Allotment.Quota::tenant, Allotment.Quota::connections, Math::max)));
     }
 
     /**
@@ -119,7 +155,16 @@
     /** That was sent. */
     public Allowance said(Command.Cede cede, long now) {
         boolean isAsking = cede.number() == 0;
-        return new Allowance(group, session, lease, asked, word, kept, keptUntil, now + Math.max(1, lease / ROUNDS),
-            isAsking ? to : Math.min(to, cede.to()), isLeaving);
+        return new Allowance(
+                group,
+                session,
+                lease,
+                asked,
+                word,
+                kept,
+                keptUntil,
+                now + Math.max(1, lease / ROUNDS),
+                isAsking ? to : Math.min(to, cede.to()),
+                isLeaving);
     }
 }
--- a/src/main/java/rushpin/pooling/Divider.java
+++ b/src/main/java/rushpin/pooling/Divider.java
@@ -30,8 +30,7 @@
  */
 public final class Divider {
     /** What is to be published. */
-    public record Draft(long after, List<String> tenants, List<Budget.Share> shares) {
-    }
+    public record Draft(long after, List<String> tenants, List<Budget.Share> shares) {}
 
     /**
      * What a divider knows of the group's processes at one moment.
@@ -53,8 +52,9 @@
          */
         public static Sight of(Collection<Long> live, Optional<Budget> inForce, Map<Long, List<Report.Need>> told) {
             Map<Long, List<Report.Need>> members = new TreeMap<>(told);
-            inForce.ifPresent(budget -> budget.shares().stream().filter(share -> share.connections() > 0)
-                .forEach(share -> members.putIfAbsent(share.session(), List.of())));
+            inForce.ifPresent(budget -> budget.shares().stream()
+                    .filter(share -> share.connections() > 0)
+                    .forEach(share -> members.putIfAbsent(share.session(), List.of())));
             members.keySet().retainAll(live);
             return new Sight(members);
         }
@@ -71,13 +71,16 @@
     private final int most, many;
     /** Of each tenant and member: what counts of what is wanted, and what it gets. */
     private final int[][] wanted, given;
+
     private final int[] own, needs, before;
 
     private Divider(Optional<Budget> inForce, Sight sight, Rules rules) {
         this.inForce = inForce;
         this.rules = rules;
         many = rules.tenants().size();
-        sessions = sight.members().keySet().stream().limit(MOST_BYTES / (2 * many + SHARE_BYTES)).toList();
+        sessions = sight.members().keySet().stream()
+                .limit(MOST_BYTES / (2 * many + SHARE_BYTES))
+                .toList();
         most = Math.max(0, rules.figures().most() - rules.figures().reserve());
         wanted = new int[many + 1][sessions.size()];
         given = new int[many + 1][sessions.size()];
@@ -135,7 +138,8 @@
     private int[] divide() {
         int[] asked = new int[many + 1];
         for (int t = 0; t <= many; t++) {
-            asked[t] = (int) Math.min(most, Arrays.stream(wanted[t]).asLongStream().sum());
+            asked[t] =
+                    (int) Math.min(most, Arrays.stream(wanted[t]).asLongStream().sum());
         }
         int all = most;
         while (true) {
@@ -180,7 +184,8 @@
             }
             order.sort(Comparator.comparingInt((Integer p) -> needs[p] - to[p]).thenComparing(p -> p));
             // From those that have most over, down to the next one's, and so on.
-            int level = Fair.level(order.stream().mapToInt(p -> to[p] - needs[p]).toArray(), over);
+            int level =
+                    Fair.level(order.stream().mapToInt(p -> to[p] - needs[p]).toArray(), over);
             for (int p : order) {
                 int less = Math.min(over, Math.max(0, to[p] - needs[p] - level));
                 to[p] -= less;
@@ -223,8 +228,13 @@
 
     /** Whether the one in force may stay: moves are few, but a floor is given back at once. */
     private boolean stands(List<String> names, List<Budget.Share> shares, int[] parts, int missing, long now) {
-        if (inForce.isEmpty() || !inForce.get().figures().equals(rules.figures()) || !inForce.get().tenants().equals(names)
-            || !inForce.get().shares().stream().map(Budget.Share::session).toList().equals(sessions)) {
+        if (inForce.isEmpty()
+                || !inForce.get().figures().equals(rules.figures())
+                || !inForce.get().tenants().equals(names)
+                || !inForce.get().shares().stream()
+                        .map(Budget.Share::session)
+                        .toList()
+                        .equals(sessions)) {
             return inForce.isEmpty() && shares.isEmpty();
         }
         int other = 0;
@@ -234,11 +244,14 @@
             for (int t = 0; t < many; t++) {
                 int more = shares.get(p).tenants().get(t) - was.get(t);
                 other += Math.abs(more);
-                isOwed |= given[t][p] > was.get(t) && parts[t] <= rules.tenants().get(t).floor();
+                isOwed |= given[t][p] > was.get(t)
+                        && parts[t] <= rules.tenants().get(t).floor();
             }
         }
         long since = now - inForce.get().at();
         boolean isEnough = missing >= rules.least() || other >= 2 * rules.least();
-        return !isOwed && !(isEnough && since >= rules.calm()) && !((missing > 0 || other > 0) && since >= 8 * rules.calm());
+        return !isOwed
+                && !(isEnough && since >= rules.calm())
+                && !((missing > 0 || other > 0) && since >= 8 * rules.calm());
     }
 }
--- a/src/main/java/rushpin/pooling/Fair.java
+++ b/src/main/java/rushpin/pooling/Fair.java
@@ -7,8 +7,7 @@
 
 /** Whole numbers divided fairly. */
 final class Fair {
-    private Fair() {
-    }
+    private Fair() {}
 
     /**
      * Weighted max-min: nobody gets more than is wanted or its cap; floors go first; of the rest nobody gets more by its
@@ -84,9 +83,12 @@
             left -= to[i];
         }
         if (left > 0) {
-            int[] order = IntStream.range(0, to.length).boxed()
-                .sorted(Comparator.comparingDouble((Integer i) -> to[i] - exact[i]).thenComparing(i -> i))
-                .mapToInt(i -> i).toArray();
+            int[] order = IntStream.range(0, to.length)
+                    .boxed()
+                    .sorted(Comparator.comparingDouble((Integer i) -> to[i] - exact[i])
+                            .thenComparing(i -> i))
+                    .mapToInt(i -> i)
+                    .toArray();
             for (int i : order) {
                 if (left > 0 && to[i] < high[i]) {
                     to[i]++;
@@ -102,7 +104,9 @@
         int low = 0, high = Arrays.stream(heights).max().orElse(0);
         while (low < high) {
             int middle = (low + high + 1) / 2;
-            long above = Arrays.stream(heights).mapToLong(each -> Math.max(0, each - middle)).sum();
+            long above = Arrays.stream(heights)
+                    .mapToLong(each -> Math.max(0, each - middle))
+                    .sum();
             if (above >= off) {
                 low = middle;
             } else {
--- a/src/main/java/rushpin/pooling/Rules.java
+++ b/src/main/java/rushpin/pooling/Rules.java
@@ -22,7 +22,8 @@
         /** Checks the bounds. */
         public Tenant {
             if (floor < 0 || weight < 1 || weight > 1_000 || cap < floor || cap > Budget.MOST_CONNECTIONS) {
-                throw new IllegalArgumentException("tenant " + name + ": floor " + floor + ", weight " + weight + ", cap " + cap);
+                throw new IllegalArgumentException(
+                        "tenant " + name + ": floor " + floor + ", weight " + weight + ", cap " + cap);
             }
         }
     }
@@ -35,7 +36,8 @@
         }
         for (int i = 1; i < tenants.size(); i++) {
             if (tenants.get(i - 1).name().compareTo(tenants.get(i).name()) >= 0) {
-                throw new IllegalArgumentException("tenants out of order: " + tenants.get(i).name());
+                throw new IllegalArgumentException(
+                        "tenants out of order: " + tenants.get(i).name());
             }
         }
     }
--- a/src/main/java/rushpin/quota/UseBook.java
+++ b/src/main/java/rushpin/quota/UseBook.java
@@ -56,6 +56,7 @@
     static final double NOTHING = 1e-5;
     /** In place of a number of entries: there is no record, or no new one. */
     public static final int NOT_STORED = -1;
+
     private final Port port;
     private final int most, mostCustomers;
     private final Map<Long, Open> open = new LinkedHashMap<>();
--- a/src/main/java/rushpin/quota/UseRecord.java
+++ b/src/main/java/rushpin/quota/UseRecord.java
@@ -18,6 +18,7 @@
 public final class UseRecord {
     /** Bytes of the header and of an entry. */
     public static final int HEADER = 128, ENTRY = 40;
+
     private static final long MAGIC = 0x5255535045_0001L;
     private static final int MOST_NAME = 48, CHECKED = 32, STEADY = 120;
 
@@ -36,8 +37,7 @@
     }
 
     /** One entry; times in milliseconds of the wall's clock. */
-    public record Entry(Kind kind, int plan, long customer, double units, long at) {
-    }
+    public record Entry(Kind kind, int plan, long customer, double units, long at) {}
 
     /**
      * Where a record comes from. Names of more than {@value #MOST_NAME} bytes stand for themselves by their beginning and a
@@ -67,8 +67,7 @@
     }
 
     /** Use of a customer that the counter may not know of. */
-    public record Balance(long customer, int plan, double units, long at) {
-    }
+    public record Balance(long customer, int plan, double units, long at) {}
 
     /**
      * What a record holds.
@@ -79,11 +78,9 @@
      * @param entries how many entries are whole
      * @param damaged whether there are whole entries behind one that is not: bits have changed, and no balance is safe
      */
-    public record Contents(Origin origin, List<Balance> balances, List<Long> absorbed, int entries, boolean damaged) {
-    }
+    public record Contents(Origin origin, List<Balance> balances, List<Long> absorbed, int entries, boolean damaged) {}
 
-    private UseRecord() {
-    }
+    private UseRecord() {}
 
     /** Writes a header at the beginning of a buffer. */
     public static void header(Sink to, Origin origin) {
@@ -150,12 +147,16 @@
     /** Reads what is whole of a record; it may have been cut at any byte. */
     public static Contents read(byte[] bytes) {
         Sink from = Sink.of(bytes);
-        if (bytes.length < HEADER || from.getLong(0) != MAGIC
-            || from.getInt(HEADER - 4) != checksum(from.copy(0, HEADER - 4))) {
+        if (bytes.length < HEADER
+                || from.getLong(0) != MAGIC
+                || from.getInt(HEADER - 4) != checksum(from.copy(0, HEADER - 4))) {
             return new Contents(null, List.of(), List.of(), 0, false);
         }
-        Origin origin = new Origin(text(bytes, 24, from.getInt(16)), text(bytes, 24 + MOST_NAME, from.getInt(20)),
-            from.getLong(8), from.getInt(STEADY));
+        Origin origin = new Origin(
+                text(bytes, 24, from.getInt(16)),
+                text(bytes, 24 + MOST_NAME, from.getInt(20)),
+                from.getLong(8),
+                from.getInt(STEADY));
         int places = (bytes.length - HEADER) / ENTRY, whole = 0;
         while (whole < places && isWhole(from, whole)) {
             whole++;
@@ -204,15 +205,20 @@
 
     private static boolean isWhole(Sink from, int place) {
         int at = offset(place);
-        return from.getInt(at) == place + 1 && from.getInt(at + CHECKED) == checksum(from.copy(at, CHECKED))
-            && (from.getInt(at + 4) >>> 16) < Kind.values().length;
+        return from.getInt(at) == place + 1
+                && from.getInt(at + CHECKED) == checksum(from.copy(at, CHECKED))
+                && (from.getInt(at + 4) >>> 16) < Kind.values().length;
     }
 
     private static Entry get(Sink from, int place) {
         int at = offset(place);
         int kind = from.getInt(at + 4);
-        return new Entry(Kind.values()[kind >>> 16], kind & 0xffff, from.getLong(at + 8),
-            Double.longBitsToDouble(from.getLong(at + 16)), from.getLong(at + 24));
+        return new Entry(
+                Kind.values()[kind >>> 16],
+                kind & 0xffff,
+                from.getLong(at + 8),
+                Double.longBitsToDouble(from.getLong(at + 16)),
+                from.getLong(at + 24));
     }
 
     private static String text(byte[] bytes, int at, int length) {
--- a/src/main/java/rushpin/rig/AppServer.java
+++ b/src/main/java/rushpin/rig/AppServer.java
@@ -29,11 +29,11 @@
     private static final int MOST_KEYS = 100_000;
     /** A cold server falls over when it is sent so many times what it can do, for so long. */
     private static final double FALL_MULTIPLE = 2.5, COLD_FROM = 0.21;
+
     private static final long FALL_SPAN = 2_000 * MS, COLD_SPAN = 18_000 * MS;
 
     /** How a server works: requests at a time, how many wait, the work of one in microseconds from least to most. */
-    record Work(int cores, int line, long least, long most, long keyWindow) {
-    }
+    record Work(int cores, int line, long least, long most, long keyWindow) {}
 
     /** What all servers of a pool remember of keys together: a repeat is dropped by whichever gets it. */
     static final class Keys {
@@ -70,10 +70,12 @@
     private volatile Faults.Kind fault;
     /** The class that fails here; null for none. */
     private volatile String failing;
+
     private volatile double slower = 1;
     private volatile long startedAt;
     /** What its group has open together; null where nobody counts. */
     private volatile GroupDoor door;
+
     private long pushFrom;
     private double pushed;
     private boolean down;
@@ -126,8 +128,9 @@
     }
 
     private double warmth() {
-        return startedAt == 0 ? 1
-            : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (System.nanoTime() - startedAt) / COLD_SPAN);
+        return startedAt == 0
+                ? 1
+                : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (System.nanoTime() - startedAt) / COLD_SPAN);
     }
 
     /** Counts the work that reaches a cold server against what it can do in the span. */
@@ -237,12 +240,15 @@
             run();
             long micros = work.least + (work.most > work.least ? random.nextLong(work.most - work.least) : 0);
             push(micros);
-            loop.schedule(() -> {
-                if (open) {
-                    answer(HttpResponseStatus.OK, "X-Served-By", id);
-                }
-                done();
-            }, (long) (slower * micros / warmth()), TimeUnit.MICROSECONDS);
+            loop.schedule(
+                    () -> {
+                        if (open) {
+                            answer(HttpResponseStatus.OK, "X-Served-By", id);
+                        }
+                        done();
+                    },
+                    (long) (slower * micros / warmth()),
+                    TimeUnit.MICROSECONDS);
         }
 
         private void answer(HttpResponseStatus status, String name, String value) {
--- a/src/main/java/rushpin/rig/Ballast.java
+++ b/src/main/java/rushpin/rig/Ballast.java
@@ -15,8 +15,7 @@
     private static final int CHUNK_KIB = 64, LEFT_KIB = 1 << 10;
     private static final long LOOK_MS = 100;
 
-    private Ballast() {
-    }
+    private Ballast() {}
 
     /** The words that start the program so: the file, then its own. */
     static List<String> words(Path file, List<String> program) {
@@ -36,7 +35,8 @@
         thread.setDaemon(true);
         thread.start();
         try {
-            Class.forName(args[1]).getMethod("main", String[].class).invoke(null, (Object) Arrays.copyOfRange(args, 2, args.length));
+            Class.forName(args[1]).getMethod("main", String[].class).invoke(null, (Object)
+                    Arrays.copyOfRange(args, 2, args.length));
         } catch (InvocationTargetException e) {
             throw e.getCause();
         }
--- a/src/main/java/rushpin/rig/BudgetSide.java
+++ b/src/main/java/rushpin/rig/BudgetSide.java
@@ -48,20 +48,23 @@
 
     /** Servers of a zone: the module lets so much out to each that one process could use all connections. */
     private static final int SERVERS = 3;
+
     private static final int SHOWN = 40;
     private static final int VOTERS = 3, CUSTOMERS = 20;
     /** Servers bear far more than they are let: their connections are what is scarce. */
-    private static final AppServer.Work WORK = new AppServer.Work(256, 256, 300_000, 400_000, RigConfig.KEY_WINDOW_MS * MS);
+    private static final AppServer.Work WORK =
+            new AppServer.Work(256, 256, 300_000, 400_000, RigConfig.KEY_WINDOW_MS * MS);
     /** What a request takes of a connection, on average. */
     private static final double WORK_S = 0.35;
+
     private static final int HALVINGS = 40;
     /** Of two requests on a connection the second one waits until it has rested, and for its client's node. */
     private static final double USE = 0.5;
+
     private static final long WINDOW = 1_000 * MS, SLACK = 50 * MS, LATE = 1_000 * MS;
 
     /** A tenant's floor and weight. */
-    record Tenant(String name, int floor, int weight) {
-    }
+    record Tenant(String name, int floor, int weight) {}
 
     final Yard yard = new Yard();
     final TogetherFleet fleet;
@@ -92,9 +95,24 @@
         fleet = new TogetherFleet(yard, shape, plans, seed);
         for (Member member : fleet.members) {
             for (Tenant tenant : tenants) {
-                loads.computeIfAbsent(member, none -> new LinkedHashMap<>()).put(tenant.name, new Load(yard.loop(),
-                    new Load.Group(POOL, POOL + ".example.org", "/api?slot=1", 0.2, CUSTOMERS, tenant.name, (int) LONGEST_MS - 100, 200, false),
-                    fleet.front(member), yard.records, seed * 31 + loads.size() * 7L + tenant.name.hashCode()));
+                loads.computeIfAbsent(member, none -> new LinkedHashMap<>())
+                        .put(
+                                tenant.name,
+                                new Load(
+                                        yard.loop(),
+                                        new Load.Group(
+                                                POOL,
+                                                POOL + ".example.org",
+                                                "/api?slot=1",
+                                                0.2,
+                                                CUSTOMERS,
+                                                tenant.name,
+                                                (int) LONGEST_MS - 100,
+                                                200,
+                                                false),
+                                        fleet.front(member),
+                                        yard.records,
+                                        seed * 31 + loads.size() * 7L + tenant.name.hashCode()));
             }
         }
         numbers.add(new Connections.Number(System.nanoTime(), most));
@@ -102,11 +120,17 @@
 
     private String group(int number) {
         StringBuilder text = new StringBuilder("[[fleet.group]]\nname = \"" + POOL + "\"\nmost-connections = " + number
-            + "\nreserve = " + reserve + "\nown = 1\nhalf-open-ms = " + HALF_OPEN_MS + "\nforget-ms = " + spans.forget
-            + "\nlongest-ms = " + LONGEST_MS + "\n");
+                + "\nreserve = " + reserve + "\nown = 1\nhalf-open-ms = " + HALF_OPEN_MS + "\nforget-ms = "
+                + spans.forget
+                + "\nlongest-ms = " + LONGEST_MS + "\n");
         for (Tenant tenant : tenants) {
-            text.append("[[fleet.group.tenant]]\nname = \"").append(tenant.name).append("\"\nfloor = ").append(tenant.floor)
-                .append("\nweight = ").append(tenant.weight).append("\n");
+            text.append("[[fleet.group.tenant]]\nname = \"")
+                    .append(tenant.name)
+                    .append("\"\nfloor = ")
+                    .append(tenant.floor)
+                    .append("\nweight = ")
+                    .append(tenant.weight)
+                    .append("\n");
         }
         return text.toString();
     }
@@ -120,7 +144,9 @@
     void begin() throws Exception {
         fleet.all(fleet.members, Member::start);
         await("all have sessions and the planner's plan", () -> fleet.isWell(PLANNER));
-        await("all have parts", () -> fleet.members.stream().allMatch(member -> permit(member).most() > 0));
+        await(
+                "all have parts",
+                () -> fleet.members.stream().allMatch(member -> permit(member).most() > 0));
     }
 
     /** A tenant's requests a second at a process from now on. */
@@ -136,8 +162,9 @@
 
     /** No client comes to a process while it is away. */
     void away(Member member, boolean isAway) {
-        loads.get(member).forEach((tenant, load) ->
-            load.rate(isAway ? 0 : rates.getOrDefault(tenant, Map.of()).getOrDefault(member, 0.0)));
+        loads.get(member)
+                .forEach((tenant, load) -> load.rate(
+                        isAway ? 0 : rates.getOrDefault(tenant, Map.of()).getOrDefault(member, 0.0)));
     }
 
     /** A tenant asks for more than its floor of connections from now on, until {@link #askedEnough}. */
@@ -147,8 +174,15 @@
 
     void askedEnough() {
         long now = System.nanoTime();
-        asks.forEach((tenant, from) -> asked.add(new Connections.Asked(tenant, tenants.stream()
-            .filter(each -> each.name.equals(tenant)).findFirst().orElseThrow().floor, from, now)));
+        asks.forEach((tenant, from) -> asked.add(new Connections.Asked(
+                tenant,
+                tenants.stream()
+                        .filter(each -> each.name.equals(tenant))
+                        .findFirst()
+                        .orElseThrow()
+                        .floor,
+                from,
+                now)));
         asks.clear();
     }
 
@@ -160,7 +194,10 @@
 
     /** The parts of those that run, by their last word. */
     int parts(List<Member> some) {
-        return some.stream().filter(Member::isAlive).mapToInt(member -> permit(member).most()).sum();
+        return some.stream()
+                .filter(Member::isAlive)
+                .mapToInt(member -> permit(member).most())
+                .sum();
     }
 
     /** Lowers or raises the number in all files; a lower one counts from when it is {@link #settled}, for which the caller waits. */
@@ -216,7 +253,7 @@
             String tenant = plan.get(one.id());
             if (tenant != null) {
                 all.computeIfAbsent(tenant, none -> new ArrayList<>())
-                    .add(new Connections.Carried(tenant, one.first(), one.until()));
+                        .add(new Connections.Carried(tenant, one.first(), one.until()));
             }
         }
         return all;
@@ -226,7 +263,8 @@
     Map<String, Double> use(long from, long until) {
         Map<String, List<Connections.Carried>> all = carried();
         Map<String, Double> use = new TreeMap<>();
-        tenants.forEach(tenant -> use.put(tenant.name, Connections.use(all.getOrDefault(tenant.name, List.of()), from, until)));
+        tenants.forEach(tenant ->
+                use.put(tenant.name, Connections.use(all.getOrDefault(tenant.name, List.of()), from, until)));
         return use;
     }
 
@@ -236,17 +274,36 @@
      */
     double below(Map<String, Double> use) {
         Map<String, Double> wanted = new HashMap<>();
-        tenants.forEach(tenant -> wanted.put(tenant.name, WORK_S * rates.getOrDefault(tenant.name, Map.of()).entrySet().stream()
-            .filter(each -> each.getKey().isAlive()).mapToDouble(Map.Entry::getValue).sum()));
-        double sum = Math.min(divided(), wanted.values().stream().mapToDouble(each -> each).sum()), low = 0, high = divided();
+        tenants.forEach(tenant -> wanted.put(
+                tenant.name,
+                WORK_S
+                        * rates.getOrDefault(tenant.name, Map.of()).entrySet().stream()
+                                .filter(each -> each.getKey().isAlive())
+                                .mapToDouble(Map.Entry::getValue)
+                                .sum()));
+        double
+                sum =
+                        Math.min(
+                                divided(),
+                                wanted.values().stream()
+                                        .mapToDouble(each -> each)
+                                        .sum()),
+                low = 0,
+                high = divided();
         for (int i = 0; i < HALVINGS; i++) {
             double level = (low + high) / 2;
-            boolean isEnough = tenants.stream().mapToDouble(tenant -> exact(tenant, wanted, level)).sum() >= sum;
+            boolean isEnough = tenants.stream()
+                            .mapToDouble(tenant -> exact(tenant, wanted, level))
+                            .sum()
+                    >= sum;
             low = isEnough ? low : level;
             high = isEnough ? level : high;
         }
         double level = high;
-        return tenants.stream().mapToDouble(tenant -> exact(tenant, wanted, level) - use.get(tenant.name)).max().orElse(0);
+        return tenants.stream()
+                .mapToDouble(tenant -> exact(tenant, wanted, level) - use.get(tenant.name))
+                .max()
+                .orElse(0);
     }
 
     private static double exact(Tenant tenant, Map<String, Double> wanted, double level) {
@@ -257,8 +314,14 @@
     long[] waits(String tenant, long from, long until) {
         Map<String, Long> first = new HashMap<>();
         yard.records.attempts().forEach(one -> first.merge(one.id(), one.first(), Math::min));
-        return yard.records.exchanges().stream().filter(one -> one.plan().equals(tenant) && one.at() >= from && one.at() < until
-            && first.containsKey(one.id())).mapToLong(one -> first.get(one.id()) - one.at()).sorted().toArray();
+        return yard.records.exchanges().stream()
+                .filter(one -> one.plan().equals(tenant)
+                        && one.at() >= from
+                        && one.at() < until
+                        && first.containsKey(one.id()))
+                .mapToLong(one -> first.get(one.id()) - one.at())
+                .sorted()
+                .toArray();
     }
 
     /** Waits until as many are open at the group as asked; when that was seen. */
@@ -288,9 +351,11 @@
             fleet.await(what, so);
         } catch (TimeoutException e) {
             for (Member member : fleet.members) {
-                List<String> lines = member.said().stream().filter(line -> !line.contains(" holds ")).toList();
+                List<String> lines = member.said().stream()
+                        .filter(line -> !line.contains(" holds "))
+                        .toList();
                 lines.subList(Math.max(0, lines.size() - SHOWN), lines.size())
-                    .forEach(line -> System.out.println(member + (member.isAlive() ? ": " : ", ended: ") + line));
+                        .forEach(line -> System.out.println(member + (member.isAlive() ? ": " : ", ended: ") + line));
             }
             throw e;
         }
--- a/src/main/java/rushpin/rig/BudgetsScenario.java
+++ b/src/main/java/rushpin/rig/BudgetsScenario.java
@@ -20,12 +20,13 @@
 final class BudgetsScenario implements Scenario {
     private static final int MOST = 22, LOWERED = 12, RESERVE = 2;
     private static final String QUIET = "quiet", BULK = "bulk", SPOT = "spot";
-    private static final List<Tenant> TENANTS = List.of(new Tenant(QUIET, 3, 1), new Tenant(BULK, 3, 2), new Tenant(SPOT, 0, 1));
+    private static final List<Tenant> TENANTS =
+            List.of(new Tenant(QUIET, 3, 1), new Tenant(BULK, 3, 2), new Tenant(SPOT, 0, 1));
     /** Requests a second at a process: one takes a third of a second of a connection. */
     private static final double FLOOD = 16, SOME = 2, FEW = 1;
     /** As short as the sessions bear, so that the waits for what is dead are. */
     private static final BudgetSide.Spans SHORT = new BudgetSide.Spans(2_000, 500, 2_000),
-        LONG = new BudgetSide.Spans(BudgetSide.LEASE_MS, 500, BudgetSide.LEASE_MS);
+            LONG = new BudgetSide.Spans(BudgetSide.LEASE_MS, 500, BudgetSide.LEASE_MS);
     /** How much longer than its lease a process is stopped. */
     private static final long MORE_MS = 500, SHORT_SPAN_MS = 1_000, LONG_SPAN_MS = 15_000;
 
@@ -42,16 +43,29 @@
     @Override
     public Report play(Options options) throws Exception {
         Report report = new Report(name(), options.seed());
-        report.row("what", "s", "most open", "of", "in use", "even part", "below exact", "quiet waits, ms",
-            "handshakes", "requests", "s until", "at s");
-        try (BudgetSide side = new BudgetSide(options.isShort() ? 5 : 6, MOST, RESERVE, options.isShort() ? SHORT : LONG, TENANTS,
-            options.seed())) {
+        report.row(
+                "what",
+                "s",
+                "most open",
+                "of",
+                "in use",
+                "even part",
+                "below exact",
+                "quiet waits, ms",
+                "handshakes",
+                "requests",
+                "s until",
+                "at s");
+        try (BudgetSide side = new BudgetSide(
+                options.isShort() ? 5 : 6, MOST, RESERVE, options.isShort() ? SHORT : LONG, TENANTS, options.seed())) {
             Play play = new Play(options, report, side);
             play.run();
             side.end();
             report.claims("", Connections.Rule.values(), side.judged());
             report.claims("", Accords.Rule.values(), side.accords());
-            report.add(side.rules().stream().filter(breach -> breach.rule() != Judge.Rule.COLD_NOT_PUSHED_OVER).toList());
+            report.add(side.rules().stream()
+                    .filter(breach -> breach.rule() != Judge.Rule.COLD_NOT_PUSHED_OVER)
+                    .toList());
         }
         return report;
     }
@@ -90,13 +104,26 @@
             long now = System.nanoTime();
             Map<String, Double> use = side.use(from, now);
             long[] waits = side.waits(QUIET, from, now);
-            report.row(what, tenths((now - from) / 1e9),
-                Connections.most(side.door.opens(), from, now), of, tenths(use.values().stream().mapToDouble(each -> each).sum()),
-                tenths((double) side.divided() / all.size()), tenths(side.below(use)), waits.length == 0 ? "-"
-                    : waits[waits.length / 2] / BudgetSide.MS + " p99 " + waits[waits.length * 99 / 100] / BudgetSide.MS,
-                side.door.opens().stream().filter(open -> open.from() >= from && open.from() < now).count(),
-                side.yard.records.attempts().stream().filter(one -> one.first() >= from && one.first() < now).count(), again,
-                tenths((now - began) / 1e9));
+            report.row(
+                    what,
+                    tenths((now - from) / 1e9),
+                    Connections.most(side.door.opens(), from, now),
+                    of,
+                    tenths(use.values().stream().mapToDouble(each -> each).sum()),
+                    tenths((double) side.divided() / all.size()),
+                    tenths(side.below(use)),
+                    waits.length == 0
+                            ? "-"
+                            : waits[waits.length / 2] / BudgetSide.MS + " p99 "
+                                    + waits[waits.length * 99 / 100] / BudgetSide.MS,
+                    side.door.opens().stream()
+                            .filter(open -> open.from() >= from && open.from() < now)
+                            .count(),
+                    side.yard.records.attempts().stream()
+                            .filter(one -> one.first() >= from && one.first() < now)
+                            .count(),
+                    again,
+                    tenths((now - began) / 1e9));
         }
 
         private static String tenths(double of) {
@@ -109,8 +136,9 @@
             side.load(BULK, SOME / 2);
             Member loud = all.get(all.size() - 1);
             side.load(BULK, loud, 3 * FLOOD);
-            side.await("the loud one's part is above an even one", () ->
-                side.permit(loud).most() > side.divided() / all.size());
+            side.await(
+                    "the loud one's part is above an even one",
+                    () -> side.permit(loud).most() > side.divided() / all.size());
             side.awaitOpen(side.divided() * 2 / 3);
             long from = System.nanoTime();
             BudgetSide.pass(span);
@@ -151,8 +179,11 @@
             side.askedEnough();
             Member dies = all.get(3), cut = all.get(all.size() - 1);
             // Who wakes within the fleet's wait gives the planner's part back itself, which is another rig's matter.
-            Member stopped = all.stream().filter(member -> member != cut && member != dies
-                && side.fleet.holds(member, BudgetSide.PLANNER) == null).findFirst().orElseThrow();
+            Member stopped = all.stream()
+                    .filter(member ->
+                            member != cut && member != dies && side.fleet.holds(member, BudgetSide.PLANNER) == null)
+                    .findFirst()
+                    .orElseThrow();
             List<Member> out = List.of(dies, cut, stopped);
             long from = System.nanoTime();
             out.forEach(member -> side.away(member, true));
@@ -166,7 +197,8 @@
             side.away(cut, false);
             List<Member> rest = all.stream().filter(member -> member != dies).toList();
             side.await("the rest is back", () -> rest.stream().allMatch(side.fleet::isConnected));
-            // A new process under its name has nothing of what the dead one may still have open. It starts when those who were
+            // A new process under its name has nothing of what the dead one may still have open. It starts when those
+            // who were
             // away have had time for what they had in hand.
             dies.start();
             side.away(dies, false);
--- a/src/main/java/rushpin/rig/Counter.java
+++ b/src/main/java/rushpin/rig/Counter.java
@@ -5,8 +5,8 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
@@ -22,8 +22,7 @@
     private static final int MOST_NAMES = 1_000_000;
     private static final long MS = 1_000_000L;
 
-    private record Number(double total, long until) {
-    }
+    private record Number(double total, long until) {}
 
     private final Records records;
     private final Map<String, Number> numbers = new HashMap<>();
@@ -55,8 +54,9 @@
                 numbers.values().removeIf(number -> number.until < now);
             }
             Number before = numbers.get(name);
-            Number after = before == null || before.until < now ? new Number(amount, now + Math.min(60_000, keep) * MS)
-                : new Number(before.total + amount, before.until);
+            Number after = before == null || before.until < now
+                    ? new Number(amount, now + Math.min(60_000, keep) * MS)
+                    : new Number(before.total + amount, before.until);
             numbers.put(name, after);
             records.add(new Records.Counted(name, amount, now));
             total.append(new BigDecimal(after.total).round(new MathContext(9)).toPlainString());
@@ -81,14 +81,14 @@
                     return;
                 }
                 StringBuilder total = new StringBuilder();
-                HttpResponseStatus status = now == Faults.Kind.REFUSE ? HttpResponseStatus.SERVICE_UNAVAILABLE
-                    : add(uri, total);
+                HttpResponseStatus status =
+                        now == Faults.Kind.REFUSE ? HttpResponseStatus.SERVICE_UNAVAILABLE : add(uri, total);
                 if (now == Faults.Kind.RESET) {
                     context.close();
                     return;
                 }
-                DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    text(now == Faults.Kind.LIE ? "much" : total.toString()));
+                DefaultFullHttpResponse answer = new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, status, text(now == Faults.Kind.LIE ? "much" : total.toString()));
                 answer.headers().set("Content-Length", answer.content().readableBytes());
                 context.writeAndFlush(answer);
             }
--- a/src/main/java/rushpin/rig/DemoScenario.java
+++ b/src/main/java/rushpin/rig/DemoScenario.java
@@ -26,8 +26,9 @@
         int seconds = options.isShort() ? 10 : 45;
         try (Yard yard = new Yard()) {
             for (String pool : List.of("lookups", "bookings")) {
-                yard.write(pool + ".json", RigConfig.json(1024, 1, yard.pool(pool, 3, work, options.seed()),
-                    yard.counter, plans));
+                yard.write(
+                        pool + ".json",
+                        RigConfig.json(1024, 1, yard.pool(pool, 3, work, options.seed()), yard.counter, plans));
             }
             Path file = yard.write("rushpin.toml", """
                 [[pool]]
@@ -50,10 +51,11 @@
                 System.out.println("one edge node, process " + node.pid() + ", two pools of three app servers each");
                 System.out.println("book a pickup yourself, while this runs:");
                 System.out.println();
-                System.out.println("  curl -i http://127.0.0.1:" + node.address().getPort() + "/api?slot=7 "
-                    + "-H 'Host: orders.example.org' -H \"X-Trace-Id: me-$RANDOM\" -H 'X-Qos: order' "
-                    + "-H 'X-Plan: bulk' -H 'Cookie: customer=00000000000000aa' -H 'X-Expires-In-Ms: 2000' "
-                    + "-H \"Idempotency-Key: mine-$RANDOM\" -H 'X-Quota: units=1,spread=1,first=0' -d '{}'");
+                System.out.println(
+                        "  curl -i http://127.0.0.1:" + node.address().getPort() + "/api?slot=7 "
+                                + "-H 'Host: orders.example.org' -H \"X-Trace-Id: me-$RANDOM\" -H 'X-Qos: order' "
+                                + "-H 'X-Plan: bulk' -H 'Cookie: customer=00000000000000aa' -H 'X-Expires-In-Ms: 2000' "
+                                + "-H \"Idempotency-Key: mine-$RANDOM\" -H 'X-Quota: units=1,spread=1,first=0' -d '{}'");
                 System.out.println();
                 show(options, report, yard, node, seconds);
                 report.claim("the node ends its drain with 0", node.stop() == 0);
@@ -64,14 +66,24 @@
         return report;
     }
 
-    private static void show(Options options, Report report, Yard yard, NodeProcess node, int seconds) throws Exception {
-        Load lookups = new Load(yard.loop(), new Load.Group("lookups", "slots.example.org", "/api?slot=1", 0, 40, "bulk",
-            2_000, 200, true), node.address(), yard.records, options.seed());
-        Load bookings = new Load(yard.loop(), new Load.Group("bookings", "orders.example.org", "/api?slot=1", 1, 40,
-            "bulk", 2_000, 200, true), node.address(), yard.records, options.seed() + 1);
+    private static void show(Options options, Report report, Yard yard, NodeProcess node, int seconds)
+            throws Exception {
+        Load lookups = new Load(
+                yard.loop(),
+                new Load.Group("lookups", "slots.example.org", "/api?slot=1", 0, 40, "bulk", 2_000, 200, true),
+                node.address(),
+                yard.records,
+                options.seed());
+        Load bookings = new Load(
+                yard.loop(),
+                new Load.Group("bookings", "orders.example.org", "/api?slot=1", 1, 40, "bulk", 2_000, 200, true),
+                node.address(),
+                yard.records,
+                options.seed() + 1);
         lookups.rate(60);
         bookings.rate(30);
-        AppServer failing = yard.servers("lookups").get(0), draining = yard.servers("bookings").get(1);
+        AppServer failing = yard.servers("lookups").get(0),
+                draining = yard.servers("bookings").get(1);
         List<List<Load.Stretch>> seen = new ArrayList<>();
         Load.Stretch allLookups = new Load.Stretch(), allBookings = new Load.Stretch();
         for (int second = 1; second <= seconds; second++) {
@@ -89,10 +101,20 @@
             }
             Thread.sleep(1_000);
             Load.Stretch one = lookups.turn(), two = bookings.turn();
-            System.out.printf(Locale.ROOT, "%3d s  lookups %3d served %2d refused %2d failed, p99 %4.0f ms   bookings %3d "
-                + "served %2d refused %2d failed, p99 %4.0f ms   %s%n", second, one.ok, one.turnedAway, one.failed,
-                one.served.getValueAtPercentile(99) / 1e3, two.ok, two.turnedAway, two.failed,
-                two.served.getValueAtPercentile(99) / 1e3, news);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%3d s  lookups %3d served %2d refused %2d failed, p99 %4.0f ms   bookings %3d "
+                            + "served %2d refused %2d failed, p99 %4.0f ms   %s%n",
+                    second,
+                    one.ok,
+                    one.turnedAway,
+                    one.failed,
+                    one.served.getValueAtPercentile(99) / 1e3,
+                    two.ok,
+                    two.turnedAway,
+                    two.failed,
+                    two.served.getValueAtPercentile(99) / 1e3,
+                    news);
             seen.add(List.of(one, two));
         }
         lookups.rate(0);
--- a/src/main/java/rushpin/rig/Discovery.java
+++ b/src/main/java/rushpin/rig/Discovery.java
@@ -28,8 +28,7 @@
 final class Discovery extends StandIn {
     private static final long BEAT_MS = 2_000;
 
-    private record Entry(String address, String zone, String phase, long since) {
-    }
+    private record Entry(String address, String zone, String phase, long since) {}
 
     private final String pool;
     private final Records records;
@@ -39,6 +38,7 @@
     private final List<Discovery> views = new CopyOnWriteArrayList<>();
     /** For a view: the address that stands for each server's own. */
     private final Map<String, String> instead;
+
     private long revision = 1;
 
     Discovery(EventLoop loop, String pool, Records records) {
@@ -50,8 +50,8 @@
         this.pool = pool;
         this.records = records;
         this.instead = instead;
-        loop.scheduleAtFixedRate(() -> watches.forEach(watch -> line(watch, "")), BEAT_MS, BEAT_MS,
-            TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> watches.forEach(watch -> line(watch, "")), BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -62,9 +62,10 @@
     Discovery view(Map<String, String> addresses) throws Exception {
         Discovery made = new Discovery(loop, pool, records, Map.copyOf(addresses));
         loop.submit(() -> {
-            entries.forEach((id, entry) -> made.put(id, made.own(entry)));
-            views.add(made);
-        }).get();
+                    entries.forEach((id, entry) -> made.put(id, made.own(entry)));
+                    views.add(made);
+                })
+                .get();
         return made;
     }
 
@@ -103,12 +104,14 @@
 
     /** Writes down the drains that last until the end of the run. */
     void end() throws Exception {
-        loop.submit(() -> toldAt.forEach((id, at) -> records.add(new Records.Told(pool, id, at, Long.MAX_VALUE)))).get();
+        loop.submit(() -> toldAt.forEach((id, at) -> records.add(new Records.Told(pool, id, at, Long.MAX_VALUE))))
+                .get();
     }
 
     private static String json(String id, Entry e) {
-        return "{\"id\":\"" + id + "\",\"host_port\":\"" + e.address + "\",\"locality\":\"" + e.zone + "\",\"flavor\":\"m\","
-            + "\"cell\":1,\"phase\":\"" + e.phase + "\",\"size\":1.0,\"up_since_ms\":" + e.since + "}";
+        return "{\"id\":\"" + id + "\",\"host_port\":\"" + e.address + "\",\"locality\":\"" + e.zone
+                + "\",\"flavor\":\"m\"," + "\"cell\":1,\"phase\":\"" + e.phase + "\",\"size\":1.0,\"up_since_ms\":"
+                + e.since + "}";
     }
 
     private String message(boolean complete, String members) {
--- a/src/main/java/rushpin/rig/Faults.java
+++ b/src/main/java/rushpin/rig/Faults.java
@@ -49,7 +49,7 @@
     public static Faults drawn(long seed, long runMs, List<Kind> kinds) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> drawn = new ArrayList<>();
-        for (long at = random.nextLong(500, 2_000); at < runMs;) {
+        for (long at = random.nextLong(500, 2_000); at < runMs; ) {
             long span = random.nextLong(200, 2_500);
             drawn.add(new Fault(kinds.get(random.nextInt(kinds.size())), at, span));
             at += span + random.nextLong(500, 3_000);
--- a/src/main/java/rushpin/rig/Fleet.java
+++ b/src/main/java/rushpin/rig/Fleet.java
@@ -30,15 +30,33 @@
      *
      * @param head what a node's operator file begins with, by the node's name; one pool for all that comes follows
      */
-    Fleet(Yard yard, String pool, int count, FleetNode.Way way, List<RigConfig.Plan> plans, Function<String, String> head)
-        throws Exception {
+    Fleet(
+            Yard yard,
+            String pool,
+            int count,
+            FleetNode.Way way,
+            List<RigConfig.Plan> plans,
+            Function<String, String> head)
+            throws Exception {
         for (int i = 0; i < count; i++) {
             FleetNode node = new FleetNode(i, way, yard.folder);
             nodes.add(node);
-            node.configure(yard.write(node.name + ".json", RigConfig.json(node.name,
-                node.address.getAddress().getHostAddress() + ":" + node.address.getPort(), i, 512, count, yard.discovery(pool),
-                yard.counter, plans)), yard.write(node.name + ".toml", head.apply(node.name) + "\n[[pool]]\nname = \"" + pool
-                + "\"\nsettings = \"platform\"\n\n[[route]]\npool = \"" + pool + "\"\n"));
+            node.configure(
+                    yard.write(
+                            node.name + ".json",
+                            RigConfig.json(
+                                    node.name,
+                                    node.address.getAddress().getHostAddress() + ":" + node.address.getPort(),
+                                    i,
+                                    512,
+                                    count,
+                                    yard.discovery(pool),
+                                    yard.counter,
+                                    plans)),
+                    yard.write(
+                            node.name + ".toml",
+                            head.apply(node.name) + "\n[[pool]]\nname = \"" + pool
+                                    + "\"\nsettings = \"platform\"\n\n[[route]]\npool = \"" + pool + "\"\n"));
         }
     }
 
--- a/src/main/java/rushpin/rig/FleetCost.java
+++ b/src/main/java/rushpin/rig/FleetCost.java
@@ -29,8 +29,20 @@
     }
 
     void play() throws Exception {
-        report.row("size", "process", "CPU us a request, median", "quartiles", "to one without [fleet], median", "quartiles",
-            "CPU ms/s idle", "bytes/s", "heap MiB", "resident MiB", "threads", "ready ms, median", "plan ms, median");
+        report.row(
+                "size",
+                "process",
+                "CPU us a request, median",
+                "quartiles",
+                "to one without [fleet], median",
+                "quartiles",
+                "CPU ms/s idle",
+                "bytes/s",
+                "heap MiB",
+                "resident MiB",
+                "threads",
+                "ready ms, median",
+                "plan ms, median");
         List<RigConfig.Plan> plans = List.of(CostScenario.PLAN);
         TogetherFleet.Shape shape = new TogetherFleet.Shape(options.size(), 3, 5_000, 1_000);
         try (Yard yard = new Yard()) {
@@ -40,9 +52,19 @@
             try (TogetherFleet fleet = new TogetherFleet(yard, shape, plans, options.seed())) {
                 String json = "off-%s.json";
                 for (String pool : TogetherFleet.POOLS) {
-                    yard.write(String.format(json, pool), RigConfig.json("off", "127.0.0.1:0", 0, 512, shape.processes(),
-                        yard.through(fleet.links, "off", pool), yard.counter, plans, TogetherFleet.ZONES,
-                        TogetherFleet.ZONES.get(0)));
+                    yard.write(
+                            String.format(json, pool),
+                            RigConfig.json(
+                                    "off",
+                                    "127.0.0.1:0",
+                                    0,
+                                    512,
+                                    shape.processes(),
+                                    yard.through(fleet.links, "off", pool),
+                                    yard.counter,
+                                    plans,
+                                    TogetherFleet.ZONES,
+                                    TogetherFleet.ZONES.get(0)));
                 }
                 Path config = yard.folder.resolve(String.format(json, TogetherFleet.POOLS.get(0)));
                 grow(yard, fleet, config, yard.write("off.toml", TogetherFleet.pools(json, TogetherFleet.POOLS)));
@@ -79,15 +101,19 @@
     }
 
     private List<Integer> sizes() {
-        List<Integer> sizes = new ArrayList<>(SIZES.stream().filter(size -> size < options.size()).toList());
+        List<Integer> sizes = new ArrayList<>(
+                SIZES.stream().filter(size -> size < options.size()).toList());
         sizes.add(options.size());
         return sizes;
     }
 
     private void measure(Yard yard, TogetherFleet fleet, List<Member> in, NodeProcess off, List<Double> offReady)
-        throws Exception {
+            throws Exception {
         Member leader = fleet.await("a leader", fleet::leader);
-        Member voter = in.stream().filter(member -> member.votes && member != leader).findFirst().orElseThrow();
+        Member voter = in.stream()
+                .filter(member -> member.votes && member != leader)
+                .findFirst()
+                .orElseThrow();
         List<Member> voters = in.stream().filter(member -> member.votes).toList();
         List<Member> others = in.stream().filter(member -> !member.votes).toList();
         Member other = others.isEmpty() ? voter : others.get(0);
@@ -107,13 +133,19 @@
         }
         offCpu = (offCpu + off.cpu() / 1e6) / span;
 
-        List<Candidate> all = List.of(candidate(yard, "no [fleet]", off, off.address()),
-            candidate(yard, "leads", leader.process(), leader.address),
-            candidate(yard, "votes", voter.process(), voter.address),
-            candidate(yard, "no vote", other.process(), other.address));
+        List<Candidate> all = List.of(
+                candidate(yard, "no [fleet]", off, off.address()),
+                candidate(yard, "leads", leader.process(), leader.address),
+                candidate(yard, "votes", voter.process(), voter.address),
+                candidate(yard, "no vote", other.process(), other.address));
         boolean first = in.size() == SIZES.get(0) || options.size() < SIZES.get(0);
-        CostScenario.rounds(report, all, yard.records, RATE, options.isShort() ? 1 : first ? 8 : 3,
-            options.isShort() ? 1_000 : 1_500);
+        CostScenario.rounds(
+                report,
+                all,
+                yard.records,
+                RATE,
+                options.isShort() ? 1 : first ? 8 : 3,
+                options.isShort() ? 1_000 : 1_500);
 
         List<Double> ready = new ArrayList<>(), planned = new ArrayList<>();
         for (int i = 0; i < (options.isShort() ? 1 : STARTS) && other != voter; i++) {
@@ -121,27 +153,41 @@
         }
         for (int i = 0; i < all.size(); i++) {
             Candidate one = all.get(i);
-            List<Member> of = i == 0 ? List.of() : i == 1 ? List.of(leader)
-                : i == 2 ? voters.stream().filter(member -> member != leader).toList() : others;
-            List<NodeProcess> some = i == 0 ? List.of(off) : of.stream().limit(LOOKED_AT).map(Member::process).toList();
-            report.row(in.size(), one.name(), CostScenario.number(CostScenario.median(one.micros())),
-                quartiles(one.micros()),
-                CostScenario.number(CostScenario.median(CostScenario.ratios(one, all.get(0)))),
-                quartiles(CostScenario.ratios(one, all.get(0))),
-                CostScenario.number(i == 0 ? offCpu : middle(of, member -> cpu.get(member.number))),
-                i == 0 ? "0" : CostScenario.number(middle(of, member -> bytes.get(member.number))),
-                CostScenario.number(middle(some, process -> process.heap() / 1024.0)),
-                CostScenario.number(middle(some, process -> process.resident() / 1024.0)),
-                CostScenario.number(middle(some, NodeProcess::threads)),
-                i == 0 ? CostScenario.number(CostScenario.median(offReady))
-                    : i == 3 ? CostScenario.number(CostScenario.median(ready)) : "-",
-                i == 3 ? CostScenario.number(CostScenario.median(planned)) : "-");
+            List<Member> of = i == 0
+                    ? List.of()
+                    : i == 1
+                            ? List.of(leader)
+                            : i == 2
+                                    ? voters.stream()
+                                            .filter(member -> member != leader)
+                                            .toList()
+                                    : others;
+            List<NodeProcess> some = i == 0
+                    ? List.of(off)
+                    : of.stream().limit(LOOKED_AT).map(Member::process).toList();
+            report.row(
+                    in.size(),
+                    one.name(),
+                    CostScenario.number(CostScenario.median(one.micros())),
+                    quartiles(one.micros()),
+                    CostScenario.number(CostScenario.median(CostScenario.ratios(one, all.get(0)))),
+                    quartiles(CostScenario.ratios(one, all.get(0))),
+                    CostScenario.number(i == 0 ? offCpu : middle(of, member -> cpu.get(member.number))),
+                    i == 0 ? "0" : CostScenario.number(middle(of, member -> bytes.get(member.number))),
+                    CostScenario.number(middle(some, process -> process.heap() / 1024.0)),
+                    CostScenario.number(middle(some, process -> process.resident() / 1024.0)),
+                    CostScenario.number(middle(some, NodeProcess::threads)),
+                    i == 0
+                            ? CostScenario.number(CostScenario.median(offReady))
+                            : i == 3 ? CostScenario.number(CostScenario.median(ready)) : "-",
+                    i == 3 ? CostScenario.number(CostScenario.median(planned)) : "-");
         }
     }
 
     /** One process of a calm fleet starts anew: milliseconds to its first request, and to a plan in its last pool. */
-    private static void again(TogetherFleet fleet, List<Member> in, Member member, List<Double> ready, List<Double> planned)
-        throws Exception {
+    private static void again(
+            TogetherFleet fleet, List<Member> in, Member member, List<Double> ready, List<Double> planned)
+            throws Exception {
         member.kill();
         long from = System.nanoTime();
         member.start();
@@ -149,8 +195,13 @@
         fleet.await("all have sessions and the plan", () -> fleet.isWell(PLANNER, in));
         long last = 0;
         for (String pool : TogetherFleet.POOLS) {
-            last = Math.max(last, fleet.said(member.run(), AccordEvent.Planned.class).stream()
-                .filter(plan -> plan.pool().equals(pool)).mapToLong(AccordEvent.Planned::at).min().orElse(0));
+            last = Math.max(
+                    last,
+                    fleet.said(member.run(), AccordEvent.Planned.class).stream()
+                            .filter(plan -> plan.pool().equals(pool))
+                            .mapToLong(AccordEvent.Planned::at)
+                            .min()
+                            .orElse(0));
         }
         planned.add((last - from) / 1e6);
     }
@@ -169,8 +220,16 @@
 
     private Candidate candidate(Yard yard, String name, NodeProcess process, InetSocketAddress at) {
         String pool = TogetherFleet.POOLS.get(0);
-        return new Candidate(name, process, new Load(yard.loop(), new Load.Group(pool, pool + ".example.org", "/api?slot=1",
-            0.35, 200, "bulk", 2_000, 200, false), at, yard.records, options.seed()));
+        return new Candidate(
+                name,
+                process,
+                new Load(
+                        yard.loop(),
+                        new Load.Group(
+                                pool, pool + ".example.org", "/api?slot=1", 0.35, 200, "bulk", 2_000, 200, false),
+                        at,
+                        yard.records,
+                        options.seed()));
     }
 
     /** A figure that may not be had. */
@@ -189,7 +248,8 @@
     private static String quartiles(List<Double> of) {
         double[] sorted = of.stream().mapToDouble(x -> x).sorted().toArray();
         ToDoubleFunction<Double> at = part -> sorted[(int) Math.round(part * (sorted.length - 1))];
-        return sorted.length == 0 ? "-" : CostScenario.number(at.applyAsDouble(0.25)) + " to "
-            + CostScenario.number(at.applyAsDouble(0.75));
+        return sorted.length == 0
+                ? "-"
+                : CostScenario.number(at.applyAsDouble(0.25)) + " to " + CostScenario.number(at.applyAsDouble(0.75));
     }
 }
--- a/src/main/java/rushpin/rig/FleetFront.java
+++ b/src/main/java/rushpin/rig/FleetFront.java
@@ -53,7 +53,8 @@
 
     @Override
     public boolean killed(InetSocketAddress node, long from, long until) {
-        return nodes.stream().anyMatch(each -> each.address.equals(node) && (each.killed(from, until) || each.frozen(from, until)));
+        return nodes.stream()
+                .anyMatch(each -> each.address.equals(node) && (each.killed(from, until) || each.frozen(from, until)));
     }
 
     /** A node is dead: the front hears of it between 0.8 and 4 s later. */
@@ -67,10 +68,13 @@
     }
 
     private void out(FleetNode node, long afterMs) {
-        thread.schedule(() -> {
-            in.set(node.number, 0);
-            look(node);
-        }, afterMs, TimeUnit.MILLISECONDS);
+        thread.schedule(
+                () -> {
+                    in.set(node.number, 0);
+                    look(node);
+                },
+                afterMs,
+                TimeUnit.MILLISECONDS);
     }
 
     private void look(FleetNode node) {
--- a/src/main/java/rushpin/rig/FleetNode.java
+++ b/src/main/java/rushpin/rig/FleetNode.java
@@ -63,8 +63,10 @@
 
     /** Starts a process and returns when it serves. */
     void start() throws Exception {
-        serving = supervisor != null ? supervisor.serve(folder, config, operator)
-            : ProcessHandle.of(NodeProcess.serve(folder, config, operator).pid()).orElseThrow();
+        serving = supervisor != null
+                ? supervisor.serve(folder, config, operator)
+                : ProcessHandle.of(NodeProcess.serve(folder, config, operator).pid())
+                        .orElseThrow();
     }
 
     private static void end(ProcessHandle process) throws Exception {
@@ -111,7 +113,9 @@
     }
 
     void signal(String signal) throws Exception {
-        new ProcessBuilder("kill", "-" + signal, Long.toString(serving.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + signal, Long.toString(serving.pid()))
+                .start()
+                .waitFor();
     }
 
     boolean isAlive() {
@@ -128,8 +132,9 @@
         try (Socket socket = new Socket()) {
             socket.connect(address, 200);
             socket.setSoTimeout(500);
-            socket.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-                .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write("GET /_health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             byte[] head = socket.getInputStream().readNBytes(12);
             return new String(head, StandardCharsets.US_ASCII).equals("HTTP/1.1 200");
         } catch (IOException e) {
--- a/src/main/java/rushpin/rig/FleetScenario.java
+++ b/src/main/java/rushpin/rig/FleetScenario.java
@@ -38,8 +38,20 @@
     @Override
     public Report play(Options options) throws Exception {
         Report report = new Report(name(), options.seed());
-        report.row("way", "nodes", "stretch", "tries", "served", "refused", "failed", "no answer", "not served %",
-            "p99 ms", "restarts or kills", "gap ms, median", "most");
+        report.row(
+                "way",
+                "nodes",
+                "stretch",
+                "tries",
+                "served",
+                "refused",
+                "failed",
+                "no answer",
+                "not served %",
+                "p99 ms",
+                "restarts or kills",
+                "gap ms, median",
+                "most");
         List<Way> ways = options.isShort() ? List.of(Way.INHERITED) : List.of(Way.OWN, Way.REUSEPORT, Way.INHERITED);
         for (Way way : ways) {
             new Play(options, way, report).run();
@@ -67,15 +79,23 @@
         void run() throws Exception {
             int count = options.isShort() ? 4 : 20;
             double capacity = options.isShort() ? 300 : 1_000;
-            RigConfig.Plan light = new RigConfig.Plan("bulk", capacity / CUSTOMERS * 2, capacity / CUSTOMERS * 4, 0, 0, 0);
-            RigConfig.Plan heavy = new RigConfig.Plan("basic", capacity / 50, capacity / 25, capacity / 25, capacity / 12.5, 8);
+            RigConfig.Plan light =
+                    new RigConfig.Plan("bulk", capacity / CUSTOMERS * 2, capacity / CUSTOMERS * 4, 0, 0, 0);
+            RigConfig.Plan heavy =
+                    new RigConfig.Plan("basic", capacity / 50, capacity / 25, capacity / 25, capacity / 12.5, 8);
             List<RigConfig.Plan> plans = List.of(light, heavy);
             AppServer.Work work = new AppServer.Work(4, 16, 30_000, 50_000, RigConfig.KEY_WINDOW_MS * 1_000_000);
             try (Yard yard = new Yard()) {
                 yard.pool(POOL, (int) (capacity / 100), work, options.seed() * 17);
-                try (Fleet made = new Fleet(yard, POOL, count, way, plans, node -> "[process]\nlistener = \""
-                    + way.name().toLowerCase(Locale.ROOT) + "\"\nstate = \"state-" + node + "\"\n");
-                     FleetFront front = new FleetFront(made.nodes, options.seed())) {
+                try (Fleet made = new Fleet(
+                                yard,
+                                POOL,
+                                count,
+                                way,
+                                plans,
+                                node -> "[process]\nlistener = \"" + way.name().toLowerCase(Locale.ROOT)
+                                        + "\"\nstate = \"state-" + node + "\"\n");
+                        FleetFront front = new FleetFront(made.nodes, options.seed())) {
                     all = made;
                     fleet = made.nodes;
                     made.all(fleet, FleetNode::start);
@@ -89,10 +109,18 @@
         }
 
         private void load(Yard yard, FleetFront front, double capacity) throws Exception {
-            Load many = new Load(yard.loop(), new Load.Group(POOL, "fleet.example.org", "/api?slot=1", 0.35, CUSTOMERS,
-                "bulk", 3_000, 800, true), front, yard.records, options.seed() + 1);
-            Load few = new Load(yard.loop(), new Load.Group(POOL, "fleet.example.org", "/api?slot=1", 0.35, HEAVY, "basic",
-                3_000, 300, true), front, yard.records, options.seed() + 2);
+            Load many = new Load(
+                    yard.loop(),
+                    new Load.Group(POOL, "fleet.example.org", "/api?slot=1", 0.35, CUSTOMERS, "bulk", 3_000, 800, true),
+                    front,
+                    yard.records,
+                    options.seed() + 1);
+            Load few = new Load(
+                    yard.loop(),
+                    new Load.Group(POOL, "fleet.example.org", "/api?slot=1", 0.35, HEAVY, "basic", 3_000, 300, true),
+                    front,
+                    yard.records,
+                    options.seed() + 2);
             // Together some 80% of what the servers do; the few ask for three times their quota.
             many.rate(0.74 * capacity);
             few.rate(0.18 * capacity);
@@ -128,8 +156,14 @@
             row("restarts, heavy", plannedFew, Integer.toString(restarts));
             row("kills, freeze, heavy", roughFew, kills + " and 1");
             double more = notServed(planned) - notServed(rest);
-            report.row(way, fleet.size(), "a restart", String.format(Locale.ROOT, "%.1f tries not served more than in the calm",
-                more * tries(planned) / Math.max(1, restarts)));
+            report.row(
+                    way,
+                    fleet.size(),
+                    "a restart",
+                    String.format(
+                            Locale.ROOT,
+                            "%.1f tries not served more than in the calm",
+                            more * tries(planned) / Math.max(1, restarts)));
             report.claim(way + ": every node of the fleet serves at the end", all.isHealthy());
             if (way == Way.INHERITED) {
                 report.claim(way + ": the longest gap of a restart is " + most() + " ms", most() < 250);
@@ -152,7 +186,8 @@
                 all.all(order.subList(half, fleet.size()), node -> node.signal("HUP"));
                 Thread.sleep(100);
             }
-            // A server starts anew while a quarter of the nodes do: nobody may push it over, and each learns of it at once.
+            // A server starts anew while a quarter of the nodes do: nobody may push it over, and each learns of it at
+            // once.
             AppServer cold = yard.servers(POOL).get(0);
             cold.restart();
             yard.discovery(POOL).set(cold, "Ready", System.currentTimeMillis());
@@ -240,29 +275,52 @@
         private void row(String stretch, Load.Stretch of, String trouble) {
             boolean rough = trouble.equals(Integer.toString(restarts));
             List<Long> sorted = gaps.stream().sorted().collect(Collectors.toList());
-            report.row(way, fleet.size(), stretch, tries(of), of.ok, of.turnedAway, of.failed, of.none,
-                String.format(Locale.ROOT, "%.2f", 100 * notServed(of)),
-                String.format(Locale.ROOT, "%.0f", of.served.getValueAtPercentile(99) / 1e3),
-                trouble, rough ? sorted.get(sorted.size() / 2) : "",
-                rough ? most() : "");
+            report.row(
+                    way,
+                    fleet.size(),
+                    stretch,
+                    tries(of),
+                    of.ok,
+                    of.turnedAway,
+                    of.failed,
+                    of.none,
+                    String.format(Locale.ROOT, "%.2f", 100 * notServed(of)),
+                    String.format(Locale.ROOT, "%.0f", of.served.getValueAtPercentile(99) / 1e3),
+                    trouble,
+                    rough ? sorted.get(sorted.size() / 2) : "",
+                    rough ? most() : "");
         }
 
         /** Units that servers saw against units that the counter was told. */
         private void use(Records records) {
-            Map<String, Double> units = records.exchanges().stream().collect(Collectors.toMap(Records.Exchange::id,
-                Records.Exchange::units, (a, b) -> a));
-            double sent = records.attempts().stream().map(Records.Attempt::id).distinct()
-                .mapToDouble(id -> units.getOrDefault(id, 0.0)).sum();
+            Map<String, Double> units = records.exchanges().stream()
+                    .collect(Collectors.toMap(Records.Exchange::id, Records.Exchange::units, (a, b) -> a));
+            double sent = records.attempts().stream()
+                    .map(Records.Attempt::id)
+                    .distinct()
+                    .mapToDouble(id -> units.getOrDefault(id, 0.0))
+                    .sum();
             AtomicLong told = new AtomicLong();
             records.counted().forEach(call -> told.addAndGet(Math.round(call.amount() * 1_000)));
             double error = told.get() / 1e3 - sent;
-            report.row(way, fleet.size(), "use", String.format(Locale.ROOT, "%.0f units sent on", sent),
-                String.format(Locale.ROOT, "%.0f told", told.get() / 1e3),
-                String.format(Locale.ROOT, "%+.1f", error));
+            report.row(
+                    way,
+                    fleet.size(),
+                    "use",
+                    String.format(Locale.ROOT, "%.0f units sent on", sent),
+                    String.format(Locale.ROOT, "%.0f told", told.get() / 1e3),
+                    String.format(Locale.ROOT, "%+.1f", error));
             // Pushes are a second apart at most: a kill leaves no more in doubt than a node takes in that time.
             double bound = kills * (options.isShort() ? 300.0 : 1_000.0) / fleet.size();
-            report.claim(String.format(Locale.ROOT, "%s: the counter was told %+.1f units beyond what was sent on, the bound is"
-                + " %.0f either way", way, error, bound), Math.abs(error) <= bound);
+            report.claim(
+                    String.format(
+                            Locale.ROOT,
+                            "%s: the counter was told %+.1f units beyond what was sent on, the bound is"
+                                    + " %.0f either way",
+                            way,
+                            error,
+                            bound),
+                    Math.abs(error) <= bound);
         }
     }
 }
--- a/src/main/java/rushpin/rig/GroupDoor.java
+++ b/src/main/java/rushpin/rig/GroupDoor.java
@@ -65,6 +65,7 @@
         private Future<?> look;
         /** The request in hand, null for none, and until when its sender waits. */
         private String request;
+
         private long due;
 
         Open(String server) {
--- a/src/main/java/rushpin/rig/HerdScenario.java
+++ b/src/main/java/rushpin/rig/HerdScenario.java
@@ -33,13 +33,20 @@
     @Override
     public Report play(Options options) throws Exception {
         Report report = new Report(name(), options.seed());
-        RigConfig.Plan light = new RigConfig.Plan("bulk", CAPACITY * MANY / CUSTOMERS * 2, CAPACITY * MANY / CUSTOMERS * 4, 0, 0, 0);
-        RigConfig.Plan heavy = new RigConfig.Plan("basic", CAPACITY / 50, CAPACITY / 25, CAPACITY / 25, CAPACITY / 12.5, 8);
+        RigConfig.Plan light =
+                new RigConfig.Plan("bulk", CAPACITY * MANY / CUSTOMERS * 2, CAPACITY * MANY / CUSTOMERS * 4, 0, 0, 0);
+        RigConfig.Plan heavy =
+                new RigConfig.Plan("basic", CAPACITY / 50, CAPACITY / 25, CAPACITY / 25, CAPACITY / 12.5, 8);
         List<RigConfig.Plan> plans = List.of(light, heavy);
         try (Yard yard = new Yard()) {
-            yard.pool(POOL, SERVERS, new AppServer.Work(2, 16, 30_000, 50_000, RigConfig.KEY_WINDOW_MS * MS), options.seed() * 17);
-            try (Fleet fleet = new Fleet(yard, POOL, options.isShort() ? 10 : 20, FleetNode.Way.OWN, plans, node -> "");
-                 FleetFront front = new FleetFront(fleet.nodes, options.seed())) {
+            yard.pool(
+                    POOL,
+                    SERVERS,
+                    new AppServer.Work(2, 16, 30_000, 50_000, RigConfig.KEY_WINDOW_MS * MS),
+                    options.seed() * 17);
+            try (Fleet fleet =
+                            new Fleet(yard, POOL, options.isShort() ? 10 : 20, FleetNode.Way.OWN, plans, node -> "");
+                    FleetFront front = new FleetFront(fleet.nodes, options.seed())) {
                 fleet.all(fleet.nodes, FleetNode::start);
                 new Play(options, report, yard, fleet, front).run();
             }
@@ -68,8 +75,12 @@
         }
 
         private Load load(String plan, int customers, long seed) {
-            return new Load(yard.loop(), new Load.Group(POOL, "app.svc", "/api?slot=1", 0.35, customers, plan, 2_500, 500, true),
-                front, yard.records, options.seed() * 31 + seed);
+            return new Load(
+                    yard.loop(),
+                    new Load.Group(POOL, "app.svc", "/api?slot=1", 0.35, customers, plan, 2_500, 500, true),
+                    front,
+                    yard.records,
+                    options.seed() * 31 + seed);
         }
 
         private void rates(double part) {
@@ -101,8 +112,13 @@
             }
             double after = row("behind it");
             report.claim("every node serves at the end", fleet.isHealthy());
-            report.claim(String.format(Locale.ROOT, "the fleet is as it was: %.1f%% of the tries served before, %.1f%% behind it",
-                100 * calm, 100 * after), after >= calm - 0.1);
+            report.claim(
+                    String.format(
+                            Locale.ROOT,
+                            "the fleet is as it was: %.1f%% of the tries served before, %.1f%% behind it",
+                            100 * calm,
+                            100 * after),
+                    after >= calm - 0.1);
         }
 
         /** Half of the servers, one after another: told of, ended, and back as new ones; one of the others fails fast. */
@@ -125,8 +141,14 @@
             killed.forEach(front::died);
             long at = System.nanoTime();
             fleet.all(killed, node -> node.kill(500));
-            report.claim(String.format(Locale.ROOT, "%d of %d nodes killed at one moment serve again, %.1f s later", killed.size(),
-                order.size(), (System.nanoTime() - at) / 1e9), killed.stream().allMatch(FleetNode::isHealthy));
+            report.claim(
+                    String.format(
+                            Locale.ROOT,
+                            "%d of %d nodes killed at one moment serve again, %.1f s later",
+                            killed.size(),
+                            order.size(),
+                            (System.nanoTime() - at) / 1e9),
+                    killed.stream().allMatch(FleetNode::isHealthy));
         }
 
         /** Writes a stretch down; returns what part of its tries was served. */
@@ -139,8 +161,15 @@
             }
             int tries = all.ok + all.turnedAway + all.failed + all.none;
             double served = all.ok / (double) Math.max(1, tries);
-            report.row(stretch, tries, all.ok, all.turnedAway, all.failed, all.none, String.format(Locale.ROOT, "%.1f", 100 * served),
-                String.format(Locale.ROOT, "%.0f", all.served.getValueAtPercentile(99) / 1e3));
+            report.row(
+                    stretch,
+                    tries,
+                    all.ok,
+                    all.turnedAway,
+                    all.failed,
+                    all.none,
+                    String.format(Locale.ROOT, "%.1f", 100 * served),
+                    String.format(Locale.ROOT, "%.0f", all.served.getValueAtPercentile(99) / 1e3));
             return served;
         }
     }
--- a/src/main/java/rushpin/rig/Lane.java
+++ b/src/main/java/rushpin/rig/Lane.java
@@ -20,8 +20,7 @@
     private static final int PIECES = 50;
 
     /** A piece, and from when on it may go. */
-    private record Held(ByteBuf bytes, long due) {
-    }
+    private record Held(ByteBuf bytes, long due) {}
 
     private final Relay.Connection connection;
     private final ArrayDeque<Held> queue = new ArrayDeque<>();
@@ -145,10 +144,15 @@
     private void later(long wait) {
         if (!waits) {
             waits = true;
-            connection.loop().schedule(() -> {
-                waits = false;
-                pump();
-            }, wait, TimeUnit.NANOSECONDS);
+            connection
+                    .loop()
+                    .schedule(
+                            () -> {
+                                waits = false;
+                                pump();
+                            },
+                            wait,
+                            TimeUnit.NANOSECONDS);
         }
     }
 
--- a/src/main/java/rushpin/rig/Links.java
+++ b/src/main/java/rushpin/rig/Links.java
@@ -25,6 +25,7 @@
 final class Links implements AutoCloseable {
     /** Beyond so many, a link takes no more switches: a script that draws more is at fault. */
     private static final int MOST_SWITCHES = 100_000;
+
     private static final int MOST_RELAYS = 10_000, SWITCH_S = 30;
     private static final long MS = 1_000_000L;
 
@@ -56,8 +57,12 @@
      * @param bytes a second, in each direction, of {@link Mode#TRICKLE}
      */
     record Way(Mode mode, long least, long most, int bytes) {
-        static final Way THROUGH = of(Mode.THROUGH), SILENT = of(Mode.SILENT), REFUSE = of(Mode.REFUSE),
-            RESET = of(Mode.RESET), FORTH = of(Mode.FORTH), BACK = of(Mode.BACK);
+        static final Way THROUGH = of(Mode.THROUGH),
+                SILENT = of(Mode.SILENT),
+                REFUSE = of(Mode.REFUSE),
+                RESET = of(Mode.RESET),
+                FORTH = of(Mode.FORTH),
+                BACK = of(Mode.BACK);
 
         Way {
             if (least < 0 || most < least || mode == Mode.TRICKLE && bytes < 1) {
@@ -89,18 +94,17 @@
     }
 
     /** One direction of a pair; or of a process to a group of servers, which then has a relay for each of them. */
-    record Link(String from, String to) {
-    }
+    record Link(String from, String to) {}
 
     /** A switch that has been made. */
-    record Switched(Link link, Way way, long at) {
-    }
+    record Switched(Link link, Way way, long at) {}
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final long seed;
     /** On the loop. */
     private final Map<Link, List<Relay>> relays = new LinkedHashMap<>();
+
     private int count;
     private final List<Switched> switched = new ArrayList<>();
 
@@ -205,7 +209,8 @@
 
     /** Bytes that a link holds now, read and not yet passed on; for tests of its bounds. */
     long held(String from, String to) throws Exception {
-        return call(() -> relays.get(new Link(from, to)).stream().mapToLong(Relay::held).sum());
+        return call(() ->
+                relays.get(new Link(from, to)).stream().mapToLong(Relay::held).sum());
     }
 
     /** Bytes that a link has taken so far, both ways together. */
@@ -228,17 +233,20 @@
     }
 
     private void at(long ms, Link link, Way way, CompletableFuture<Void> over) {
-        loop.schedule(() -> {
-            try {
-                begin(link, way).addListener(done -> {
-                    if (!done.isSuccess()) {
-                        over.completeExceptionally(done.cause());
+        loop.schedule(
+                () -> {
+                    try {
+                        begin(link, way).addListener(done -> {
+                            if (!done.isSuccess()) {
+                                over.completeExceptionally(done.cause());
+                            }
+                        });
+                    } catch (IllegalStateException e) {
+                        over.completeExceptionally(e);
                     }
-                });
-            } catch (IllegalStateException e) {
-                over.completeExceptionally(e);
-            }
-        }, ms, TimeUnit.MILLISECONDS);
+                },
+                ms,
+                TimeUnit.MILLISECONDS);
     }
 
     private <T> T call(Callable<T> work) throws Exception {
@@ -251,7 +259,8 @@
 
     @Override
     public void close() {
-        loop.submit(() -> relays.values().forEach(all -> all.forEach(Relay::close))).syncUninterruptibly();
+        loop.submit(() -> relays.values().forEach(all -> all.forEach(Relay::close)))
+                .syncUninterruptibly();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/rushpin/rig/Load.java
+++ b/src/main/java/rushpin/rig/Load.java
@@ -37,6 +37,7 @@
     private static final long MS = 1_000_000L, GRACE = 500 * MS, KEY_REUSE = 2_000 * MS;
     /** A node that takes no connection is tried once more after so long. */
     static final int RECONNECT_MS = 20;
+
     private static final int MOST_RETRIES = 2, MOST_SHOWN = 20;
 
     /**
@@ -50,8 +51,16 @@
      * @param connections how many connections they hold at most; a request that finds none is not sent
      * @param retries whether they come again, up to twice, after a refusal or a failure
      */
-    record Group(String pool, String host, String path, double orders, int customers, String plan, int patienceMs,
-                 int connections, boolean retries) {
+    record Group(
+            String pool,
+            String host,
+            String path,
+            double orders,
+            int customers,
+            String plan,
+            int patienceMs,
+            int connections,
+            boolean retries) {
         /** Its customers, apart from those of other groups of the plan. */
         String customer(int number) {
             return plan + number;
@@ -129,14 +138,18 @@
         this.nodes = nodes;
         this.records = records;
         random = new SplittableRandom(seed);
-        bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2_000)
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17), new Client(channel));
-                }
-            });
+        bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2_000)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline()
+                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(1 << 17), new Client(channel));
+                    }
+                });
     }
 
     /** From now on so many requests a second; 0 for none. */
@@ -161,28 +174,33 @@
         }
         due += (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
         long wait = due - System.nanoTime();
-        coming = loop.schedule(() -> {
-            if (rate > 0) {
-                ask(new Ask(due));
-                next();
-            }
-        }, Math.max(0, wait), TimeUnit.NANOSECONDS);
+        coming = loop.schedule(
+                () -> {
+                    if (rate > 0) {
+                        ask(new Ask(due));
+                        next();
+                    }
+                },
+                Math.max(0, wait),
+                TimeUnit.NANOSECONDS);
     }
 
     /** Begins a new stretch; returns the one before, whose last answers may still come. */
     Stretch turn() throws Exception {
         return loop.submit(() -> {
-            Stretch before = stretch;
-            stretch = new Stretch();
-            return before;
-        }).get();
+                    Stretch before = stretch;
+                    stretch = new Stretch();
+                    return before;
+                })
+                .get();
     }
 
     /** Waits until each request of an ended stretch is answered; then its figures stay as they are. */
     void settleStretch(Stretch of) throws Exception {
         long until = System.nanoTime() + group.patienceMs * MS + 2 * GRACE;
-        while (System.nanoTime() < until && !loop.submit(() ->
-            of.ok + of.turnedAway + of.failed + of.none == of.sent).get()) {
+        while (System.nanoTime() < until
+                && !loop.submit(() -> of.ok + of.turnedAway + of.failed + of.none == of.sent)
+                        .get()) {
             Thread.sleep(5);
         }
     }
@@ -264,8 +282,20 @@
             // What the judge will call lost: where it was, for whoever looks for the cause.
             System.out.println("no answer: " + ask.id + " at " + ask.node + ", try " + ask.tries);
         }
-        records.add(new Records.Exchange(group.pool, ask.id, ask.key, ask.order ? "order" : "lookup",
-            group.customer(ask.customer), group.plan, 1, at, group.patienceMs * MS, status, now, whole, excused));
+        records.add(new Records.Exchange(
+                group.pool,
+                ask.id,
+                ask.key,
+                ask.order ? "order" : "lookup",
+                group.customer(ask.customer),
+                group.plan,
+                1,
+                at,
+                group.patienceMs * MS,
+                status,
+                now,
+                whole,
+                excused));
         Histogram times = status == 200 ? ask.counts.served : ask.counts.refused;
         if (status != Records.NONE) {
             times.recordValue(Math.min(60_000_000L, (now - ask.due) / 1_000));
@@ -279,11 +309,14 @@
         boolean remembered = !ask.order || now - ask.due < KEY_REUSE;
         if (group.retries && status != 200 && remembered && ask.tries++ < MOST_RETRIES) {
             // Where nobody asks any more, nobody comes again: once all is settled nothing more is sent.
-            loop.schedule(() -> {
-                if (rate > 0) {
-                    ask(ask);
-                }
-            }, Math.max(retryAfter, 100 * MS), TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        if (rate > 0) {
+                            ask(ask);
+                        }
+                    },
+                    Math.max(retryAfter, 100 * MS),
+                    TimeUnit.NANOSECONDS);
         }
         if (open == 0 && onIdle != null) {
             onIdle.run();
@@ -310,19 +343,32 @@
             ask.firstAt = ask.firstAt == 0 ? at : ask.firstAt;
             long left = Math.max(1, group.patienceMs - (at - ask.firstAt) / MS);
             HttpMethod method = ask.order ? HttpMethod.POST : HttpMethod.GET;
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, group.path,
-                StandIn.text(ask.order ? "{\"slot\":4}" : ""));
-            request.headers().set("Host", group.host).set("X-Trace-Id", ask.id)
-                .set("X-Qos", ask.order ? "order" : "lookup").set("X-Plan", group.plan)
-                .set("Cookie", String.format("customer=%016x", (group.plan.hashCode() & 0xffffL) << 16 | 1 + ask.customer))
-                .set("X-Expires-In-Ms", left).set("X-Quota", "units=1," + nodes.set(ask.customer));
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, method, group.path, StandIn.text(ask.order ? "{\"slot\":4}" : ""));
+            request.headers()
+                    .set("Host", group.host)
+                    .set("X-Trace-Id", ask.id)
+                    .set("X-Qos", ask.order ? "order" : "lookup")
+                    .set("X-Plan", group.plan)
+                    .set(
+                            "Cookie",
+                            String.format("customer=%016x", (group.plan.hashCode() & 0xffffL) << 16 | 1 + ask.customer))
+                    .set("X-Expires-In-Ms", left)
+                    .set("X-Quota", "units=1," + nodes.set(ask.customer));
             if (ask.tries > 0) {
                 request.headers().set("X-Second-Try", "1");
             }
             if (ask.order) {
-                request.headers().set("Idempotency-Key", ask.key).set("Content-Length", request.content().readableBytes());
+                request.headers()
+                        .set("Idempotency-Key", ask.key)
+                        .set("Content-Length", request.content().readableBytes());
             }
-            patience = loop.schedule(() -> { channel.close(); }, left * MS + GRACE, TimeUnit.NANOSECONDS);
+            patience = loop.schedule(
+                    () -> {
+                        channel.close();
+                    },
+                    left * MS + GRACE,
+                    TimeUnit.NANOSECONDS);
             channel.writeAndFlush(request);
         }
 
@@ -339,9 +385,13 @@
             String body = answer.content().toString(StandardCharsets.US_ASCII);
             String after = answer.headers().get("Retry-After");
             boolean keep = HttpUtil.isKeepAlive(answer);
-            ended(ask, at, answer.status().code(), body.startsWith(ask.id + " by " + group.pool + "/"),
-                nodes.killed(node, at, System.nanoTime()),
-                after == null ? 0 : (long) (Double.parseDouble(after) * 1e9));
+            ended(
+                    ask,
+                    at,
+                    answer.status().code(),
+                    body.startsWith(ask.id + " by " + group.pool + "/"),
+                    nodes.killed(node, at, System.nanoTime()),
+                    after == null ? 0 : (long) (Double.parseDouble(after) * 1e9));
             if (keep && channel.isActive()) {
                 idle.get(node).push(this);
             } else {
--- a/src/main/java/rushpin/rig/ManagementServer.java
+++ b/src/main/java/rushpin/rig/ManagementServer.java
@@ -38,12 +38,10 @@
     private static final int MOST_REFUSALS = 10_000;
 
     /** A refusal or an acknowledgement that a client has sent. */
-    public record Reply(String type, String version, String nonce, String error) {
-    }
+    public record Reply(String type, String version, String nonce, String error) {}
 
     /** A resource and the version of its last change. */
-    private record Kept(Any resource, long version) {
-    }
+    private record Kept(Any resource, long version) {}
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Map<String, Map<String, Kept>> kinds = new HashMap<>();
@@ -66,19 +64,26 @@
     }
 
     private void open() throws IOException {
-        NettyServerBuilder builder = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
-            .bossEventLoopGroup(group).workerEventLoopGroup(group).channelType(NioServerSocketChannel.class).directExecutor()
-            .maxInboundMessageSize(64 << 20).addService(new AggregatedDiscoveryServiceGrpc.AggregatedDiscoveryServiceImplBase() {
-                @Override
-                public StreamObserver<DiscoveryRequest> streamAggregatedResources(StreamObserver<DiscoveryResponse> to) {
-                    return new Whole(to);
-                }
-
-                @Override
-                public StreamObserver<DeltaDiscoveryRequest> deltaAggregatedResources(StreamObserver<DeltaDiscoveryResponse> to) {
-                    return new Changes(to);
-                }
-            });
+        NettyServerBuilder builder = NettyServerBuilder.forAddress(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+                .bossEventLoopGroup(group)
+                .workerEventLoopGroup(group)
+                .channelType(NioServerSocketChannel.class)
+                .directExecutor()
+                .maxInboundMessageSize(64 << 20)
+                .addService(new AggregatedDiscoveryServiceGrpc.AggregatedDiscoveryServiceImplBase() {
+                    @Override
+                    public StreamObserver<DiscoveryRequest> streamAggregatedResources(
+                            StreamObserver<DiscoveryResponse> to) {
+                        return new Whole(to);
+                    }
+
+                    @Override
+                    public StreamObserver<DeltaDiscoveryRequest> deltaAggregatedResources(
+                            StreamObserver<DeltaDiscoveryResponse> to) {
+                        return new Changes(to);
+                    }
+                });
         if (tls != null) {
             builder.sslContext(tls);
         }
@@ -220,8 +225,12 @@
             synchronized (ManagementServer.this) {
                 Wanted of = wanted.computeIfAbsent(from.getTypeUrl(), type -> new Wanted());
                 boolean first = of.nonce.isEmpty();
-                replied(from.getTypeUrl(), from.getVersionInfo(), from.getResponseNonce(), from.hasErrorDetail(),
-                    from.getErrorDetail().getMessage());
+                replied(
+                        from.getTypeUrl(),
+                        from.getVersionInfo(),
+                        from.getResponseNonce(),
+                        from.hasErrorDetail(),
+                        from.getErrorDetail().getMessage());
                 if (!first && !from.getResponseNonce().equals(of.nonce)) {
                     // It answers what has been overtaken by another message: that one's answer is to come yet.
                     return;
@@ -245,8 +254,13 @@
             }
             of.sent = version;
             of.nonce = "n" + ++nonces;
-            to.onNext(DiscoveryResponse.newBuilder().setTypeUrl(type).setVersionInfo(Long.toString(version)).setNonce(of.nonce)
-                .addAllResources(chosen.values().stream().map(Kept::resource).toList()).build());
+            to.onNext(DiscoveryResponse.newBuilder()
+                    .setTypeUrl(type)
+                    .setVersionInfo(Long.toString(version))
+                    .setNonce(of.nonce)
+                    .addAllResources(
+                            chosen.values().stream().map(Kept::resource).toList())
+                    .build());
         }
 
         @Override
@@ -261,8 +275,12 @@
         void say(String type, Map<String, Any> resources) {
             Wanted of = wanted.computeIfAbsent(type, t -> new Wanted());
             of.nonce = "n" + ++nonces;
-            to.onNext(DiscoveryResponse.newBuilder().setTypeUrl(type).setVersionInfo(Long.toString(version)).setNonce(of.nonce)
-                .addAllResources(resources.values()).build());
+            to.onNext(DiscoveryResponse.newBuilder()
+                    .setTypeUrl(type)
+                    .setVersionInfo(Long.toString(version))
+                    .setNonce(of.nonce)
+                    .addAllResources(resources.values())
+                    .build());
         }
     }
 
@@ -279,7 +297,12 @@
             synchronized (ManagementServer.this) {
                 boolean first = !wanted.containsKey(from.getTypeUrl());
                 Wanted of = wanted.computeIfAbsent(from.getTypeUrl(), type -> new Wanted());
-                replied(from.getTypeUrl(), "", from.getResponseNonce(), from.hasErrorDetail(), from.getErrorDetail().getMessage());
+                replied(
+                        from.getTypeUrl(),
+                        "",
+                        from.getResponseNonce(),
+                        from.hasErrorDetail(),
+                        from.getErrorDetail().getMessage());
                 from.getInitialResourceVersionsMap().forEach((name, had) -> of.had.put(name, Long.parseLong(had)));
                 List<String> more = new ArrayList<>(from.getResourceNamesSubscribeList());
                 of.all |= more.remove("*") || first && more.isEmpty();
@@ -297,12 +320,15 @@
         /** What has changed since it was sent; and what was asked for now, though it is not there. */
         private void send(String type, Wanted of, List<String> asked) {
             Map<String, Kept> chosen = selected(type, of);
-            DeltaDiscoveryResponse.Builder answer = DeltaDiscoveryResponse.newBuilder().setTypeUrl(type);
+            DeltaDiscoveryResponse.Builder answer =
+                    DeltaDiscoveryResponse.newBuilder().setTypeUrl(type);
             chosen.forEach((name, kept) -> {
                 if (!Long.valueOf(kept.version).equals(of.had.get(name))) {
                     of.had.put(name, kept.version);
-                    answer.addResources(Resource.newBuilder().setName(name).setVersion(Long.toString(kept.version))
-                        .setResource(kept.resource));
+                    answer.addResources(Resource.newBuilder()
+                            .setName(name)
+                            .setVersion(Long.toString(kept.version))
+                            .setResource(kept.resource));
                 }
             });
             Set<String> gone = new LinkedHashSet<>(of.had.keySet());
@@ -310,8 +336,10 @@
             gone.removeAll(chosen.keySet());
             gone.forEach(of.had::remove);
             if (answer.getResourcesCount() > 0 || !gone.isEmpty()) {
-                to.onNext(answer.addAllRemovedResources(gone).setNonce("n" + ++nonces)
-                    .setSystemVersionInfo(Long.toString(version)).build());
+                to.onNext(answer.addAllRemovedResources(gone)
+                        .setNonce("n" + ++nonces)
+                        .setSystemVersionInfo(Long.toString(version))
+                        .build());
             }
         }
 
@@ -325,9 +353,12 @@
 
         @Override
         void say(String type, Map<String, Any> resources) {
-            DeltaDiscoveryResponse.Builder answer = DeltaDiscoveryResponse.newBuilder().setTypeUrl(type).setNonce("n" + ++nonces);
-            resources.forEach((name, any) -> answer.addResources(Resource.newBuilder().setName(name)
-                .setVersion(Long.toString(version)).setResource(any)));
+            DeltaDiscoveryResponse.Builder answer =
+                    DeltaDiscoveryResponse.newBuilder().setTypeUrl(type).setNonce("n" + ++nonces);
+            resources.forEach((name, any) -> answer.addResources(Resource.newBuilder()
+                    .setName(name)
+                    .setVersion(Long.toString(version))
+                    .setResource(any)));
             to.onNext(answer.build());
         }
     }
--- a/src/main/java/rushpin/rig/ModelScenario.java
+++ b/src/main/java/rushpin/rig/ModelScenario.java
@@ -23,11 +23,16 @@
     private static final long MS = 1_000_000L, LEAST = 30_000, MOST = 60_000, AWAY_MS = 500;
     /** Offered: 0.55 of what the servers can do. */
     private static final double RATE = 0.55 * SERVERS * CORES * 1e6 / ((LEAST + MOST) / 2.0);
+
     private static final int SEEDS = 40;
     private static final double LEVEL = 0.99;
     private static final List<String> FIGURES = List.of("served-tries", "p50-ms", "p99-ms");
 
-    private enum Situation { CALM, NODE_LOST, SERVERS_FAIL_FAST }
+    private enum Situation {
+        CALM,
+        NODE_LOST,
+        SERVERS_FAIL_FAST
+    }
 
     /** What a real run showed. */
     private record Seen(double served, double p50, double p99, double awayMs) {
@@ -51,15 +56,27 @@
         Report report = new Report(name(), options.seed());
         RigConfig.Plan plan = new RigConfig.Plan("bulk", RATE / CUSTOMERS * 4, RATE / CUSTOMERS * 12, 0, 0, 0);
         try (Yard yard = new Yard()) {
-            yard.pool(POOL, SERVERS, new AppServer.Work(CORES, LINE, LEAST, MOST,
-                RigConfig.KEY_WINDOW_MS * MS), options.seed() * 31);
+            yard.pool(
+                    POOL,
+                    SERVERS,
+                    new AppServer.Work(CORES, LINE, LEAST, MOST, RigConfig.KEY_WINDOW_MS * MS),
+                    options.seed() * 31);
             yard.write("pseudonyms", "of this play alone, sixteen bytes or more");
-            try (Fleet fleet = new Fleet(yard, POOL, NODES, FleetNode.Way.OWN, List.of(plan),
-                node -> "[records]\nfolder = \"records\"\npseudonym-key = \"pseudonyms\"\n");
-                 FleetFront front = new FleetFront(fleet.nodes, options.seed())) {
+            try (Fleet fleet = new Fleet(
+                            yard,
+                            POOL,
+                            NODES,
+                            FleetNode.Way.OWN,
+                            List.of(plan),
+                            node -> "[records]\nfolder = \"records\"\npseudonym-key = \"pseudonyms\"\n");
+                    FleetFront front = new FleetFront(fleet.nodes, options.seed())) {
                 fleet.all(fleet.nodes, FleetNode::start);
-                Load load = new Load(yard.loop(), new Load.Group(POOL, "app.svc", "/api?slot=1", 0.35, CUSTOMERS, "bulk",
-                    PATIENCE_MS, 400, true), front, yard.records, options.seed() * 7);
+                Load load = new Load(
+                        yard.loop(),
+                        new Load.Group(POOL, "app.svc", "/api?slot=1", 0.35, CUSTOMERS, "bulk", PATIENCE_MS, 400, true),
+                        front,
+                        yard.records,
+                        options.seed() * 7);
                 new Play(options, report, yard, fleet.nodes, front, load).run();
             }
             yard.end();
@@ -96,15 +113,25 @@
             Thread.sleep(1_500);
             long end = System.currentTimeMillis() * 1_000;
             Recorded all = Recorded.read(yard.folder.resolve("records"));
-            Recorded recorded = new Recorded(all.entries().stream().filter(e -> e.at() >= begin && e.at() <= end).toList(),
-                all.notes(), all.dropped());
+            Recorded recorded = new Recorded(
+                    all.entries().stream()
+                            .filter(e -> e.at() >= begin && e.at() <= end)
+                            .toList(),
+                    all.notes(),
+                    all.dropped());
             Path settings = yard.folder.resolve("n0.json");
             Choice choice = Choice.of(settings.toString(), null);
             Fit fit = new Fit(recorded, choice.settings(), given(), POOL);
             for (Map.Entry<String, Family> law : fit.laws().entrySet()) {
-                report.claim(String.format(Locale.ROOT, "work of %s is told by %d attempts: %s, p = %.3f", law.getKey(),
-                    law.getValue().samples(), law.getValue().kept() ? law.getValue().name() : "its own quantiles",
-                    law.getValue().p()), law.getValue().samples() >= Family.LEAST);
+                report.claim(
+                        String.format(
+                                Locale.ROOT,
+                                "work of %s is told by %d attempts: %s, p = %.3f",
+                                law.getKey(),
+                                law.getValue().samples(),
+                                law.getValue().kept() ? law.getValue().name() : "its own quantiles",
+                                law.getValue().p()),
+                        law.getValue().samples() >= Family.LEAST);
             }
             Map<String, String> day = fit.day();
             try (Runner runner = new Runner(Math.max(1, Runtime.getRuntime().availableProcessors() / 2), 120)) {
@@ -117,18 +144,29 @@
                         List<Map<String, Object>> runs = forecast(day, choice, runner, situation, span, seen.awayMs);
                         for (String figure : FIGURES) {
                             Study.Forecast of = Study.forecast(runs, figure, LEVEL);
-                            // What the clients' own process adds no record shows; whole steps of a histogram and of a share.
-                            double slack = figure.equals("p50-ms") ? 1 : figure.equals("p99-ms") ? 0.1 * of.mean() : 0.005;
+                            // What the clients' own process adds no record shows; whole steps of a histogram and of a
+                            // share.
+                            double slack =
+                                    figure.equals("p50-ms") ? 1 : figure.equals("p99-ms") ? 0.1 * of.mean() : 0.005;
                             boolean holds = seen.of(figure) >= of.low() - slack && seen.of(figure) <= of.high() + slack;
-                            report.row(situation.name().toLowerCase(Locale.ROOT), i + 1, figure, number(of.low() - slack),
-                                number(of.high() + slack), number(seen.of(figure)), holds ? "yes" : "no");
+                            report.row(
+                                    situation.name().toLowerCase(Locale.ROOT),
+                                    i + 1,
+                                    figure,
+                                    number(of.low() - slack),
+                                    number(of.high() + slack),
+                                    number(seen.of(figure)),
+                                    holds ? "yes" : "no");
                             within += holds ? 1 : 0;
                             held++;
                         }
                     }
                 }
-                report.claim(within + " of " + held + " measured figures lie within the forecast's bars", within >= 0.88 * held);
-                report.claim(String.format(Locale.ROOT, "%.0f us of one core a simulated try", runner.microsPerTry()), true);
+                report.claim(
+                        within + " of " + held + " measured figures lie within the forecast's bars",
+                        within >= 0.88 * held);
+                report.claim(
+                        String.format(Locale.ROOT, "%.0f us of one core a simulated try", runner.microsPerTry()), true);
             }
         }
 
@@ -160,8 +198,14 @@
             day.put("fleet.node", String.join(" ", known));
         }
 
-        private List<Map<String, Object>> forecast(Map<String, String> fitted, Choice choice, Runner runner, Situation situation,
-                                                   long spanMs, double awayMs) throws Exception {
+        private List<Map<String, Object>> forecast(
+                Map<String, String> fitted,
+                Choice choice,
+                Runner runner,
+                Situation situation,
+                long spanMs,
+                double awayMs)
+                throws Exception {
             Map<String, String> day = new TreeMap<>(fitted);
             day.put("seconds", String.valueOf(spanMs / 1e3));
             if (situation != Situation.CALM) {
@@ -175,8 +219,9 @@
                     day.put("trouble.0.chance", "1");
                 }
             }
-            return new Study(runner, day, null, new Study.Options(LEVEL, 1, SEEDS, SEEDS, options.seed() * 1_000, false))
-                .play(choice, SEEDS);
+            return new Study(
+                            runner, day, null, new Study.Options(LEVEL, 1, SEEDS, SEEDS, options.seed() * 1_000, false))
+                    .play(choice, SEEDS);
         }
 
         /** A real run, with its trouble from a quarter of it on. */
@@ -203,8 +248,11 @@
             load.settle();
             Load.Stretch seen = load.turn();
             load.settleStretch(seen);
-            return new Seen(seen.ok / (double) Math.max(1, seen.sent), seen.served.getValueAtPercentile(50) / 1e3,
-                seen.served.getValueAtPercentile(99) / 1e3, away);
+            return new Seen(
+                    seen.ok / (double) Math.max(1, seen.sent),
+                    seen.served.getValueAtPercentile(50) / 1e3,
+                    seen.served.getValueAtPercentile(99) / 1e3,
+                    away);
         }
     }
 }
--- a/src/main/java/rushpin/rig/NodeProcess.java
+++ b/src/main/java/rushpin/rig/NodeProcess.java
@@ -19,10 +19,21 @@
 /** A program of this repository as a real process: an edge node, or what it is compared with. */
 final class NodeProcess implements AutoCloseable {
     /** The options of `run` in deploy/balancer.toml that decide what a request costs. */
-    private static final List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-        "-XX:C1MaxInlineSize=8", "-XX:C1MaxInlineLevel=2", "-Dio.netty.jfr.enabled=false", "-Xms48m", "-Xmx48m",
-        "-Xss512k", "-XX:MaxDirectMemorySize=24m", "-XX:ReservedCodeCacheSize=24m", "-XX:MaxMetaspaceSize=40m",
-        "-XX:-UsePerfData", "-XX:+ExitOnOutOfMemoryError");
+    private static final List<String> OPTIONS = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:C1MaxInlineSize=8",
+            "-XX:C1MaxInlineLevel=2",
+            "-Dio.netty.jfr.enabled=false",
+            "-Xms48m",
+            "-Xmx48m",
+            "-Xss512k",
+            "-XX:MaxDirectMemorySize=24m",
+            "-XX:ReservedCodeCacheSize=24m",
+            "-XX:MaxMetaspaceSize=40m",
+            "-XX:-UsePerfData",
+            "-XX:+ExitOnOutOfMemoryError");
+
     private static final int READY_S = 60, KEPT_LINES = 200;
 
     /** The words that start an edge node; {@code operator} may be null. */
@@ -46,11 +57,11 @@
     private final Consumer<String> heard;
 
     private NodeProcess(String classPath, List<String> command, Path folder, Path config) throws IOException {
-        this(classPath, command, folder, config, line -> { });
+        this(classPath, command, folder, config, line -> {});
     }
 
     private NodeProcess(String classPath, List<String> command, Path folder, Path config, Consumer<String> heard)
-        throws IOException {
+            throws IOException {
         this.heard = heard;
         List<String> all = new ArrayList<>();
         all.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -83,9 +94,14 @@
      * The same, which tells each line that it says, on a thread of its own and in order; its heap is nearly full while {@code ballast} is
      * there.
      */
-    static NodeProcess serve(Path folder, Path config, Path operator, Path ballast, Consumer<String> heard) throws Exception {
-        return started(new NodeProcess(System.getProperty("java.class.path"), Ballast.words(ballast,
-            List.of("rushpin.cli.Main", "serve", "--operator", operator.toString())), folder, config, heard));
+    static NodeProcess serve(Path folder, Path config, Path operator, Path ballast, Consumer<String> heard)
+            throws Exception {
+        return started(new NodeProcess(
+                System.getProperty("java.class.path"),
+                Ballast.words(ballast, List.of("rushpin.cli.Main", "serve", "--operator", operator.toString())),
+                folder,
+                config,
+                heard));
     }
 
     /** Starts the edge node of another jar. */
@@ -112,8 +128,8 @@
     }
 
     private void read() {
-        try (BufferedReader lines = new BufferedReader(
-            new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 heard.accept(line);
                 synchronized (said) {
@@ -170,7 +186,11 @@
 
     /** CPU it has used, in nanoseconds; the system counts in steps of 10 ms. */
     long cpu() {
-        return process.toHandle().info().totalCpuDuration().map(Duration::toNanos).orElse(0L);
+        return process.toHandle()
+                .info()
+                .totalCpuDuration()
+                .map(Duration::toNanos)
+                .orElse(0L);
     }
 
     /** Resident memory in KiB; 0 where the system does not tell. */
@@ -202,8 +222,9 @@
         if (!Files.exists(program)) {
             return "";
         }
-        Process asked = new ProcessBuilder(program.toString(), Long.toString(pid()), command).redirectErrorStream(true)
-            .start();
+        Process asked = new ProcessBuilder(program.toString(), Long.toString(pid()), command)
+                .redirectErrorStream(true)
+                .start();
         String said = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         asked.waitFor();
         return said;
@@ -229,8 +250,10 @@
 
     /** The size in bytes beyond which it can write no file, or {@code unlimited}: what stands for a full disk. */
     void room(String bytes) throws Exception {
-        if (new ProcessBuilder("prlimit", "--pid", Long.toString(pid()), "--fsize=" + bytes + ":unlimited").start()
-            .waitFor() != 0) {
+        if (new ProcessBuilder("prlimit", "--pid", Long.toString(pid()), "--fsize=" + bytes + ":unlimited")
+                        .start()
+                        .waitFor()
+                != 0) {
             throw new IOException("a process could not be given a limit");
         }
     }
--- a/src/main/java/rushpin/rig/PassThrough.java
+++ b/src/main/java/rushpin/rig/PassThrough.java
@@ -22,40 +22,54 @@
 final class PassThrough {
     private static final int MOST_BODY = 64 * 1024;
 
-    private PassThrough() {
-    }
+    private PassThrough() {}
 
     /** Serves on a port that the system gives, in front of the one address it is told. */
     public static void main(String[] args) throws Exception {
         int colon = args[0].lastIndexOf(':');
-        InetSocketAddress target = new InetSocketAddress(args[0].substring(0, colon),
-            Integer.parseInt(args[0].substring(colon + 1)));
+        InetSocketAddress target =
+                new InetSocketAddress(args[0].substring(0, colon), Integer.parseInt(args[0].substring(colon + 1)));
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Bootstrap towards = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true);
-        Channel listening = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel client) {
-                    towards.clone().handler(new ChannelInitializer<Channel>() {
-                        @Override
-                        protected void initChannel(Channel server) {
-                            server.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY),
-                                new Pass(client));
-                        }
-                    }).connect(target).addListener(done -> {
-                        if (done.isSuccess()) {
-                            Channel server = ((ChannelFuture) done).channel();
-                            client.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
-                                new Pass(server));
-                            client.config().setAutoRead(true);
-                        } else {
-                            client.close();
-                        }
-                    });
-                }
-            }).bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+        Bootstrap towards =
+                new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true);
+        Channel listening = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel client) {
+                        towards.clone()
+                                .handler(new ChannelInitializer<Channel>() {
+                                    @Override
+                                    protected void initChannel(Channel server) {
+                                        server.pipeline()
+                                                .addLast(
+                                                        new HttpClientCodec(),
+                                                        new HttpObjectAggregator(MOST_BODY),
+                                                        new Pass(client));
+                                    }
+                                })
+                                .connect(target)
+                                .addListener(done -> {
+                                    if (done.isSuccess()) {
+                                        Channel server = ((ChannelFuture) done).channel();
+                                        client.pipeline()
+                                                .addLast(
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(MOST_BODY),
+                                                        new Pass(server));
+                                        client.config().setAutoRead(true);
+                                    } else {
+                                        client.close();
+                                    }
+                                });
+                    }
+                })
+                .bind(new InetSocketAddress("127.0.0.1", 0))
+                .sync()
+                .channel();
         System.out.println("serving on " + listening.localAddress());
     }
 
--- a/src/main/java/rushpin/rig/Relay.java
+++ b/src/main/java/rushpin/rig/Relay.java
@@ -51,18 +51,26 @@
         this.loop = loop;
         this.target = target;
         random = new SplittableRandom(seed);
-        listen = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
-            .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
-            .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel near) {
-                    accepted(near);
-                }
-            });
-        connect = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.AUTO_READ, false).option(ChannelOption.ALLOW_HALF_CLOSURE, true);
+        listen = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, false)
+                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel near) {
+                        accepted(near);
+                    }
+                });
+        connect = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.AUTO_READ, false)
+                .option(ChannelOption.ALLOW_HALF_CLOSURE, true);
     }
 
     InetSocketAddress address() {
@@ -71,7 +79,9 @@
 
     /** Bytes that it holds. */
     long held() {
-        return connections.stream().mapToLong(each -> each.forth.held() + each.back.held()).sum();
+        return connections.stream()
+                .mapToLong(each -> each.forth.held() + each.back.held())
+                .sum();
     }
 
     /** Bytes that it has taken so far, from either side. */
@@ -220,7 +230,8 @@
                 near.close();
                 return;
             }
-            ChannelFuture reaching = connect.clone().handler(new Side(back, forth)).connect(target);
+            ChannelFuture reaching =
+                    connect.clone().handler(new Side(back, forth)).connect(target);
             far = reaching.channel();
             far.closeFuture().addListener(gone -> gone());
             reaching.addListener(done -> {
--- a/src/main/java/rushpin/rig/ReplaceScenario.java
+++ b/src/main/java/rushpin/rig/ReplaceScenario.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -21,7 +20,7 @@
 final class ReplaceScenario implements Scenario {
     private static final int SERVERS = 6;
     private static final RigConfig.Plan BULK = new RigConfig.Plan("bulk", 40, 80, 0, 0, 0),
-        BASIC = new RigConfig.Plan("basic", 4, 16, 8, 24, 8);
+            BASIC = new RigConfig.Plan("basic", 4, 16, 8, 24, 8);
 
     /** The figures of one process, as it told them last. */
     private static final class Figures {
@@ -64,8 +63,7 @@
     }
 
     /** One process of the node and its console. */
-    private record Running(NodeProcess process, int console, Path config) {
-    }
+    private record Running(NodeProcess process, int console, Path config) {}
 
     @Override
     public String name() {
@@ -96,14 +94,23 @@
             Discovery discovery = yard.pool("one", SERVERS, work, options.seed());
             // Both ports from the system; the next processes share the first one's.
             String any = RigConfig.json("rig", "127.0.0.1:0", 0, 1024, 1, discovery, yard.counter, plans)
-                .replaceFirst("\\{", "{\"console\" : \"127.0.0.1:0\",");
+                    .replaceFirst("\\{", "{\"console\" : \"127.0.0.1:0\",");
             Running serving = start(yard, any, 0);
-            String json = any.replaceFirst("\"listen\" : \"127.0.0.1:0\"",
-                "\"listen\" : \"127.0.0.1:" + serving.process.address().getPort() + "\"");
-            Load bulk = new Load(yard.loop(), new Load.Group("one", "app.svc", "/api?slot=1", 0.35, 20, "bulk", 2_000, 150,
-                true), serving.process.address(), yard.records, options.seed());
-            Load basic = new Load(yard.loop(), new Load.Group("one", "app.svc", "/api?slot=1", 0.35, 12, "basic", 2_000,
-                150, true), serving.process.address(), yard.records, options.seed() + 1);
+            String json = any.replaceFirst(
+                    "\"listen\" : \"127.0.0.1:0\"",
+                    "\"listen\" : \"127.0.0.1:" + serving.process.address().getPort() + "\"");
+            Load bulk = new Load(
+                    yard.loop(),
+                    new Load.Group("one", "app.svc", "/api?slot=1", 0.35, 20, "bulk", 2_000, 150, true),
+                    serving.process.address(),
+                    yard.records,
+                    options.seed());
+            Load basic = new Load(
+                    yard.loop(),
+                    new Load.Group("one", "app.svc", "/api?slot=1", 0.35, 12, "basic", 2_000, 150, true),
+                    serving.process.address(),
+                    yard.records,
+                    options.seed() + 1);
             // Within quota and beyond it: 12 customers with 4 a second each, some of which ask for more by chance.
             bulk.rate(180);
             basic.rate(36);
@@ -121,7 +128,8 @@
                     boolean yes = call(serving.console, "DISABLE " + out.id).equals("done\n");
                     long from = System.nanoTime();
                     boolean broken = i % 2 == 0;
-                    String changed = json.replace("\"max-attempts\" : 6", "\"max-attempts\" : " + (broken ? 0 : 3 + i % 3));
+                    String changed =
+                            json.replace("\"max-attempts\" : 6", "\"max-attempts\" : " + (broken ? 0 : 3 + i % 3));
                     yard.write(serving.config.getFileName().toString(), changed);
                     serving.process.signal("HUP");
                     applied += broken ? 0 : 1;
@@ -154,8 +162,9 @@
                 Thread.sleep(500);
                 Figures last = Figures.of(call(serving.console, "STATS"));
                 all.add(last);
-                report.claim("nothing is active at the end, and all are listed: " + last.active + ", " + last.listed,
-                    last.active == 0 && last.listed == SERVERS);
+                report.claim(
+                        "nothing is active at the end, and all are listed: " + last.active + ", " + last.listed,
+                        last.active == 0 && last.listed == SERVERS);
                 ended += serving.process.stop() == 0 ? 1 : 0;
             } finally {
                 serving.process.close();
@@ -170,17 +179,23 @@
             report.row("shed", all.shed, shed);
             report.row("errors", all.errors, errors);
             report.row("tries", all.tries, yard.records.attempts().size());
-            report.claim("served, refused, failed as told: within 1 % or 3 for each process", near(all.ok, ok, times)
-                && near(all.shed, shed, times) && near(all.errors, errors, times));
-            report.claim("attempts as told: within 2 % or 3 for each process", near(all.tries, yard.records.attempts().size(),
-                2 * times));
-            report.claim("files taken and turned down: " + all.applied + " and " + all.rejected + " of " + applied + " and "
-                + rejected, all.applied == applied && all.rejected == rejected);
+            report.claim(
+                    "served, refused, failed as told: within 1 % or 3 for each process",
+                    near(all.ok, ok, times) && near(all.shed, shed, times) && near(all.errors, errors, times));
+            report.claim(
+                    "attempts as told: within 2 % or 3 for each process",
+                    near(all.tries, yard.records.attempts().size(), 2 * times));
+            report.claim(
+                    "files taken and turned down: " + all.applied + " and " + all.rejected + " of " + applied + " and "
+                            + rejected,
+                    all.applied == applied && all.rejected == rejected);
             report.claim("console calls answered as they must be: " + good + " of " + calls, good == calls);
             report.claim("processes that ended with 0: " + ended + " of " + (times + 1), ended == times + 1);
-            report.claim("tries with no answer: " + (calm.none() + change.none()) + ", 1 a replacement at most",
-                calm.none() + change.none() <= times);
-            report.claim(String.format(Locale.ROOT, "a process takes clients after %.1f s at most", readyMost / 1e9), true);
+            report.claim(
+                    "tries with no answer: " + (calm.none() + change.none()) + ", 1 a replacement at most",
+                    calm.none() + change.none() <= times);
+            report.claim(
+                    String.format(Locale.ROOT, "a process takes clients after %.1f s at most", readyMost / 1e9), true);
             report.add(Judge.judge(yard.records, RigConfig.rules(plans)));
         }
         return report;
@@ -209,7 +224,9 @@
     }
 
     private static long seen(Yard yard, int one, int other) {
-        return yard.records.exchanges().stream().filter(e -> e.status() == one || e.status() == other).count();
+        return yard.records.exchanges().stream()
+                .filter(e -> e.status() == one || e.status() == other)
+                .count();
     }
 
     private static boolean near(long told, long seen, int processes) {
@@ -240,7 +257,8 @@
         }
 
         int none() {
-            return bulk.stream().mapToInt(s -> s.none).sum() + basic.stream().mapToInt(s -> s.none).sum();
+            return bulk.stream().mapToInt(s -> s.none).sum()
+                    + basic.stream().mapToInt(s -> s.none).sum();
         }
 
         void rows(Report report, String kind) {
@@ -251,9 +269,14 @@
         private static void row(Report report, String kind, String plan, List<Load.Stretch> all) {
             Load.Stretch sum = new Load.Stretch();
             all.forEach(sum::add);
-            report.row(kind, plan, sum.sent, String.format(Locale.ROOT, "%.2f", 100.0 * (sum.sent - sum.ok) / Math.max(1, sum.sent)),
-                sum.none, String.format(Locale.ROOT, "%.1f", sum.served.getValueAtPercentile(50) / 1e3),
-                String.format(Locale.ROOT, "%.1f", sum.served.getValueAtPercentile(99) / 1e3));
+            report.row(
+                    kind,
+                    plan,
+                    sum.sent,
+                    String.format(Locale.ROOT, "%.2f", 100.0 * (sum.sent - sum.ok) / Math.max(1, sum.sent)),
+                    sum.none,
+                    String.format(Locale.ROOT, "%.1f", sum.served.getValueAtPercentile(50) / 1e3),
+                    String.format(Locale.ROOT, "%.1f", sum.served.getValueAtPercentile(99) / 1e3));
         }
     }
 }
--- a/src/main/java/rushpin/rig/Report.java
+++ b/src/main/java/rushpin/rig/Report.java
@@ -18,8 +18,7 @@
 public final class Report {
     private static final int MOST_BREACHES = 20;
 
-    private record Claim(String what, boolean holds) {
-    }
+    private record Claim(String what, boolean holds) {}
 
     private final String scenario;
     private final long seed;
@@ -63,7 +62,11 @@
 
     /** The rules that were broken, and by what; empty if none was. */
     public String brokenRules() {
-        return String.join("; ", breaches.stream().map(breach -> breach.rule() + ": " + breach.what()).toList());
+        return String.join(
+                "; ",
+                breaches.stream()
+                        .map(breach -> breach.rule() + ": " + breach.what())
+                        .toList());
     }
 
     /** Whether all claims hold and no rule was broken. */
@@ -76,7 +79,8 @@
         List<String> all = new ArrayList<>();
         claims.stream().filter(claim -> !claim.holds).forEach(claim -> all.add(claim.what));
         if (!breaches.isEmpty()) {
-            all.add(breaches.size() + " breaches, the first: " + breaches.get(0).rule() + ": " + breaches.get(0).what());
+            all.add(breaches.size() + " breaches, the first: " + breaches.get(0).rule() + ": "
+                    + breaches.get(0).what());
         }
         return String.join("; ", all);
     }
@@ -89,8 +93,9 @@
         for (Claim claim : claims) {
             out.println((claim.holds ? "holds:        " : "falls short:  ") + claim.what);
         }
-        breaches.stream().limit(MOST_BREACHES)
-            .forEach(breach -> out.println("broken:       " + breach.rule() + ": " + breach.what()));
+        breaches.stream()
+                .limit(MOST_BREACHES)
+                .forEach(breach -> out.println("broken:       " + breach.rule() + ": " + breach.what()));
         if (breaches.isEmpty()) {
             out.println("holds:        the five rules");
         }
@@ -99,8 +104,11 @@
 
     /** Writes the same as JSON. */
     public void write(Path file) throws IOException {
-        ObjectNode root = new ObjectMapper().createObjectNode().put("scenario", scenario).put("seed", seed)
-            .put("holds", holds());
+        ObjectNode root = new ObjectMapper()
+                .createObjectNode()
+                .put("scenario", scenario)
+                .put("seed", seed)
+                .put("holds", holds());
         ArrayNode table = root.putArray("table");
         rows.forEach(row -> {
             ArrayNode cells = table.addArray();
@@ -109,7 +117,8 @@
         ArrayNode said = root.putArray("claims");
         claims.forEach(claim -> said.addObject().put("what", claim.what).put("holds", claim.holds));
         ArrayNode broken = root.putArray("breaches");
-        breaches.forEach(breach -> broken.addObject().put("rule", breach.rule().name()).put("what", breach.what()));
+        breaches.forEach(
+                breach -> broken.addObject().put("rule", breach.rule().name()).put("what", breach.what()));
         Files.writeString(file, root.toPrettyString() + "\n");
     }
 }
--- a/src/main/java/rushpin/rig/Rig.java
+++ b/src/main/java/rushpin/rig/Rig.java
@@ -4,12 +4,21 @@
 
 /** The scenarios by name. */
 public final class Rig {
-    private static final List<Scenario> ALL = List.of(new DemoScenario(), new PoolsScenario(), new FleetScenario(),
-        new CostScenario(), new UseScenario(), new XdsScenario(), new ReplaceScenario(),
-        new ModelScenario(), new HerdScenario(), new AccordScenario(), new ZonesScenario(), new BudgetsScenario());
+    private static final List<Scenario> ALL = List.of(
+            new DemoScenario(),
+            new PoolsScenario(),
+            new FleetScenario(),
+            new CostScenario(),
+            new UseScenario(),
+            new XdsScenario(),
+            new ReplaceScenario(),
+            new ModelScenario(),
+            new HerdScenario(),
+            new AccordScenario(),
+            new ZonesScenario(),
+            new BudgetsScenario());
 
-    private Rig() {
-    }
+    private Rig() {}
 
     /** All scenarios. */
     public static List<Scenario> all() {
--- a/src/main/java/rushpin/rig/StandIn.java
+++ b/src/main/java/rushpin/rig/StandIn.java
@@ -25,17 +25,20 @@
 
     StandIn(EventLoop loop) {
         this.loop = loop;
-        bootstrap = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 1024)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    connections.add(channel);
-                    channel.closeFuture().addListener(closed -> connections.remove(channel));
-                    channel.pipeline().addLast(new HttpServerCodec(), handler());
-                }
-            });
+        bootstrap = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        connections.add(channel);
+                        channel.closeFuture().addListener(closed -> connections.remove(channel));
+                        channel.pipeline().addLast(new HttpServerCodec(), handler());
+                    }
+                });
     }
 
     /** One connection's work. */
@@ -46,7 +49,10 @@
         if (listening != null && listening.isOpen()) {
             return this;
         }
-        listening = bootstrap.bind(address == null ? new InetSocketAddress("127.0.0.1", 0) : address).sync().channel();
+        listening = bootstrap
+                .bind(address == null ? new InetSocketAddress("127.0.0.1", 0) : address)
+                .sync()
+                .channel();
         address = (InetSocketAddress) listening.localAddress();
         return this;
     }
