--- a/src/main/java/rushpin/rig/Supervisor.java
+++ b/src/main/java/rushpin/rig/Supervisor.java
@@ -42,7 +42,9 @@
 
     /** Holds a socket at a host of the loopback net, at a port that the system gives. */
     Supervisor(String host) throws Exception {
-        process = new ProcessBuilder("perl", "-e", SCRIPT, host, "0").redirectErrorStream(true).start();
+        process = new ProcessBuilder("perl", "-e", SCRIPT, host, "0")
+                .redirectErrorStream(true)
+                .start();
         orders = new OutputStreamWriter(process.getOutputStream(), StandardCharsets.UTF_8);
         Thread reader = new Thread(this::read, "supervisor");
         reader.setDaemon(true);
@@ -51,11 +53,13 @@
     }
 
     private void read() {
-        try (BufferedReader lines = new BufferedReader(
-            new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                if (line.startsWith("holds ") || line.startsWith("started ") || line.startsWith("serving on ")
-                    || line.startsWith("cannot start")) {
+                if (line.startsWith("holds ")
+                        || line.startsWith("started ")
+                        || line.startsWith("serving on ")
+                        || line.startsWith("cannot start")) {
                     said.add(line);
                 }
             }
@@ -83,7 +87,8 @@
     /** Starts an edge node at the socket and returns its process when it serves. */
     ProcessHandle serve(Path folder, Path config, Path operator) throws Exception {
         StringBuilder line = new StringBuilder("TMPDIR='" + folder + "' GW_CONFIG='" + config + "' exec");
-        NodeProcess.words(operator).forEach(word -> line.append(" '").append(word).append('\''));
+        NodeProcess.words(operator)
+                .forEach(word -> line.append(" '").append(word).append('\''));
         orders.write(line.append('\n').toString());
         orders.flush();
         long pid = Long.parseLong(await("started ").substring("started ".length()));
--- a/src/main/java/rushpin/rig/TogetherFleet.java
+++ b/src/main/java/rushpin/rig/TogetherFleet.java
@@ -34,6 +34,7 @@
     private static final int AWAIT_S = 90;
     /** A look beside the lines: at what is alive, which no line tells. */
     private static final long LOOK_MS = 200;
+
     static final List<String> POOLS = List.of("one", "two"), ZONES = List.of("a", "b", "c");
 
     /**
@@ -46,7 +47,8 @@
      * @param agrees whether they are a fleet; else each decides alone
      * @param group the table of a group of servers, called as the one pool is; empty for none
      */
-    record Shape(int processes, int voters, long leaseMs, long effectMs, List<String> pools, boolean agrees, String group) {
+    record Shape(
+            int processes, int voters, long leaseMs, long effectMs, List<String> pools, boolean agrees, String group) {
         /** Without a group. */
         Shape(int processes, int voters, long leaseMs, long effectMs, List<String> pools, boolean agrees) {
             this(processes, voters, leaseMs, effectMs, pools, agrees, "");
@@ -73,10 +75,12 @@
         private Path config, operator;
         /** How it reaches each other voter. */
         private final Map<String, InetSocketAddress> ways = new TreeMap<>();
+
         private volatile NodeProcess process;
         private volatile Accords.Run run;
         /** All of it, in order. */
         final List<Accords.Run> runs = new CopyOnWriteArrayList<>();
+
         private volatile boolean in = true;
         /** Spans in which it was dead or stopped; the last may be open. */
         private final List<long[]> away = new ArrayList<>();
@@ -146,7 +150,8 @@
             boolean isOver = isConnected(this) && woken - stoppedAt > shape.leaseMs * 1_000_000;
             process.signal("CONT");
             if (isOver) {
-                // Until it has said so its last word is that it has a session, and whoever looks if all is well would believe it.
+                // Until it has said so its last word is that it has a session, and whoever looks if all is well would
+                // believe it.
                 await(this + " knows that its session is over", () -> hasLost(this, stoppedAt));
             }
             back();
@@ -165,7 +170,9 @@
         /** Fills its heap but for a little, and returns when it is full or was too much for it. */
         void laden() throws Exception {
             Files.createFile(ballast);
-            await(this + " holds its ballast", () -> !isAlive() || said().stream().anyMatch(line -> line.startsWith("ballast of")));
+            await(
+                    this + " holds its ballast",
+                    () -> !isAlive() || said().stream().anyMatch(line -> line.startsWith("ballast of")));
         }
 
         /** Its heap has room again; a process that ended of it is started anew. */
@@ -239,6 +246,7 @@
     final List<Member> members = new ArrayList<>();
     /** What was said up to the last look; what is asked below is answered by it. */
     private volatile List<Accords.Said> seen = List.of();
+
     private final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread made = new Thread(work, "together");
         made.setDaemon(true);
@@ -257,8 +265,19 @@
         for (Member member : members) {
             String json = member.name + "-%s.json";
             for (String pool : shape.pools) {
-                yard.write(String.format(json, pool), RigConfig.json(member.name, text(member.address), member.number, 512,
-                    shape.processes, yard.through(links, member.name, pool), yard.counter, plans, ZONES, member.zone));
+                yard.write(
+                        String.format(json, pool),
+                        RigConfig.json(
+                                member.name,
+                                text(member.address),
+                                member.number,
+                                512,
+                                shape.processes,
+                                yard.through(links, member.name, pool),
+                                yard.counter,
+                                plans,
+                                ZONES,
+                                member.zone));
             }
             member.config = yard.folder.resolve(String.format(json, shape.pools.get(0)));
             member.operator = yard.write(member.name + ".toml", operator(member, json, shape.group));
@@ -284,28 +303,40 @@
 
     private String operator(Member member, String json, String group) throws Exception {
         String pools = pools(json, shape.pools);
-        return (shape.agrees ? fleet(member) : "") + group + (group.isEmpty() ? pools
-            : pools.replace("[[pool]]\n", "[[pool]]\ngroup = \"" + shape.pools.get(0) + "\"\n"));
+        return (shape.agrees ? fleet(member) : "")
+                + group
+                + (group.isEmpty()
+                        ? pools
+                        : pools.replace("[[pool]]\n", "[[pool]]\ngroup = \"" + shape.pools.get(0) + "\"\n"));
     }
 
     /** What an operator's file says of some pools; {@code json} is a pool's file, with {@code %s} for its name. */
     static String pools(String json, List<String> pools) {
         StringBuilder file = new StringBuilder();
         for (String pool : pools) {
-            file.append("[[pool]]\nname = \"").append(pool).append("\"\nsettings = \"").append(String.format(json, pool))
-                .append("\"\n[[route]]\npool = \"").append(pool).append("\"\nhost = \"").append(pool)
-                .append(".example.org\"\n");
+            file.append("[[pool]]\nname = \"")
+                    .append(pool)
+                    .append("\"\nsettings = \"")
+                    .append(String.format(json, pool))
+                    .append("\"\n[[route]]\npool = \"")
+                    .append(pool)
+                    .append("\"\nhost = \"")
+                    .append(pool)
+                    .append(".example.org\"\n");
         }
         return file.toString();
     }
 
     private String fleet(Member member) throws Exception {
         StringBuilder file = new StringBuilder("[fleet]\nname = \"" + member.name + "\"\nzone = \"" + member.zone
-            + "\"\nregion = \"" + (member.zone.equals("c") ? "west" : "east") + "\"\nlease-ms = " + shape.leaseMs
-            + "\neffect-ms = " + shape.effectMs + "\n");
+                + "\"\nregion = \"" + (member.zone.equals("c") ? "west" : "east") + "\"\nlease-ms = " + shape.leaseMs
+                + "\neffect-ms = " + shape.effectMs + "\n");
         if (member.votes) {
-            file.append("listen = \"").append(text(member.listen.address())).append("\"\nstate = \"").append(member.state)
-                .append("\"\n");
+            file.append("listen = \"")
+                    .append(text(member.listen.address()))
+                    .append("\"\nstate = \"")
+                    .append(member.state)
+                    .append("\"\n");
         }
         for (Member voter : members) {
             if (voter.votes) {
@@ -314,8 +345,11 @@
                     address = links.open(member.name, voter.name, voter.listen.address());
                     member.ways.put(voter.name, address);
                 }
-                file.append("[[fleet.voter]]\nname = \"").append(voter.name).append("\"\naddress = \"").append(text(address))
-                    .append("\"\n");
+                file.append("[[fleet.voter]]\nname = \"")
+                        .append(voter.name)
+                        .append("\"\naddress = \"")
+                        .append(text(address))
+                        .append("\"\n");
             }
         }
         return file.toString();
@@ -383,8 +417,10 @@
 
     /** What a run said of one kind, in order. */
     <T extends AccordEvent> List<T> said(Accords.Run by, Class<T> kind) {
-        return seen.stream().filter(one -> one.by() == by && kind.isInstance(one.event()))
-            .map(one -> kind.cast(one.event())).toList();
+        return seen.stream()
+                .filter(one -> one.by() == by && kind.isInstance(one.event()))
+                .map(one -> kind.cast(one.event()))
+                .toList();
     }
 
     private static <T> T last(List<T> all) {
@@ -406,8 +442,10 @@
 
     /** The process that leads, by the newest word of those that run; null for none. */
     Member leader() {
-        return members.stream().filter(member -> member.isAlive() && leads(member) != null)
-            .max(Comparator.comparingLong(member -> leads(member).at())).orElse(null);
+        return members.stream()
+                .filter(member -> member.isAlive() && leads(member) != null)
+                .max(Comparator.comparingLong(member -> leads(member).at()))
+                .orElse(null);
     }
 
     private AccordEvent.Leads leads(Member member) {
@@ -419,16 +457,24 @@
     /** What a process that runs holds of a resource, by its word; null for nothing. */
     AccordEvent.Holds holds(Member member, String resource) {
         AccordEvent.Holds holds = last(said(member.run, AccordEvent.Holds.class).stream()
-            .filter(one -> one.resource().equals(resource)).toList());
-        return !member.isAlive() || holds == null || said(member.run, AccordEvent.Yields.class).stream()
-            .anyMatch(one -> one.resource().equals(resource) && one.fence() == holds.fence() && one.at() >= holds.at())
-            ? null : holds;
+                .filter(one -> one.resource().equals(resource))
+                .toList());
+        return !member.isAlive()
+                        || holds == null
+                        || said(member.run, AccordEvent.Yields.class).stream()
+                                .anyMatch(one -> one.resource().equals(resource)
+                                        && one.fence() == holds.fence()
+                                        && one.at() >= holds.at())
+                ? null
+                : holds;
     }
 
     /** Who holds a resource under the greatest fence; null for nobody. */
     Member holder(String resource) {
-        return members.stream().filter(member -> holds(member, resource) != null)
-            .max(Comparator.comparingLong(member -> holds(member, resource).fence())).orElse(null);
+        return members.stream()
+                .filter(member -> holds(member, resource) != null)
+                .max(Comparator.comparingLong(member -> holds(member, resource).fence()))
+                .orElse(null);
     }
 
     /** The last plan of each pool of a run. */
@@ -448,8 +494,11 @@
 
     /** The greatest number of a plan that any process has said; 0 for none. */
     long newest() {
-        return seen.stream().filter(one -> one.event() instanceof AccordEvent.Planned)
-            .mapToLong(one -> ((AccordEvent.Planned) one.event()).number()).max().orElse(0);
+        return seen.stream()
+                .filter(one -> one.event() instanceof AccordEvent.Planned)
+                .mapToLong(one -> ((AccordEvent.Planned) one.event()).number())
+                .max()
+                .orElse(0);
     }
 
     /** Whether all run, have sessions, and go by the newest plan, made by who holds the planner's part now. */
@@ -460,8 +509,13 @@
     /** The same of those that are there. */
     boolean isWell(String planner, List<Member> some) {
         Member holder = holder(planner);
-        return holder != null && leader() != null && some.stream().allMatch(this::isConnected)
-            && go(some, plan -> plan.number() == newest() && plan.fence() == holds(holder, planner).fence());
+        return holder != null
+                && leader() != null
+                && some.stream().allMatch(this::isConnected)
+                && go(
+                        some,
+                        plan -> plan.number() == newest()
+                                && plan.fence() == holds(holder, planner).fence());
     }
 
     /** Clients of the fleet: each customer's requests go to three of the nodes, those that are in. */
--- a/src/main/java/rushpin/rig/UseScenario.java
+++ b/src/main/java/rushpin/rig/UseScenario.java
@@ -47,7 +47,8 @@
         List<CostScenario.Candidate> all = new ArrayList<>();
         try (Yard yard = new Yard()) {
             Discovery discovery = yard.pool("one", 4, CostScenario.WORK, options.seed());
-            Path config = yard.write("node.json", RigConfig.json(1024, SET, discovery, yard.counter, List.of(CostScenario.PLAN)));
+            Path config = yard.write(
+                    "node.json", RigConfig.json(1024, SET, discovery, yard.counter, List.of(CostScenario.PLAN)));
             try {
                 add(all, yard, config, options, "neither", "", "");
                 add(all, yard, config, options, "record", "[process]\nstate = \"state\"\n", "");
@@ -60,13 +61,21 @@
         return report;
     }
 
-    private static void add(List<CostScenario.Candidate> all, Yard yard, Path config, Options options, String name,
-                            String process, String pool) throws Exception {
-        Path file = yard.write(name + ".toml", process + "[[pool]]\nname = \"one\"\nsettings = \"platform\"\n" + pool
-            + "[[route]]\npool = \"one\"\n");
+    private static void add(
+            List<CostScenario.Candidate> all,
+            Yard yard,
+            Path config,
+            Options options,
+            String name,
+            String process,
+            String pool)
+            throws Exception {
+        Path file = yard.write(
+                name + ".toml",
+                process + "[[pool]]\nname = \"one\"\nsettings = \"platform\"\n" + pool + "[[route]]\npool = \"one\"\n");
         NodeProcess node = NodeProcess.serve(yard.folder, config, file);
         Load.Group group = new Load.Group("one", "app.svc", "/api?slot=1", 0.35, 200, "bulk", 2_000, 200, false);
-        all.add(new CostScenario.Candidate(name, node, new Load(yard.loop(), group, new Shared(node.address()),
-            yard.records, options.seed())));
+        all.add(new CostScenario.Candidate(
+                name, node, new Load(yard.loop(), group, new Shared(node.address()), yard.records, options.seed())));
     }
 }
--- a/src/main/java/rushpin/rig/XdsScenario.java
+++ b/src/main/java/rushpin/rig/XdsScenario.java
@@ -52,12 +52,33 @@
     @Override
     public Report play(Options options) throws Exception {
         Report report = new Report(name(), options.seed());
-        report.row("form", "stretch", "changes", "tries", "served", "refused", "failed", "no answer", "not served %", "p50 ms",
-            "p99 ms", "push to last new send ms, p50", "p99", "most", "refusals of updates");
+        report.row(
+                "form",
+                "stretch",
+                "changes",
+                "tries",
+                "served",
+                "refused",
+                "failed",
+                "no answer",
+                "not served %",
+                "p50 ms",
+                "p99 ms",
+                "push to last new send ms, p50",
+                "p99",
+                "most",
+                "refusals of updates");
         for (String form : List.of("delta", "sotw")) {
             new Play(options, form, report).run();
         }
-        report.row("form", "endpoints", "ready after ms", "resident MiB", "CPU ms a change", "bytes a change", "ack ms, median");
+        report.row(
+                "form",
+                "endpoints",
+                "ready after ms",
+                "resident MiB",
+                "CPU ms a change",
+                "bytes a change",
+                "ack ms, median");
         for (int size : options.isShort() ? List.of(5_000) : List.of(100, 1_000, 5_000)) {
             size(options, "delta", size, report);
         }
@@ -65,28 +86,44 @@
     }
 
     static Cluster cluster() {
-        return Cluster.newBuilder().setName(POOL).setType(Cluster.DiscoveryType.EDS).setEdsClusterConfig(
-            Cluster.EdsClusterConfig.newBuilder().setEdsConfig(ConfigSource.newBuilder().setAds(
-                AggregatedConfigSource.getDefaultInstance()))).setConnectTimeout(Duration.newBuilder().setNanos(250_000_000)).build();
+        return Cluster.newBuilder()
+                .setName(POOL)
+                .setType(Cluster.DiscoveryType.EDS)
+                .setEdsClusterConfig(Cluster.EdsClusterConfig.newBuilder()
+                        .setEdsConfig(ConfigSource.newBuilder().setAds(AggregatedConfigSource.getDefaultInstance())))
+                .setConnectTimeout(Duration.newBuilder().setNanos(250_000_000))
+                .build();
     }
 
     static LbEndpoint endpoint(String id, String host, int port, HealthStatus health) {
         // Warm for long: what comes back after a slip of the list was not started anew.
-        Struct said = Struct.newBuilder().putFields("id", Value.newBuilder().setStringValue(id).build())
-            .putFields("started_ms", Value.newBuilder().setNumberValue(0).build()).build();
-        return LbEndpoint.newBuilder().setHealthStatus(health).setMetadata(Metadata.newBuilder().putFilterMetadata("rushpin", said))
-            .setEndpoint(Endpoint.newBuilder().setAddress(Address.newBuilder().setSocketAddress(SocketAddress.newBuilder()
-                .setAddress(host).setPortValue(port)))).build();
+        Struct said = Struct.newBuilder()
+                .putFields("id", Value.newBuilder().setStringValue(id).build())
+                .putFields("started_ms", Value.newBuilder().setNumberValue(0).build())
+                .build();
+        return LbEndpoint.newBuilder()
+                .setHealthStatus(health)
+                .setMetadata(Metadata.newBuilder().putFilterMetadata("rushpin", said))
+                .setEndpoint(Endpoint.newBuilder()
+                        .setAddress(Address.newBuilder()
+                                .setSocketAddress(SocketAddress.newBuilder()
+                                        .setAddress(host)
+                                        .setPortValue(port))))
+                .build();
     }
 
     static ClusterLoadAssignment assignment(Iterable<LbEndpoint> of) {
-        return ClusterLoadAssignment.newBuilder().setClusterName(POOL).addEndpoints(LocalityLbEndpoints.newBuilder()
-            .setLocality(Locality.newBuilder().setZone("a")).addAllLbEndpoints(of)).build();
+        return ClusterLoadAssignment.newBuilder()
+                .setClusterName(POOL)
+                .addEndpoints(LocalityLbEndpoints.newBuilder()
+                        .setLocality(Locality.newBuilder().setZone("a"))
+                        .addAllLbEndpoints(of))
+                .build();
     }
 
     private static String operator(String form, ManagementServer server) {
-        return "[[pool]]\nname = \"" + POOL + "\"\nsettings = \"platform\"\n\n[pool.xds]\nservers = [\"" + server.address()
-            + "\"]\nform = \"" + form + "\"\n\n[[route]]\npool = \"" + POOL + "\"\n";
+        return "[[pool]]\nname = \"" + POOL + "\"\nsettings = \"platform\"\n\n[pool.xds]\nservers = [\""
+                + server.address() + "\"]\nform = \"" + form + "\"\n\n[[route]]\npool = \"" + POOL + "\"\n";
     }
 
     /** One form, with a node and a load of its own. */
@@ -97,6 +134,7 @@
         private final SplittableRandom random;
         /** What the management server says: health by server; null if it is not named. */
         private final Map<String, HealthStatus> world = new TreeMap<>();
+
         private final Map<String, AppServer> servers = new HashMap<>();
         private final Map<String, Long> toldAt = new HashMap<>();
         private ManagementServer management;
@@ -113,7 +151,8 @@
         void run() throws Exception {
             RigConfig.Plan plan = new RigConfig.Plan("bulk", 100_000, 100_000, 0, 0, 0);
             AppServer.Work work = new AppServer.Work(8, 16, 15_000, 25_000, RigConfig.KEY_WINDOW_MS * 1_000_000);
-            try (Yard yard = new Yard(); ManagementServer server = new ManagementServer()) {
+            try (Yard yard = new Yard();
+                    ManagementServer server = new ManagementServer()) {
                 management = server;
                 records = yard.records;
                 Discovery discovery = yard.pool(POOL, SERVERS, work, options.seed() * 17);
@@ -124,7 +163,8 @@
                 server.set(POOL, cluster());
                 server.set(POOL, assignment(endpoints()));
                 Path config = yard.write("node.json", RigConfig.json(1024, 1, discovery, yard.counter, List.of(plan)));
-                try (NodeProcess node = NodeProcess.serve(yard.folder, config, yard.write("x.toml", operator(form, server)))) {
+                try (NodeProcess node =
+                        NodeProcess.serve(yard.folder, config, yard.write("x.toml", operator(form, server)))) {
                     load(yard, node);
                     report.claim(form + ": the node ends its drain with 0", node.stop() == 0);
                 }
@@ -139,15 +179,20 @@
                 if (health != null) {
                     String address = servers.get(id).address();
                     int colon = address.lastIndexOf(':');
-                    all.add(endpoint(id, address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)), health));
+                    all.add(endpoint(
+                            id, address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)), health));
                 }
             });
             return all;
         }
 
         private void load(Yard yard, NodeProcess node) throws Exception {
-            Load load = new Load(yard.loop(), new Load.Group(POOL, "yard.example.org", "/api?slot=1", 0.35, 50, "bulk", 2_000, 400,
-                false), node.address(), yard.records, options.seed() + 1);
+            Load load = new Load(
+                    yard.loop(),
+                    new Load.Group(POOL, "yard.example.org", "/api?slot=1", 0.35, 50, "bulk", 2_000, 400, false),
+                    node.address(),
+                    yard.records,
+                    options.seed() + 1);
             load.rate(RATE);
             Thread.sleep(options.isShort() ? 1_000 : 5_000);
             load.turn();
@@ -185,7 +230,9 @@
 
         private boolean countReplies() {
             boolean any = false;
-            for (ManagementServer.Reply r = management.replies().poll(); r != null; r = management.replies().poll()) {
+            for (ManagementServer.Reply r = management.replies().poll();
+                    r != null;
+                    r = management.replies().poll()) {
                 refused += r.error() == null ? 0 : 1;
                 any = true;
             }
@@ -206,7 +253,8 @@
             changes++;
             List<String> ids = new ArrayList<>(world.keySet());
             String id = ids.get(random.nextInt(ids.size()));
-            long ready = world.values().stream().filter(HealthStatus.HEALTHY::equals).count();
+            long ready =
+                    world.values().stream().filter(HealthStatus.HEALTHY::equals).count();
             int kind = random.nextInt(20);
             if (kind == 0) {
                 // Nothing at all, for one change's time.
@@ -217,8 +265,12 @@
                 return;
             }
             if (kind <= 2) {
-                management.say("type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment", Map.of(POOL, Any.pack(
-                    assignment(List.of(endpoint("bad", "127.0.0.1", kind == 1 ? 0 : 70_000, HealthStatus.HEALTHY))))));
+                management.say(
+                        "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
+                        Map.of(
+                                POOL,
+                                Any.pack(assignment(List.of(
+                                        endpoint("bad", "127.0.0.1", kind == 1 ? 0 : 70_000, HealthStatus.HEALTHY))))));
                 return;
             }
             if (world.get(id) == HealthStatus.HEALTHY && ready > SERVERS / 2) {
@@ -248,7 +300,9 @@
         private List<Double> lags() {
             List<Double> lags = new ArrayList<>();
             Map<String, List<Records.Attempt>> by = new HashMap<>();
-            records.attempts().forEach(a -> by.computeIfAbsent(a.server(), s -> new ArrayList<>()).add(a));
+            records.attempts()
+                    .forEach(a -> by.computeIfAbsent(a.server(), s -> new ArrayList<>())
+                            .add(a));
             for (Records.Told told : records.told()) {
                 double last = 0;
                 for (Records.Attempt a : by.getOrDefault(told.server(), List.of())) {
@@ -265,11 +319,22 @@
         private void row(String stretch, Load.Stretch of, boolean rough) {
             int tries = of.ok + of.turnedAway + of.failed + of.none;
             List<Double> lags = rough ? lags() : List.of();
-            report.row(form, stretch, rough ? changes : 0, tries, of.ok, of.turnedAway, of.failed, of.none,
-                number(100.0 * (tries - of.ok) / Math.max(1, tries)), number(of.served.getValueAtPercentile(50) / 1e3),
-                number(of.served.getValueAtPercentile(99) / 1e3), rough ? number(lags.get(lags.size() / 2)) : "",
-                rough ? number(lags.get((int) (0.99 * (lags.size() - 1)))) : "", rough ? number(lags.get(lags.size() - 1)) : "",
-                rough ? refused : "");
+            report.row(
+                    form,
+                    stretch,
+                    rough ? changes : 0,
+                    tries,
+                    of.ok,
+                    of.turnedAway,
+                    of.failed,
+                    of.none,
+                    number(100.0 * (tries - of.ok) / Math.max(1, tries)),
+                    number(of.served.getValueAtPercentile(50) / 1e3),
+                    number(of.served.getValueAtPercentile(99) / 1e3),
+                    rough ? number(lags.get(lags.size() / 2)) : "",
+                    rough ? number(lags.get((int) (0.99 * (lags.size() - 1)))) : "",
+                    rough ? number(lags.get(lags.size() - 1)) : "",
+                    rough ? refused : "");
         }
     }
 
@@ -278,16 +343,22 @@
         RigConfig.Plan plan = new RigConfig.Plan("bulk", 100_000, 100_000, 0, 0, 0);
         AppServer.Work work = new AppServer.Work(8, 16, 500, 1_000, RigConfig.KEY_WINDOW_MS * 1_000_000);
         int changes = options.isShort() ? 20 : 200;
-        try (Yard yard = new Yard(); ManagementServer server = new ManagementServer()) {
+        try (Yard yard = new Yard();
+                ManagementServer server = new ManagementServer()) {
             Discovery discovery = yard.pool(POOL, 1, work, options.seed());
             List<LbEndpoint> all = new ArrayList<>();
             for (int i = 0; i < size; i++) {
-                all.add(endpoint("s-" + i, "10." + i / 65_536 + "." + i / 256 % 256 + "." + i % 256, 8_081, HealthStatus.HEALTHY));
+                all.add(endpoint(
+                        "s-" + i,
+                        "10." + i / 65_536 + "." + i / 256 % 256 + "." + i % 256,
+                        8_081,
+                        HealthStatus.HEALTHY));
             }
             server.set(POOL, cluster());
             server.set(POOL, assignment(all));
             Path config = yard.write("node.json", RigConfig.json(1024, 1, discovery, yard.counter, List.of(plan)));
-            try (NodeProcess node = NodeProcess.serve(yard.folder, config, yard.write("x.toml", operator(form, server)))) {
+            try (NodeProcess node =
+                    NodeProcess.serve(yard.folder, config, yard.write("x.toml", operator(form, server)))) {
                 Thread.sleep(options.isShort() ? 1_000 : 2_000);
                 server.replies().clear();
                 List<Double> acks = new ArrayList<>();
@@ -298,7 +369,13 @@
                 double idle = (node.cpu() - before) / (double) (System.nanoTime() - rest);
                 long cpu = node.cpu(), began = System.nanoTime(), bytes = 0;
                 for (int i = 0; i < changes; i++) {
-                    all.set(7, endpoint("s-7", "10.0.0.7", 8_081, i % 2 == 0 ? HealthStatus.DRAINING : HealthStatus.HEALTHY));
+                    all.set(
+                            7,
+                            endpoint(
+                                    "s-7",
+                                    "10.0.0.7",
+                                    8_081,
+                                    i % 2 == 0 ? HealthStatus.DRAINING : HealthStatus.HEALTHY));
                     ClusterLoadAssignment changed = assignment(all);
                     bytes = changed.getSerializedSize();
                     long at = System.nanoTime();
@@ -309,9 +386,17 @@
                     Thread.sleep(20);
                 }
                 acks.sort(null);
-                report.row(form, size, node.readyAfter() / MS, number(node.resident() / 1024.0),
-                    number((node.cpu() - cpu - idle * (System.nanoTime() - began)) / 1e6 / changes), bytes, number(acks.get(acks.size() / 2)));
-                report.claim(size + " endpoints: all changes are taken (" + taken + " of " + changes + ")", taken == changes);
+                report.row(
+                        form,
+                        size,
+                        node.readyAfter() / MS,
+                        number(node.resident() / 1024.0),
+                        number((node.cpu() - cpu - idle * (System.nanoTime() - began)) / 1e6 / changes),
+                        bytes,
+                        number(acks.get(acks.size() / 2)));
+                report.claim(
+                        size + " endpoints: all changes are taken (" + taken + " of " + changes + ")",
+                        taken == changes);
                 report.claim(size + " endpoints: the node lives in its heap", node.isAlive());
             }
         }
--- a/src/main/java/rushpin/rig/Yard.java
+++ b/src/main/java/rushpin/rig/Yard.java
@@ -52,7 +52,8 @@
         List<AppServer> made = new ArrayList<>();
         AppServer.Keys keys = new AppServer.Keys();
         for (int i = 0; i < each * zones.size(); i++) {
-            AppServer server = new AppServer(loop(), name, "s-" + i, zones.get(i / each), work, keys, records, seed + i);
+            AppServer server =
+                    new AppServer(loop(), name, "s-" + i, zones.get(i / each), work, keys, records, seed + i);
             all.add(server.open());
             made.add(server);
             discovery.set(server, "Ready", 0);
--- a/src/main/java/rushpin/rig/ZoneSide.java
+++ b/src/main/java/rushpin/rig/ZoneSide.java
@@ -29,8 +29,9 @@
 final class ZoneSide implements AutoCloseable {
     static final String POOL = "yard", PLANNER = "planner";
     /** One server's work at a time, its line, and what a request takes: 12 requests a second, when it is warm. */
-    private static final AppServer.Work WORK = new AppServer.Work(1, 8, 60_000, 100_000,
-        RigConfig.KEY_WINDOW_MS * 1_000_000);
+    private static final AppServer.Work WORK =
+            new AppServer.Work(1, 8, 60_000, 100_000, RigConfig.KEY_WINDOW_MS * 1_000_000);
+
     private static final int SERVERS = 2, VOTERS = 3, CUSTOMERS = 10;
     private static final long LEASE_MS = 3_000, EFFECT_MS = 1_000;
     /** Requests a second that enter at each process: half of what its zone can do. */
@@ -47,8 +48,13 @@
     /** What was seen in a span. */
     record Seen(int asked, int served, int pushed, int first, int near, int moves) {
         static Seen sum(Seen one, Seen other) {
-            return new Seen(one.asked + other.asked, one.served + other.served, one.pushed + other.pushed,
-                one.first + other.first, one.near + other.near, one.moves + other.moves);
+            return new Seen(
+                    one.asked + other.asked,
+                    one.served + other.served,
+                    one.pushed + other.pushed,
+                    one.first + other.first,
+                    one.near + other.near,
+                    one.moves + other.moves);
         }
     }
 
@@ -62,6 +68,7 @@
     private final List<Zones.Trouble> troubles = new ArrayList<>();
     /** Zones at fault, and since when. */
     private final Map<String, Long> open = new TreeMap<>();
+
     private volatile double rate = RATE;
 
     ZoneSide(String name, boolean agrees, int processes, long seed) throws Exception {
@@ -75,8 +82,23 @@
         yard.servers(POOL).forEach(server -> zones.put(server.id, server.zone));
         fleet = new TogetherFleet(yard, shape, plans, seed);
         for (Member member : fleet.members) {
-            loads.put(member, new Load(yard.loop(), new Load.Group(POOL, POOL + ".example.org", "/api?slot=1", 0.35,
-                CUSTOMERS, member.name, 4_000, 80, false), fleet.front(member), yard.records, seed + member.number));
+            loads.put(
+                    member,
+                    new Load(
+                            yard.loop(),
+                            new Load.Group(
+                                    POOL,
+                                    POOL + ".example.org",
+                                    "/api?slot=1",
+                                    0.35,
+                                    CUSTOMERS,
+                                    member.name,
+                                    4_000,
+                                    80,
+                                    false),
+                            fleet.front(member),
+                            yard.records,
+                            seed + member.number));
         }
     }
 
@@ -116,7 +138,9 @@
     }
 
     private List<AppServer> servers(String zone) {
-        return yard.servers(POOL).stream().filter(server -> server.zone.equals(zone)).toList();
+        return yard.servers(POOL).stream()
+                .filter(server -> server.zone.equals(zone))
+                .toList();
     }
 
     private void begins(String zone, String process) {
@@ -242,13 +266,19 @@
     }
 
     private long inForce(long after, Predicate<Agreed> asked) {
-        long number = agreed().stream().filter(plan -> plan.at() > after && asked.test(plan)).mapToLong(Agreed::number)
-            .findFirst().orElse(Long.MAX_VALUE);
+        long number = agreed().stream()
+                .filter(plan -> plan.at() > after && asked.test(plan))
+                .mapToLong(Agreed::number)
+                .findFirst()
+                .orElse(Long.MAX_VALUE);
         long last = 0;
         for (Member member : fleet.members) {
             if (member.isAlive() && fleet.isConnected(member)) {
-                long at = fleet.said(member.run(), Planned.class).stream().filter(plan -> plan.number() >= number)
-                    .mapToLong(Planned::at).findFirst().orElse(0);
+                long at = fleet.said(member.run(), Planned.class).stream()
+                        .filter(plan -> plan.number() >= number)
+                        .mapToLong(Planned::at)
+                        .findFirst()
+                        .orElse(0);
                 if (at == 0) {
                     return 0;
                 }
@@ -276,11 +306,18 @@
                 near++;
             }
         }
-        int pushed = (int) yard.records.falls().stream().filter(fall -> fall.at() >= from && fall.at() < until).count();
+        int pushed = (int) yard.records.falls().stream()
+                .filter(fall -> fall.at() >= from && fall.at() < until)
+                .count();
         int moves = 0;
         Agreed before = null;
         for (Agreed plan : agreed()) {
-            moves += plan.at() >= from && plan.at() < until && before != null && !parts(plan).equals(parts(before)) ? 1 : 0;
+            moves += plan.at() >= from
+                            && plan.at() < until
+                            && before != null
+                            && !parts(plan).equals(parts(before))
+                    ? 1
+                    : 0;
             before = plan;
         }
         return new Seen(asked, served, pushed, tried.size(), near, moves);
@@ -291,12 +328,18 @@
     }
 
     private String zone(String process) {
-        return fleet.members.stream().filter(member -> member.name.equals(process)).findFirst().orElseThrow().zone;
+        return fleet.members.stream()
+                .filter(member -> member.name.equals(process))
+                .findFirst()
+                .orElseThrow()
+                .zone;
     }
 
     /** In the order in which they reached servers. */
     private List<Attempt> attempts() {
-        return yard.records.attempts().stream().sorted(Comparator.comparingLong(Attempt::first)).toList();
+        return yard.records.attempts().stream()
+                .sorted(Comparator.comparingLong(Attempt::first))
+                .toList();
     }
 
     /** What the rules of plans find; after the end. */
@@ -307,13 +350,25 @@
         List<Zones.Sent> sent = new ArrayList<>();
         for (Attempt one : attempts()) {
             Exchange asked = exchanges.get(one.id());
-            Member member = fleet.members.stream().filter(each -> each.name.equals(asked.plan())).findFirst().orElseThrow();
-            Accords.Run by = member.runs.stream().filter(run -> run.endedAt() > one.first() - OUT).findFirst().orElseThrow();
-            sent.add(new Zones.Sent(by, POOL, member.zone, POOL + "." + asked.kind(), zones.get(one.server()), one.first(),
-                tried.add(one.id())));
+            Member member = fleet.members.stream()
+                    .filter(each -> each.name.equals(asked.plan()))
+                    .findFirst()
+                    .orElseThrow();
+            Accords.Run by = member.runs.stream()
+                    .filter(run -> run.endedAt() > one.first() - OUT)
+                    .findFirst()
+                    .orElseThrow();
+            sent.add(new Zones.Sent(
+                    by,
+                    POOL,
+                    member.zone,
+                    POOL + "." + asked.kind(),
+                    zones.get(one.server()),
+                    one.first(),
+                    tried.add(one.id())));
         }
-        return Zones.judge(new Zones.Bounds(OUT, LAG, LEAVES, ODDS), fleet.accords.said(), sent, troubles,
-            System.nanoTime());
+        return Zones.judge(
+                new Zones.Bounds(OUT, LAG, LEAVES, ODDS), fleet.accords.said(), sent, troubles, System.nanoTime());
     }
 
     /** What the rules of what is decided in common find; after the end. */
--- a/src/main/java/rushpin/rig/ZonesScenario.java
+++ b/src/main/java/rushpin/rig/ZonesScenario.java
@@ -28,11 +28,17 @@
  * of events; shares and seconds are figures.
  */
 final class ZonesScenario implements Scenario {
-    private static final long CALM_MS = 10_000, CALM_SHORT_MS = 2_000, FAULT_MS = 10_000, FAULT_SHORT_MS = 3_000,
-        AFTER_MS = 60_000, AFTER_SHORT_MS = 2_000, FLAP_MS = 3_000;
+    private static final long CALM_MS = 10_000,
+            CALM_SHORT_MS = 2_000,
+            FAULT_MS = 10_000,
+            FAULT_SHORT_MS = 3_000,
+            AFTER_MS = 60_000,
+            AFTER_SHORT_MS = 2_000,
+            FLAP_MS = 3_000;
     private static final int SEEDS = 3, FLAPS = 4, PROCESSES = 6;
     /** Thousandths: a zone that is left gets no more of what enters there than looks, one that stands gets most of it. */
     private static final int LEFT = 50, STANDS = 900;
+
     private static final double SLOW = 20, FLOOD = 3;
     private static final List<String> ZONES = TogetherFleet.ZONES;
 
@@ -62,8 +68,7 @@
     }
 
     /** A fault as it was played; {@code planned} is when all went by a plan for it, 0 for not. */
-    private record Played(Fault fault, long from, long ended, long until, long planned) {
-    }
+    private record Played(Fault fault, long from, long ended, long until, long planned) {}
 
     /** Nothing of a class that enters in a zone goes to its servers but looks; empty for all classes. */
     private static Predicate<Agreed> left(String zone, String className) {
@@ -88,8 +93,16 @@
     @Override
     public Report play(Options options) throws Exception {
         Report report = new Report(name(), options.seed());
-        report.row("seed", "fault", "way", "asked", "served %", "near %", "cold pushed over", "plan at all after s",
-            "moves");
+        report.row(
+                "seed",
+                "fault",
+                "way",
+                "asked",
+                "served %",
+                "near %",
+                "cold pushed over",
+                "plan at all after s",
+                "moves");
         ExecutorService threads = Executors.newCachedThreadPool();
         try {
             for (int i = 0; i < (options.isShort() ? 1 : SEEDS); i++) {
@@ -150,35 +163,57 @@
         }
 
         private void script() throws Exception {
-            fault(new Fault("calm", side -> { }, side -> { }));
+            fault(new Fault("calm", side -> {}, side -> {}));
             List<String> zones = new ArrayList<>(ZONES);
             Collections.shuffle(zones, new Random(seed));
             String one = zones.get(0), two = zones.get(1), three = zones.get(2);
             List<Fault> faults = new ArrayList<>(List.of(
-                // What one tells of its own zone has as many attempts behind it as what the other there tells.
-                new Fault("one edge of " + two + " reports failures of " + two + " and " + three,
-                    side -> lies(side, two, three, Way.RESET), side -> lies(side, two, three, Way.THROUGH))
-                    .keeps(stands(one).and(stands(two)).and(stands(three))),
-                new Fault("zone " + one + " dies, comes back cold", side -> side.dies(one), side -> side.returns(one, true))
-                    .leaves(left(one, "")).keeps(stands(two).and(stands(three)))));
+                    // What one tells of its own zone has as many attempts behind it as what the other there tells.
+                    new Fault(
+                                    "one edge of " + two + " reports failures of " + two + " and " + three,
+                                    side -> lies(side, two, three, Way.RESET),
+                                    side -> lies(side, two, three, Way.THROUGH))
+                            .keeps(stands(one).and(stands(two)).and(stands(three))),
+                    new Fault(
+                                    "zone " + one + " dies, comes back cold",
+                                    side -> side.dies(one),
+                                    side -> side.returns(one, true))
+                            .leaves(left(one, ""))
+                            .keeps(stands(two).and(stands(three)))));
             if (!isShort) {
                 faults.addAll(List.of(
-                    new Fault("servers of " + two + " slow", side -> side.slower(two, SLOW), side -> side.slower(two, 1))
-                        .leaves(stands(two).negate()).keeps(stands(one).and(stands(three))),
-                    new Fault("servers of " + three + " fail orders", side -> side.fails(three, "order"),
-                        side -> side.fails(three, null)).leaves(left(three, "yard.order").and(stands(three))),
-                    new Fault("zone " + two + " cut off from zone " + three, side -> cut(side, two, three, Way.SILENT),
-                        side -> cut(side, two, three, Way.THROUGH)).keeps(stands(one).and(stands(two)).and(stands(three))),
-                    new Fault("edges of " + two + " cut off from its servers", side -> cut(side, two, two, Way.SILENT),
-                        side -> cut(side, two, two, Way.THROUGH)).leaves(left(two, ""))
-                        .keeps(stands(one).and(stands(three))),
-                    new Fault("edges of " + three + " sick", side -> sick(side, three, Way.delay(300, 900)),
-                        side -> sick(side, three, Way.THROUGH)).keeps(stands(one).and(stands(two))),
-                    planner("killed", two, Member::kill, Member::start),
-                    stopped(three),
-                    planner("cut off", two, null, null),
-                    new Fault("too little everywhere", side -> side.load(FLOOD), side -> side.load(1)),
-                    new Fault("zone " + three + " flaps", side -> flaps(side, three), side -> { })));
+                        new Fault(
+                                        "servers of " + two + " slow",
+                                        side -> side.slower(two, SLOW),
+                                        side -> side.slower(two, 1))
+                                .leaves(stands(two).negate())
+                                .keeps(stands(one).and(stands(three))),
+                        new Fault(
+                                        "servers of " + three + " fail orders",
+                                        side -> side.fails(three, "order"),
+                                        side -> side.fails(three, null))
+                                .leaves(left(three, "yard.order").and(stands(three))),
+                        new Fault(
+                                        "zone " + two + " cut off from zone " + three,
+                                        side -> cut(side, two, three, Way.SILENT),
+                                        side -> cut(side, two, three, Way.THROUGH))
+                                .keeps(stands(one).and(stands(two)).and(stands(three))),
+                        new Fault(
+                                        "edges of " + two + " cut off from its servers",
+                                        side -> cut(side, two, two, Way.SILENT),
+                                        side -> cut(side, two, two, Way.THROUGH))
+                                .leaves(left(two, ""))
+                                .keeps(stands(one).and(stands(three))),
+                        new Fault(
+                                        "edges of " + three + " sick",
+                                        side -> sick(side, three, Way.delay(300, 900)),
+                                        side -> sick(side, three, Way.THROUGH))
+                                .keeps(stands(one).and(stands(two))),
+                        planner("killed", two, Member::kill, Member::start),
+                        stopped(three),
+                        planner("cut off", two, null, null),
+                        new Fault("too little everywhere", side -> side.load(FLOOD), side -> side.load(1)),
+                        new Fault("zone " + three + " flaps", side -> flaps(side, three), side -> {})));
                 Collections.shuffle(faults.subList(1, faults.size() - 1), new Random(seed));
             }
             for (Fault fault : faults) {
@@ -216,35 +251,42 @@
         /** A zone dies, and while traffic moves the planner is away; both are back at the end. */
         private Fault planner(String how, String zone, TogetherFleet.Step begin, TogetherFleet.Step end) {
             CompletableFuture<Member> of = new CompletableFuture<>();
-            return new Fault("zone " + zone + " dies, planner " + how, side -> {
-                Member planner = side.planner();
-                side.dies(zone);
-                Thread.sleep(1_000);
-                if (begin == null) {
-                    side.fleet.apart(planner, Way.SILENT);
-                } else {
-                    side.away(planner, true);
-                    begin.on(planner);
-                }
-                if (side.agrees()) {
-                    of.complete(planner);
-                }
-            }, side -> {
-                Member planner = side.agrees() ? of.get() : side.planner();
-                if (end == null) {
-                    side.fleet.links.heal();
-                } else {
-                    end.on(planner);
-                    side.away(planner, false);
-                }
-                side.returns(zone, false);
-            }).leaves(left(zone, ""));
+            return new Fault(
+                            "zone " + zone + " dies, planner " + how,
+                            side -> {
+                                Member planner = side.planner();
+                                side.dies(zone);
+                                Thread.sleep(1_000);
+                                if (begin == null) {
+                                    side.fleet.apart(planner, Way.SILENT);
+                                } else {
+                                    side.away(planner, true);
+                                    begin.on(planner);
+                                }
+                                if (side.agrees()) {
+                                    of.complete(planner);
+                                }
+                            },
+                            side -> {
+                                Member planner = side.agrees() ? of.get() : side.planner();
+                                if (end == null) {
+                                    side.fleet.links.heal();
+                                } else {
+                                    end.on(planner);
+                                    side.away(planner, false);
+                                }
+                                side.returns(zone, false);
+                            })
+                    .leaves(left(zone, ""));
         }
 
         private Fault stopped(String zone) {
             Map<Member, Long> since = new ConcurrentHashMap<>();
-            return planner("stopped", zone, member -> since.put(member, member.stop()),
-                member -> member.wake(since.get(member)));
+            return planner(
+                    "stopped",
+                    zone,
+                    member -> since.put(member, member.stop()),
+                    member -> member.wake(since.get(member)));
         }
 
         /** Plays a fault on all sides and says what was seen from its beginning until a while after its end. */
@@ -255,8 +297,9 @@
             all(fault.begin::on);
             Thread.sleep(calm ? isShort ? CALM_SHORT_MS : CALM_MS : isShort ? FAULT_SHORT_MS : FAULT_MS);
             if (fault.left != null) {
-                all(side -> planned[0] = side.agrees() ? awaited(fault, () -> side.await("a plan for it", from, fault.left))
-                    : planned[0]);
+                all(side -> planned[0] = side.agrees()
+                        ? awaited(fault, () -> side.await("a plan for it", from, fault.left))
+                        : planned[0]);
             }
             all(fault.end::on);
             long ended = System.nanoTime();
@@ -266,8 +309,13 @@
             if (!isShort && !calm) {
                 all(side -> {
                     if (side.agrees()) {
-                        awaited(fault, () -> side.awaitNow("all near again", ZONES.stream().map(ZonesScenario::stands)
-                            .reduce(any -> true, Predicate::and)));
+                        awaited(
+                                fault,
+                                () -> side.awaitNow(
+                                        "all near again",
+                                        ZONES.stream()
+                                                .map(ZonesScenario::stands)
+                                                .reduce(any -> true, Predicate::and)));
                     }
                 });
             }
@@ -277,14 +325,26 @@
         private void tell(Played one, ZoneSide side) {
             Seen seen = side.seen(one.from, one.until);
             String after = side.agrees() && one.planned > 0
-                ? String.format(Locale.ROOT, "%.1f", (one.planned - one.from) / 1e9) : "-";
-            report.row(seed, one.fault.what, side.name, seen.asked(), percent(seen.served(), seen.asked()),
-                percent(seen.near(), seen.first()), seen.pushed(), after, side.agrees() ? seen.moves() : "-");
+                    ? String.format(Locale.ROOT, "%.1f", (one.planned - one.from) / 1e9)
+                    : "-";
+            report.row(
+                    seed,
+                    one.fault.what,
+                    side.name,
+                    seen.asked(),
+                    percent(seen.served(), seen.asked()),
+                    percent(seen.near(), seen.first()),
+                    seen.pushed(),
+                    after,
+                    side.agrees() ? seen.moves() : "-");
             if (side.agrees()) {
-                List<Agreed> others = side.agreed().stream().filter(plan -> plan.at() > one.from && plan.at() < one.ended
-                    && !one.fault.stands.test(plan)).toList();
-                report.claim("seed " + seed + ", " + one.fault.what + ": no plan leaves what is well"
-                    + (others.isEmpty() ? "" : ": " + others.get(0)), others.isEmpty());
+                List<Agreed> others = side.agreed().stream()
+                        .filter(plan -> plan.at() > one.from && plan.at() < one.ended && !one.fault.stands.test(plan))
+                        .toList();
+                report.claim(
+                        "seed " + seed + ", " + one.fault.what + ": no plan leaves what is well"
+                                + (others.isEmpty() ? "" : ": " + others.get(0)),
+                        others.isEmpty());
             }
         }
 
@@ -305,8 +365,9 @@
         private void judge(ZoneSide side) {
             if (!side.agrees()) {
                 // Whether they push over cold servers is a figure; the rest they have to keep as all others.
-                report.add(side.rules().stream().filter(breach -> breach.rule() != Judge.Rule.COLD_NOT_PUSHED_OVER)
-                    .toList());
+                report.add(side.rules().stream()
+                        .filter(breach -> breach.rule() != Judge.Rule.COLD_NOT_PUSHED_OVER)
+                        .toList());
                 return;
             }
             report.claims("seed " + seed + ": ", Zones.Rule.values(), side.judged());
--- a/src/main/java/rushpin/route/Reading.java
+++ b/src/main/java/rushpin/route/Reading.java
@@ -55,8 +55,9 @@
                 throw new Ambiguous("the target names no host");
             }
             authority = named;
-            local = slash < target.length() && target.charAt(slash) == '/' ? target.substring(slash)
-                : "/" + target.substring(slash);
+            local = slash < target.length() && target.charAt(slash) == '/'
+                    ? target.substring(slash)
+                    : "/" + target.substring(slash);
         }
         int query = local.indexOf('?');
         String path = query < 0 ? local : local.substring(0, query);
@@ -90,7 +91,7 @@
                 throw new Ambiguous("the path has an empty segment, '//'");
             } else if (!isAlphanumeric(c) && PATH.indexOf(c) < 0) {
                 throw new Ambiguous("the path holds '" + (c > ' ' && c <= '~' ? c : '?') + "'; letters, digits, "
-                    + PATH.replace("/", "") + " and escapes are allowed");
+                        + PATH.replace("/", "") + " and escapes are allowed");
             }
         }
         while (segment <= path.length()) {
@@ -131,8 +132,9 @@
     }
 
     private static int portColon(String authority) {
-        return authority.startsWith("[") ? authority.indexOf(':', Math.max(0, authority.indexOf(']')))
-            : authority.indexOf(':');
+        return authority.startsWith("[")
+                ? authority.indexOf(':', Math.max(0, authority.indexOf(']')))
+                : authority.indexOf(':');
     }
 
     private static String portOf(String authority) throws Ambiguous {
@@ -155,8 +157,8 @@
         String host = (colon < 0 ? authority : authority.substring(0, colon)).toLowerCase(Locale.ROOT);
         if (host.startsWith("[")) {
             String inner = host.endsWith("]") ? host.substring(1, host.length() - 1) : "";
-            if (inner.isEmpty() || !inner.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128 || c == ':'
-                || c == '.')) {
+            if (inner.isEmpty()
+                    || !inner.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128 || c == ':' || c == '.')) {
                 throw new Ambiguous("the host is no address in brackets");
             }
             return host;
@@ -180,8 +182,10 @@
             return;
         }
         for (String label : host.split("\\.", -1)) {
-            if (label.isEmpty() || label.length() > MOST_LABEL || !label.chars().allMatch(c -> c >= 'a' && c <= 'z'
-                || c >= '0' && c <= '9' || c == '-' || c == '_')) {
+            if (label.isEmpty()
+                    || label.length() > MOST_LABEL
+                    || !label.chars()
+                            .allMatch(c -> c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' || c == '_')) {
                 throw new Ambiguous("the host is not made of labels of letters, digits, '-' and '_'");
             }
         }
--- a/src/main/java/rushpin/route/Route.java
+++ b/src/main/java/rushpin/route/Route.java
@@ -22,12 +22,21 @@
  * @param requestClass the class, as {@code X-Qos} names it
  * @param headers values by lower-case name, all of which must be there just so
  */
-public record Route(String pool, String host, String path, String prefix, String method, String requestClass,
-                    Map<String, String> headers) {
+public record Route(
+        String pool,
+        String host,
+        String path,
+        String prefix,
+        String method,
+        String requestClass,
+        Map<String, String> headers) {
     /** Most specific first. */
     static final Comparator<Route> ORDER = Comparator.comparingInt(Route::hostRank)
-        .thenComparingInt(Route::pathRank).thenComparingInt(r -> r.method == null ? 0 : 1)
-        .thenComparingInt(r -> r.requestClass == null ? 0 : 1).thenComparingInt(r -> r.headers.size()).reversed();
+            .thenComparingInt(Route::pathRank)
+            .thenComparingInt(r -> r.method == null ? 0 : 1)
+            .thenComparingInt(r -> r.requestClass == null ? 0 : 1)
+            .thenComparingInt(r -> r.headers.size())
+            .reversed();
 
     /** Headers are kept under lower-case names, in their order. */
     public Route {
@@ -49,28 +58,41 @@
     }
 
     private boolean matchesHost(String name) {
-        return host == null || (isSuffix() ? name.length() >= host.length()
-            && name.endsWith(host.substring(1)) : host.equals(name));
+        return host == null
+                || (isSuffix()
+                        ? name.length() >= host.length() && name.endsWith(host.substring(1))
+                        : host.equals(name));
     }
 
     private boolean matchesPath(String of) {
-        return path != null ? path.equals(of) : prefix == null || prefix.equals("/") || of.startsWith(prefix)
-            && (of.length() == prefix.length() || of.charAt(prefix.length()) == '/');
+        return path != null
+                ? path.equals(of)
+                : prefix == null
+                        || prefix.equals("/")
+                        || of.startsWith(prefix)
+                                && (of.length() == prefix.length() || of.charAt(prefix.length()) == '/');
     }
 
     /** Whether a request belongs here; {@code header} tells a header's value by lower-case name, null for none. */
     boolean matches(Reading reading, String asked, String named, UnaryOperator<String> header) {
-        return matchesHost(reading.host()) && matchesPath(reading.path())
-            && (method == null || method.equals(asked)) && (requestClass == null || requestClass.equals(named))
-            && (headers.isEmpty()
-                || headers.entrySet().stream().allMatch(e -> e.getValue().equals(header.apply(e.getKey()))));
+        return matchesHost(reading.host())
+                && matchesPath(reading.path())
+                && (method == null || method.equals(asked))
+                && (requestClass == null || requestClass.equals(named))
+                && (headers.isEmpty()
+                        || headers.entrySet().stream()
+                                .allMatch(e -> e.getValue().equals(header.apply(e.getKey()))));
     }
 
     /** Whether neither is the more specific and some request matches both. */
     boolean ties(Route other) {
-        return ORDER.compare(this, other) == 0 && Objects.equals(host, other.host) && Objects.equals(path, other.path)
-            && Objects.equals(prefix, other.prefix) && Objects.equals(method, other.method)
-            && Objects.equals(requestClass, other.requestClass) && headers.entrySet().stream()
-                .allMatch(e -> e.getValue().equals(other.headers.getOrDefault(e.getKey(), e.getValue())));
+        return ORDER.compare(this, other) == 0
+                && Objects.equals(host, other.host)
+                && Objects.equals(path, other.path)
+                && Objects.equals(prefix, other.prefix)
+                && Objects.equals(method, other.method)
+                && Objects.equals(requestClass, other.requestClass)
+                && headers.entrySet().stream()
+                        .allMatch(e -> e.getValue().equals(other.headers.getOrDefault(e.getKey(), e.getValue())));
     }
 }
--- a/src/main/java/rushpin/route/RouteTable.java
+++ b/src/main/java/rushpin/route/RouteTable.java
@@ -9,8 +9,7 @@
 /** All routes, in an order of their own: the order in the operator's file means nothing. No I/O. */
 public final class RouteTable {
     /** Two routes, by their places in the list they came in, between which nothing decides. */
-    public record Tie(int first, int second) {
-    }
+    public record Tie(int first, int second) {}
 
     private final List<Route> routes;
     private final Set<String> headers = new TreeSet<>();
--- a/src/main/java/rushpin/study/BuildLoader.java
+++ b/src/main/java/rushpin/study/BuildLoader.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.file.Path;
-import java.util.zip.ZipFile;
 import java.util.zip.ZipEntry;
+import java.util.zip.ZipFile;
 
 /**
  * Links this program's model to the decision module of another build. The module comes from that jar, the model and the judge from
@@ -44,8 +44,9 @@
     private Class<?> define(String name) throws ClassNotFoundException {
         String path = name.replace('.', '/') + ".class";
         ZipEntry entry = jar.getEntry(path);
-        try (InputStream in = !name.startsWith(MODULE) ? getParent().getResourceAsStream(path)
-            : entry == null ? null : jar.getInputStream(entry)) {
+        try (InputStream in = !name.startsWith(MODULE)
+                ? getParent().getResourceAsStream(path)
+                : entry == null ? null : jar.getInputStream(entry)) {
             if (in == null) {
                 throw new ClassNotFoundException(name);
             }
--- a/src/main/java/rushpin/study/Choice.java
+++ b/src/main/java/rushpin/study/Choice.java
@@ -37,7 +37,8 @@
             } else if (part.indexOf('=') > 0) {
                 changed.put(part.substring(0, part.indexOf('=')), part.substring(part.indexOf('=') + 1));
             } else if (!part.equals("as-is")) {
-                throw new Unusable("choice \"" + word + "\": \"" + part + "\" is none of FILE.json, FILE.jar, KEY=VALUE, as-is");
+                throw new Unusable(
+                        "choice \"" + word + "\": \"" + part + "\" is none of FILE.json, FILE.jar, KEY=VALUE, as-is");
             }
         }
         if (file == null) {
@@ -51,7 +52,8 @@
         }
         for (Map.Entry<String, String> each : changed.entrySet()) {
             if (!settings.containsKey(each.getKey())) {
-                throw new Unusable("choice \"" + word + "\": " + file + " has no key " + each.getKey() + " under settings");
+                throw new Unusable(
+                        "choice \"" + word + "\": " + file + " has no key " + each.getKey() + " under settings");
             }
             settings.put(each.getKey(), each.getValue());
         }
--- a/src/main/java/rushpin/study/Columns.java
+++ b/src/main/java/rushpin/study/Columns.java
@@ -5,8 +5,7 @@
 
 /** Rows as lines of a terminal, each column as wide as its widest cell. */
 public final class Columns {
-    private Columns() {
-    }
+    private Columns() {}
 
     /** One line a row; rows may be of different lengths. */
     public static List<String> lines(List<List<String>> rows) {
--- a/src/main/java/rushpin/study/DayFile.java
+++ b/src/main/java/rushpin/study/DayFile.java
@@ -14,8 +14,7 @@
 
 /** A day as a file (TOML 1.0) and as path=value pairs. */
 public final class DayFile {
-    private DayFile() {
-    }
+    private DayFile() {}
 
     /** Reads a file; what its keys mean is the model's to check. */
     public static Map<String, String> read(Path file) throws Unusable {
@@ -30,8 +29,9 @@
     public static Map<String, String> parse(String text, String called) throws Unusable {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new Unusable(called + ", line " + toml.errors().get(0).position().line() + ": this is not TOML: "
-                + toml.errors().get(0).getMessage().replace('\n', ' '));
+            throw new Unusable(
+                    called + ", line " + toml.errors().get(0).position().line() + ": this is not TOML: "
+                            + toml.errors().get(0).getMessage().replace('\n', ' '));
         }
         Map<String, String> pairs = new TreeMap<>();
         flatten("", toml, pairs);
@@ -43,13 +43,18 @@
             Object value = table.get(List.of(key));
             if (value instanceof TomlTable below) {
                 flatten(prefix + key + ".", below, into);
-            } else if (value instanceof TomlArray array && array.toList().stream().anyMatch(TomlTable.class::isInstance)) {
+            } else if (value instanceof TomlArray array
+                    && array.toList().stream().anyMatch(TomlTable.class::isInstance)) {
                 into.put(prefix + key + ".count", String.valueOf(array.size()));
                 for (int i = 0; i < array.size(); i++) {
                     flatten(prefix + key + "." + i + ".", array.getTable(i), into);
                 }
             } else if (value instanceof TomlArray array) {
-                into.put(prefix + key, String.join(",", array.toList().stream().map(String::valueOf).toList()));
+                into.put(
+                        prefix + key,
+                        String.join(
+                                ",",
+                                array.toList().stream().map(String::valueOf).toList()));
             } else {
                 into.put(prefix + key, String.valueOf(value));
             }
@@ -65,11 +70,13 @@
             int point = key.lastIndexOf('.');
             String table = point < 0 ? "" : key.substring(0, point);
             if (!key.equals("trouble.count")) {
-                tables.computeIfAbsent(table, t -> new ArrayList<>()).add(key.substring(point + 1) + " = " + value(value));
+                tables.computeIfAbsent(table, t -> new ArrayList<>())
+                        .add(key.substring(point + 1) + " = " + value(value));
             }
         });
         tables.forEach((table, lines) -> {
-            String head = table.startsWith("trouble.") ? "\n[[trouble]]\n" : table.isEmpty() ? "" : "\n[" + table + "]\n";
+            String head =
+                    table.startsWith("trouble.") ? "\n[[trouble]]\n" : table.isEmpty() ? "" : "\n[" + table + "]\n";
             text.append(head);
             lines.forEach(line -> text.append(line).append('\n'));
         });
--- a/src/main/java/rushpin/study/Reports.java
+++ b/src/main/java/rushpin/study/Reports.java
@@ -21,8 +21,7 @@
 public final class Reports {
     private static final int WIDE = 860, HIGH = 320;
 
-    private Reports() {
-    }
+    private Reports() {}
 
     /** The verdict in words: A, B, or cannot tell. */
     public static String verdict(Comparison of) {
@@ -38,9 +37,15 @@
     }
 
     private static List<String> row(Figure f) {
-        return List.of(f.name(), number(f.a()), number(f.b()), number(f.difference().middle()), number(f.difference().low()),
-            number(f.difference().high()), String.format(Locale.ROOT, "%.2f%%", 100 * f.level()),
-            f.difference().differs() ? (f.difference().low() > 0 ? "B more" : "A more") : "");
+        return List.of(
+                f.name(),
+                number(f.a()),
+                number(f.b()),
+                number(f.difference().middle()),
+                number(f.difference().low()),
+                number(f.difference().high()),
+                String.format(Locale.ROOT, "%.2f%%", 100 * f.level()),
+                f.difference().differs() ? (f.difference().low() > 0 ? "B more" : "A more") : "");
     }
 
     private static final List<String> HEAD = List.of("figure", "A", "B", "B less A", "from", "to", "level", "");
@@ -49,13 +54,15 @@
     public static List<String> table(Comparison of, String a, String b) {
         List<List<String>> rows = new ArrayList<>(List.of(HEAD));
         of.figures().forEach(figure -> rows.add(row(figure)));
-        List<String> lines = new ArrayList<>(List.of("A: " + a, "B: " + b, of.seeds() + " seeds, both choices on each", ""));
+        List<String> lines =
+                new ArrayList<>(List.of("A: " + a, "B: " + b, of.seeds() + " seeds, both choices on each", ""));
         lines.addAll(Columns.lines(rows));
         lines.add("");
         for (boolean ofA : new boolean[] {true, false}) {
             Comparison.Worst worst = of.worst(ofA);
             if (worst != null) {
-                lines.add("worst seed of " + (ofA ? "A" : "B") + ": " + worst.seed() + ", service " + number(worst.service()));
+                lines.add("worst seed of " + (ofA ? "A" : "B") + ": " + worst.seed() + ", service "
+                        + number(worst.service()));
             }
         }
         lines.addAll(of.reasons());
@@ -65,15 +72,25 @@
 
     /** The same for programs. */
     public static String json(Comparison of, String a, String b, Map<String, String> day) {
-        ObjectNode root = new ObjectMapper().createObjectNode().put("a", a).put("b", b).put("seeds", of.seeds())
-            .put("verdict", verdict(of));
+        ObjectNode root = new ObjectMapper()
+                .createObjectNode()
+                .put("a", a)
+                .put("b", b)
+                .put("seeds", of.seeds())
+                .put("verdict", verdict(of));
         ArrayNode reasons = root.putArray("reasons");
         of.reasons().forEach(reasons::add);
         ArrayNode figures = root.putArray("figures");
         for (Figure f : of.figures()) {
-            figures.addObject().put("name", f.name()).put("a", f.a()).put("b", f.b()).put("middle", f.difference().middle())
-                .put("low", number(f.difference().low())).put("high", number(f.difference().high())).put("p", f.difference().p())
-                .put("level", f.level());
+            figures.addObject()
+                    .put("name", f.name())
+                    .put("a", f.a())
+                    .put("b", f.b())
+                    .put("middle", f.difference().middle())
+                    .put("low", number(f.difference().low()))
+                    .put("high", number(f.difference().high()))
+                    .put("p", f.difference().p())
+                    .put("level", f.level());
         }
         ObjectNode played = root.putObject("day");
         day.forEach(played::put);
@@ -83,12 +100,20 @@
     /** A page with its plots inside: service over time, the spread of latency, the difference seed by seed. */
     public static String page(Comparison of, String a, String b) throws IOException {
         System.setProperty("java.awt.headless", "true");
-        StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>model: ")
-            .append(escape(verdict(of))).append("</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}"
-                + "table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ccc}"
-                + "td:first-child{text-align:left}</style></head><body><h1>Verdict: ").append(escape(verdict(of)))
-            .append("</h1><p>A: ").append(escape(a)).append("<br>B: ").append(escape(b)).append("<br>").append(of.seeds())
-            .append(" seeds, both choices on each.</p>");
+        StringBuilder page = new StringBuilder(
+                        "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>model: ")
+                .append(escape(verdict(of)))
+                .append("</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}"
+                        + "table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ccc}"
+                        + "td:first-child{text-align:left}</style></head><body><h1>Verdict: ")
+                .append(escape(verdict(of)))
+                .append("</h1><p>A: ")
+                .append(escape(a))
+                .append("<br>B: ")
+                .append(escape(b))
+                .append("<br>")
+                .append(of.seeds())
+                .append(" seeds, both choices on each.</p>");
         of.reasons().forEach(reason -> page.append("<p>").append(escape(reason)).append("</p>"));
         page.append("<table><tr>");
         HEAD.forEach(head -> page.append("<th>").append(head).append("</th>"));
@@ -110,7 +135,13 @@
     }
 
     private static XYChart chart(String title, String x, String y) {
-        XYChart chart = new XYChartBuilder().width(WIDE).height(HIGH).title(title).xAxisTitle(x).yAxisTitle(y).build();
+        XYChart chart = new XYChartBuilder()
+                .width(WIDE)
+                .height(HIGH)
+                .title(title)
+                .xAxisTitle(x)
+                .yAxisTitle(y)
+                .build();
         chart.getStyler().setMarkerSize(5);
         return chart;
     }
@@ -160,7 +191,7 @@
         double[] differences = new double[of.seeds()];
         for (int i = 0; i < differences.length; i++) {
             differences[i] = (Double) of.runs(false).get(i).get(Comparison.FIGURE)
-                - (Double) of.runs(true).get(i).get(Comparison.FIGURE);
+                    - (Double) of.runs(true).get(i).get(Comparison.FIGURE);
         }
         chart.addSeries("B less A", steps(differences.length), differences);
         return chart;
@@ -170,6 +201,6 @@
         ByteArrayOutputStream svg = new ByteArrayOutputStream();
         VectorGraphicsEncoder.saveVectorGraphic(chart, svg, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
         return "<p><img alt=\"" + escape(chart.getTitle()) + "\" src=\"data:image/svg+xml;base64,"
-            + Base64.getEncoder().encodeToString(svg.toByteArray()) + "\"></p>";
+                + Base64.getEncoder().encodeToString(svg.toByteArray()) + "\"></p>";
     }
 }
--- a/src/main/java/rushpin/study/Runner.java
+++ b/src/main/java/rushpin/study/Runner.java
@@ -19,16 +19,14 @@
 
 /** Plays runs on several threads. Each run is one thread's from begin to end, so their number changes no figure. */
 public final class Runner implements AutoCloseable {
-    private static final MethodType PLAY = MethodType.methodType(Map.class, Map.class, Map.class, double[][].class, long[].class,
-        long.class);
+    private static final MethodType PLAY =
+            MethodType.methodType(Map.class, Map.class, Map.class, double[][].class, long[].class, long.class);
 
     /** One run. */
-    public record Job(Choice choice, Map<String, String> day, Fit.Columns replay, long seed) {
-    }
+    public record Job(Choice choice, Map<String, String> day, Fit.Columns replay, long seed) {}
 
     /** Its figures, or why there are none. */
-    public record Done(Map<String, Object> figures, String failure) {
-    }
+    public record Done(Map<String, Object> figures, String failure) {}
 
     private final ExecutorService threads;
     private final long most;
@@ -93,8 +91,8 @@
             double[][] columns = job.replay() == null ? null : job.replay().figures();
             long[] customers = job.replay() == null ? null : job.replay().customers();
             @SuppressWarnings("unchecked")
-            Map<String, Object> figures = (Map<String, Object>) play.invokeExact(job.choice().settings(), job.day(),
-                columns, customers, job.seed());
+            Map<String, Object> figures = (Map<String, Object>)
+                    play.invokeExact(job.choice().settings(), job.day(), columns, customers, job.seed());
             asked.addAndGet(Math.round((Double) figures.get("tries")));
             return figures;
         } catch (Exception e) {
--- a/src/main/java/rushpin/study/Study.java
+++ b/src/main/java/rushpin/study/Study.java
@@ -19,8 +19,7 @@
      * @param seed the seeds are those after it
      * @param independent whether B gets seeds of its own: for checks of the method
      */
-    public record Options(double level, double halfWidth, int first, int budget, long seed, boolean independent) {
-    }
+    public record Options(double level, double halfWidth, int first, int budget, long seed, boolean independent) {}
 
     /** Where a figure will lie in one further run. */
     public record Forecast(double low, double mean, double high) {
@@ -65,7 +64,8 @@
         SummaryStatistics of = new SummaryStatistics();
         runs.forEach(run -> of.addValue((Double) run.get(figure)));
         double half = new TDistribution(null, Math.max(1, of.getN() - 1)).inverseCumulativeProbability((1 + level) / 2)
-            * of.getStandardDeviation() * Math.sqrt(1 + 1.0 / of.getN());
+                * of.getStandardDeviation()
+                * Math.sqrt(1 + 1.0 / of.getN());
         return new Forecast(of.getMean() - half, of.getMean(), of.getMean() + half);
     }
 
@@ -76,7 +76,8 @@
             List<Runner.Job> jobs = new ArrayList<>();
             for (int i = 0; i < more; i++) {
                 jobs.add(new Runner.Job(a, a.on(day), replay, options.seed() + next + i));
-                jobs.add(new Runner.Job(b, b.on(day), replay, options.seed() + next + i + (options.independent() ? APART : 0)));
+                jobs.add(new Runner.Job(
+                        b, b.on(day), replay, options.seed() + next + i + (options.independent() ? APART : 0)));
             }
             List<Runner.Done> done = runner.play(jobs);
             for (int i = 0; i < more; i++) {
@@ -104,17 +105,32 @@
     public int differs(Choice choice, int comparisons) throws Unusable, InterruptedException {
         int differs = 0;
         for (int i = 0; i < comparisons; i++) {
-            Options apart = new Options(options.level(), options.halfWidth(), options.first(), options.budget(),
-                options.seed() + i * (long) (options.budget() + 1), true);
-            differs += new Study(runner, day, replay, apart).compare(choice, choice).verdict() == Comparison.Verdict.CANNOT_TELL ? 0 : 1;
+            Options apart = new Options(
+                    options.level(),
+                    options.halfWidth(),
+                    options.first(),
+                    options.budget(),
+                    options.seed() + i * (long) (options.budget() + 1),
+                    true);
+            differs += new Study(runner, day, replay, apart)
+                                    .compare(choice, choice)
+                                    .verdict()
+                            == Comparison.Verdict.CANNOT_TELL
+                    ? 0
+                    : 1;
         }
         return differs;
     }
 
     /** One key over values, each against the choice as it stands; the level is corrected for their number. */
     public List<Comparison> sweep(Choice of, String key, List<String> values) throws Unusable, InterruptedException {
-        Options each = new Options(1 - (1 - options.level()) / Math.max(1, values.size()), options.halfWidth(), options.first(),
-            options.budget(), options.seed(), options.independent());
+        Options each = new Options(
+                1 - (1 - options.level()) / Math.max(1, values.size()),
+                options.halfWidth(),
+                options.first(),
+                options.budget(),
+                options.seed(),
+                options.independent());
         List<Comparison> all = new ArrayList<>();
         for (String value : values) {
             all.add(new Study(runner, day, replay, each).compare(of, of.with(key, value)));
--- a/src/main/java/rushpin/traffic/Entry.java
+++ b/src/main/java/rushpin/traffic/Entry.java
@@ -17,14 +17,33 @@
  * @param tries its attempts in their order, {@link #MOST_TRIES} at most
  * @param dropped how many requests before it, since the one last written, are not here
  */
-public record Entry(String node, String pool, long at, String requestClass, String plan, long customer, double units,
-                    double trueUnits, long patience, boolean repeat, int spread, int first, End end, long took,
-                    List<Try> tries, long dropped) {
+public record Entry(
+        String node,
+        String pool,
+        long at,
+        String requestClass,
+        String plan,
+        long customer,
+        double units,
+        double trueUnits,
+        long patience,
+        boolean repeat,
+        int spread,
+        int first,
+        End end,
+        long took,
+        List<Try> tries,
+        long dropped) {
     /** Attempts of a request that are written down; the settings allow fewer nearly everywhere. */
     public static final int MOST_TRIES = 8;
 
     /** How a request ended for its client. */
-    public enum End { SERVED, REFUSED, FAILED, GONE }
+    public enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        GONE
+    }
 
     /**
      * One attempt.
@@ -34,12 +53,26 @@
      * @param took microseconds from there to its end
      * @param outcome the name of the module's outcome
      */
-    public record Try(String server, long after, long took, String outcome) {
-    }
+    public record Try(String server, long after, long took, String outcome) {}
 
     /** The same with what only the writer knows. */
     Entry written(long pseudonym, long droppedBefore) {
-        return new Entry(node, pool, at, requestClass, plan, pseudonym, units, trueUnits, patience, repeat, spread, first, end,
-            took, tries, droppedBefore);
+        return new Entry(
+                node,
+                pool,
+                at,
+                requestClass,
+                plan,
+                pseudonym,
+                units,
+                trueUnits,
+                patience,
+                repeat,
+                spread,
+                first,
+                end,
+                took,
+                tries,
+                droppedBefore);
     }
 }
--- a/src/main/java/rushpin/traffic/Form.java
+++ b/src/main/java/rushpin/traffic/Form.java
@@ -11,20 +11,44 @@
 final class Form {
     /** Stands in each file's metadata. */
     static final int VERSION = 1;
+
     static final String VERSION_KEY = "rushpin.version", NODE_KEY = "rushpin.node", BEGUN_KEY = "rushpin.begun-ms";
 
-    private static final Schema TRY = SchemaBuilder.record("Try").namespace("rushpin.traffic").fields()
-        .requiredString("server").requiredLong("after_us").requiredLong("took_us").requiredString("outcome").endRecord();
+    private static final Schema TRY = SchemaBuilder.record("Try")
+            .namespace("rushpin.traffic")
+            .fields()
+            .requiredString("server")
+            .requiredLong("after_us")
+            .requiredLong("took_us")
+            .requiredString("outcome")
+            .endRecord();
     /** All fields of version 1; later ones of that version have defaults. */
-    static final Schema REQUEST = SchemaBuilder.record("Request").namespace("rushpin.traffic").fields()
-        .requiredString("node").requiredString("pool").requiredLong("at_us").requiredString("class").requiredString("plan")
-        .requiredLong("customer").requiredDouble("units").requiredDouble("true_units").requiredLong("patience_us")
-        .requiredBoolean("repeat").requiredInt("spread").requiredInt("first").requiredString("end")
-        .requiredLong("took_us").name("tries").type().array().items(TRY).noDefault()
-        .requiredLong("dropped").endRecord();
+    static final Schema REQUEST = SchemaBuilder.record("Request")
+            .namespace("rushpin.traffic")
+            .fields()
+            .requiredString("node")
+            .requiredString("pool")
+            .requiredLong("at_us")
+            .requiredString("class")
+            .requiredString("plan")
+            .requiredLong("customer")
+            .requiredDouble("units")
+            .requiredDouble("true_units")
+            .requiredLong("patience_us")
+            .requiredBoolean("repeat")
+            .requiredInt("spread")
+            .requiredInt("first")
+            .requiredString("end")
+            .requiredLong("took_us")
+            .name("tries")
+            .type()
+            .array()
+            .items(TRY)
+            .noDefault()
+            .requiredLong("dropped")
+            .endRecord();
 
-    private Form() {
-    }
+    private Form() {}
 
     static GenericRecord of(Entry e) {
         GenericRecord to = new GenericData.Record(REQUEST);
@@ -61,12 +85,26 @@
         List<Entry.Try> tries = new ArrayList<>();
         for (Object item : (List<?>) from.get("tries")) {
             GenericRecord one = (GenericRecord) item;
-            tries.add(new Entry.Try(text(one, "server"), whole(one, "after_us"), whole(one, "took_us"), text(one, "outcome")));
+            tries.add(new Entry.Try(
+                    text(one, "server"), whole(one, "after_us"), whole(one, "took_us"), text(one, "outcome")));
         }
-        return new Entry(text(from, "node"), text(from, "pool"), whole(from, "at_us"), text(from, "class"), text(from, "plan"),
-            (Long) from.get("customer"), number(from, "units"), number(from, "true_units"), whole(from, "patience_us"),
-            (Boolean) from.get("repeat"), (Integer) from.get("spread"), (Integer) from.get("first"),
-            Entry.End.valueOf(text(from, "end")), whole(from, "took_us"), List.copyOf(tries), whole(from, "dropped"));
+        return new Entry(
+                text(from, "node"),
+                text(from, "pool"),
+                whole(from, "at_us"),
+                text(from, "class"),
+                text(from, "plan"),
+                (Long) from.get("customer"),
+                number(from, "units"),
+                number(from, "true_units"),
+                whole(from, "patience_us"),
+                (Boolean) from.get("repeat"),
+                (Integer) from.get("spread"),
+                (Integer) from.get("first"),
+                Entry.End.valueOf(text(from, "end")),
+                whole(from, "took_us"),
+                List.copyOf(tries),
+                whole(from, "dropped"));
     }
 
     private static String text(GenericRecord from, String field) {
--- a/src/main/java/rushpin/traffic/Pseudonyms.java
+++ b/src/main/java/rushpin/traffic/Pseudonyms.java
@@ -9,6 +9,7 @@
 final class Pseudonyms {
     /** Shorter keys could be tried out: customers' numbers are below 2^33. */
     static final int LEAST_KEY = 16;
+
     private final Mac mac;
 
     /** {@code key} has {@link #LEAST_KEY} bytes or more. */
@@ -26,6 +27,8 @@
     }
 
     long of(long customer) {
-        return ByteBuffer.wrap(mac.doFinal(ByteBuffer.allocate(Long.BYTES).putLong(customer).array())).getLong();
+        return ByteBuffer.wrap(mac.doFinal(
+                        ByteBuffer.allocate(Long.BYTES).putLong(customer).array()))
+                .getLong();
     }
 }
--- a/src/main/java/rushpin/traffic/Recorded.java
+++ b/src/main/java/rushpin/traffic/Recorded.java
@@ -40,7 +40,9 @@
     public static Recorded read(Path from) throws Unreadable {
         List<Path> files;
         try (Stream<Path> all = Files.isDirectory(from) ? Files.list(from) : Stream.of(from)) {
-            files = all.filter(file -> file.getFileName().toString().endsWith(".avro")).sorted().toList();
+            files = all.filter(file -> file.getFileName().toString().endsWith(".avro"))
+                    .sorted()
+                    .toList();
         } catch (IOException e) {
             throw new Unreadable(from + " cannot be read: " + e.getMessage());
         }
@@ -60,8 +62,9 @@
             long last = found.stream().mapToLong(Entry::at).max().orElseThrow();
             long[] before = until.putIfAbsent(found.get(0).node(), new long[] {last});
             if (before != null && first < before[0] - OVERLAP_US) {
-                notes.add(file.getFileName() + ": begins " + (before[0] - first) / 1_000_000 + " s before an earlier file of "
-                    + found.get(0).node() + " ends: its clock was set back, or two processes wrote as this node");
+                notes.add(file.getFileName() + ": begins " + (before[0] - first) / 1_000_000
+                        + " s before an earlier file of " + found.get(0).node()
+                        + " ends: its clock was set back, or two processes wrote as this node");
             }
             if (before != null) {
                 before[0] = Math.max(before[0], last);
@@ -76,18 +79,22 @@
             throw new Unreadable(from + " holds no request: " + String.join("; ", notes));
         }
         entries.sort(Comparator.comparingLong(Entry::at).thenComparing(Entry::node));
-        return new Recorded(List.copyOf(entries), List.copyOf(notes), entries.stream().mapToLong(Entry::dropped).sum());
+        return new Recorded(
+                List.copyOf(entries),
+                List.copyOf(notes),
+                entries.stream().mapToLong(Entry::dropped).sum());
     }
 
     private static List<Entry> one(Path file, List<String> notes, int most) throws Unreadable {
         List<Entry> found = new ArrayList<>();
         int odd = 0;
         String why = "";
-        try (DataFileReader<GenericRecord> reader = new DataFileReader<>(file.toFile(),
-            new GenericDatumReader<>(null, Form.REQUEST))) {
+        try (DataFileReader<GenericRecord> reader =
+                new DataFileReader<>(file.toFile(), new GenericDatumReader<>(null, Form.REQUEST))) {
             String version = reader.getMetaString(Form.VERSION_KEY);
             if (!String.valueOf(Form.VERSION).equals(version)) {
-                throw new Unreadable(file.getFileName() + ": version " + version + "; this program reads " + Form.VERSION);
+                throw new Unreadable(
+                        file.getFileName() + ": version " + version + "; this program reads " + Form.VERSION);
             }
             boolean more = true;
             while (found.size() < most && (more = reader.hasNext())) {
@@ -101,11 +108,12 @@
             // The library takes a block without its end for the end of the file, and says nothing.
             long rest = more ? 0 : Files.size(file) - reader.previousSync();
             if (rest > 0) {
-                notes.add(file.getFileName() + ": read up to its last whole block, " + found.size() + " requests; " + rest
-                    + " bytes behind it left out");
+                notes.add(file.getFileName() + ": read up to its last whole block, " + found.size() + " requests; "
+                        + rest + " bytes behind it left out");
             }
         } catch (IOException | AvroRuntimeException e) {
-            notes.add(file.getFileName() + ": read up to its last whole block, " + found.size() + " requests: " + cause(e));
+            notes.add(file.getFileName() + ": read up to its last whole block, " + found.size() + " requests: "
+                    + cause(e));
         }
         if (odd > 0) {
             notes.add(file.getFileName() + ": " + odd + " requests left out, the last because " + why);
--- a/src/main/java/rushpin/traffic/Recorder.java
+++ b/src/main/java/rushpin/traffic/Recorder.java
@@ -50,14 +50,18 @@
     private DataFileWriter<GenericRecord> file;
     /** What {@link #file} writes to; it stays open if the header cannot be written. Null once it is closed. */
     private OutputStream bytes;
+
     private Path path;
     private long againAt = System.nanoTime(), blockAt, told;
     private int serial, inBlock;
 
     /** Begins; {@code log} is told of trouble, a line at a time. Throws if the key can't be read: pseudonyms would differ. */
     public Recorder(Keeping keeping, String node, Consumer<String> log) throws IOException {
-        this(keeping, node, log, file -> Files.newOutputStream(file, StandardOpenOption.CREATE_NEW,
-            StandardOpenOption.WRITE));
+        this(
+                keeping,
+                node,
+                log,
+                file -> Files.newOutputStream(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
     }
 
     /** As above, with files made in a given way. */
@@ -167,19 +171,26 @@
     private void open(long begun) throws IOException {
         List<Retention.Kept> kept = new ArrayList<>();
         try (Stream<Path> all = Files.list(keeping.folder())) {
-            for (Path each : all.filter(each -> each.getFileName().toString().startsWith(prefix())).toList()) {
+            for (Path each : all.filter(each -> each.getFileName().toString().startsWith(prefix()))
+                    .toList()) {
                 kept.add(new Retention.Kept(each.getFileName().toString(), Files.size(each)));
             }
         }
         for (String name : Retention.surplus(kept, keeping)) {
             Files.deleteIfExists(keeping.folder().resolve(name));
         }
-        long stamp = Math.max(begun, 1 + kept.stream().mapToLong(each -> stamp(each.name())).max().orElse(-1));
-        path = keeping.folder().resolve(String.format("%s%013d-%d-%04d%s", prefix(), stamp, ProcessHandle.current().pid(),
-            serial++, SUFFIX));
+        long stamp = Math.max(
+                begun,
+                1 + kept.stream().mapToLong(each -> stamp(each.name())).max().orElse(-1));
+        path = keeping.folder()
+                .resolve(String.format(
+                        "%s%013d-%d-%04d%s",
+                        prefix(), stamp, ProcessHandle.current().pid(), serial++, SUFFIX));
         DataFileWriter<GenericRecord> made = new DataFileWriter<>(new GenericDatumWriter<>(Form.REQUEST));
         made.setCodec(CodecFactory.deflateCodec(DEFLATE)).setSyncInterval(BLOCK_BYTES);
-        made.setMeta(Form.VERSION_KEY, Form.VERSION).setMeta(Form.NODE_KEY, node).setMeta(Form.BEGUN_KEY, begun);
+        made.setMeta(Form.VERSION_KEY, Form.VERSION)
+                .setMeta(Form.NODE_KEY, node)
+                .setMeta(Form.BEGUN_KEY, begun);
         bytes = maker.make(path);
         file = made.create(Form.REQUEST, bytes);
     }
--- a/src/main/java/rushpin/traffic/Retention.java
+++ b/src/main/java/rushpin/traffic/Retention.java
@@ -9,12 +9,10 @@
     /** Bytes kept free for the file that is being written, as a part of a file's: its last block may go beyond. */
     private static final double ROOM = 1.25;
 
-    private Retention() {
-    }
+    private Retention() {}
 
     /** A file of this node's; names of one node sort by their age. */
-    public record Kept(String name, long bytes) {
-    }
+    public record Kept(String name, long bytes) {}
 
     /** Whether a file of so many bytes is to be followed by the next. */
     public static boolean isFull(long bytes, Keeping keeping) {
@@ -23,7 +21,8 @@
 
     /** The names to delete before a file is begun, the oldest first, so that all fit with the new one in full. */
     public static List<String> surplus(List<Kept> files, Keeping keeping) {
-        List<Kept> sorted = files.stream().sorted(Comparator.comparing(Kept::name)).toList();
+        List<Kept> sorted =
+                files.stream().sorted(Comparator.comparing(Kept::name)).toList();
         long sum = sorted.stream().mapToLong(Kept::bytes).sum();
         double most = keeping.mostBytes() - ROOM * keeping.fileBytes();
         List<String> gone = new ArrayList<>();
--- a/src/test/java/rushpin/accord/Connections.java
+++ b/src/test/java/rushpin/accord/Connections.java
@@ -47,7 +47,13 @@
     }
 
     /** What else may happen, each as often as {@link Setting#trouble} allows in all. */
-    enum Trouble { CRASH, LOWER, REPEAT, LEAVES, FOUNDED_ANEW }
+    enum Trouble {
+        CRASH,
+        LOWER,
+        REPEAT,
+        LEAVES,
+        FOUNDED_ANEW
+    }
 
     /**
      * How much is explored.
@@ -55,8 +61,15 @@
      * @param near how many of the processes hear all at once and lose nothing, the last ones
      * @param divisions how many there are after the first one
      */
-    record Setting(int processes, int near, int divisions, int mostAsks, int mostAnswers, int trouble, Set<Trouble> troubles,
-        Set<Fault> faults) {
+    record Setting(
+            int processes,
+            int near,
+            int divisions,
+            int mostAsks,
+            int mostAnswers,
+            int trouble,
+            Set<Trouble> troubles,
+            Set<Fault> faults) {
         boolean has(Fault fault) {
             return faults.contains(fault);
         }
@@ -72,8 +85,7 @@
     private static final Who DIVIDER = new Who("divider", 1, "z", "", Machine.LEVEL);
 
     /** On its way: to the log, or to the start of a process that it is for. */
-    private record Message(int process, long incarnation, long asked, Object body) {
-    }
+    private record Message(int process, long incarnation, long asked, Object body) {}
 
     /**
      * One process.
@@ -92,16 +104,19 @@
 
         int may(Fault fault) {
             Permit permit = allowance.permit();
-            return fault == Fault.NEVER_FORGETS && permit != Permit.NONE && now >= permit.until() ? permit.own()
-                : permit.at(now);
+            return fault == Fault.NEVER_FORGETS && permit != Permit.NONE && now >= permit.until()
+                    ? permit.own()
+                    : permit.at(now);
         }
 
         /** What can still be open: what it may have had open an effect ago. */
         int longest(Fault fault) {
             Permit permit = allowance.permit();
-            return permit == Permit.NONE || fault == Fault.LEAVES_WITHOUT_AN_END && allowance.isLeaving()
-                || now - EFFECT < permit.until() ? Integer.MAX_VALUE
-                : now - EFFECT < permit.forget() || fault == Fault.NEVER_FORGETS ? permit.own() : 0;
+            return permit == Permit.NONE
+                            || fault == Fault.LEAVES_WITHOUT_AN_END && allowance.isLeaving()
+                            || now - EFFECT < permit.until()
+                    ? Integer.MAX_VALUE
+                    : now - EFFECT < permit.forget() || fault == Fault.NEVER_FORGETS ? permit.own() : 0;
         }
     }
 
@@ -114,6 +129,7 @@
     private List<Message> asks, answers;
     /** Connections of starts that have died, and how many there may be in all. */
     private int halfOpen, allowed, most;
+
     private int divisions, trouble;
 
     private Connections(Connections from) {
@@ -150,8 +166,14 @@
         for (int p = 0; p < all.length; p++) {
             Who who = new Who(String.valueOf((char) ('A' + p)), 1, "z", "", Machine.LEVEL);
             Outcome.Joined joined = (Outcome.Joined) apply(new Command.Join(who));
-            all[p] = new Process(who, 0, 1 + (rates >> p & 1), 0,
-                Allowance.none(GROUP).renewed(joined.session(), 0, set.terms()), 0, 0);
+            all[p] = new Process(
+                    who,
+                    0,
+                    1 + (rates >> p & 1),
+                    0,
+                    Allowance.none(GROUP).renewed(joined.session(), 0, set.terms()),
+                    0,
+                    0);
         }
         int[] first = new int[all.length];
         Arrays.fill(first, 1);
@@ -184,15 +206,17 @@
         Machine machine = new Machine(log);
         Command applied = command;
         if (has(Fault.CEDED_BY_ANY_WORD) && command instanceof Command.Cede cede && cede.number() != 0) {
-            long number = machine.word(GROUP, cede.session()).map(Allotment::number).orElse(0L);
+            long number =
+                    machine.word(GROUP, cede.session()).map(Allotment::number).orElse(0L);
             applied = new Command.Cede(cede.session(), GROUP, number, cede.to());
         }
         Applied done = machine.apply(new Entry(logTime, applied));
         log = mistaken(machine.state());
         for (Decision decision : done.decisions()) {
             for (int p = 0; p < all.length; p++) {
-                if (!(decision instanceof Decision.Allotted told) || all[p] == null
-                    || told.word().session() != all[p].allowance.session()) {
+                if (!(decision instanceof Decision.Allotted told)
+                        || all[p] == null
+                        || told.word().session() != all[p].allowance.session()) {
                     continue;
                 }
                 if (isNear(p)) {
@@ -203,8 +227,9 @@
             }
         }
         // Of an era before nothing is known until it is over.
-        boolean isWaiting = log.era() > 1 && (log.budgets().isEmpty()
-            || logTime < log.budgets().get(0).first() + set.terms().waiting(FORGET + EFFECT + HALF_OPEN));
+        boolean isWaiting = log.era() > 1
+                && (log.budgets().isEmpty()
+                        || logTime < log.budgets().get(0).first() + set.terms().waiting(FORGET + EFFECT + HALF_OPEN));
         allowed = Math.max(most, isWaiting ? allowed : Math.min(allowed, granted()));
         return done.outcome();
     }
@@ -230,7 +255,8 @@
                 if (cede != null) {
                     all[p] = of.with(of.allowance.said(cede, of.now));
                     if (apply(cede) instanceof Outcome.Allotted answer) {
-                        all[p] = all[p].with(all[p].allowance.told(answer.word())).opening(fault);
+                        all[p] = all[p].with(all[p].allowance.told(answer.word()))
+                                .opening(fault);
                     }
                 }
             }
@@ -249,11 +275,20 @@
         List<Budget.Grant> grants = new ArrayList<>();
         for (Budget.Grant each : of.grants()) {
             boolean isOld = !each.isLive();
-            boolean isAgain = state.sessions().stream().anyMatch(other -> other.number() > each.session()
-                && other.who().name().equals(each.name()));
+            boolean isAgain = state.sessions().stream()
+                    .anyMatch(other -> other.number() > each.session()
+                            && other.who().name().equals(each.name()));
             if (has(Fault.GRANTED_BEFORE_CEDED)) {
-                grants.add(new Budget.Grant(each.session(), each.name(), each.incarnation(), each.number(), each.most(),
-                    each.own(), each.most(), each.own(), each.renewed()));
+                grants.add(new Budget.Grant(
+                        each.session(),
+                        each.name(),
+                        each.incarnation(),
+                        each.number(),
+                        each.most(),
+                        each.own(),
+                        each.most(),
+                        each.own(),
+                        each.renewed()));
             } else if (!(has(Fault.OVER_FORGOTTEN) && isOld) && !(has(Fault.OWN_TWICE) && isAgain)) {
                 grants.add(each);
             }
@@ -263,9 +298,25 @@
             figures = new Budget.Figures(MOST, 0, OWN, figures.halfOpen(), FORGET);
         }
         boolean isEarly = has(Fault.NO_WAIT_FOR_THE_ERA_BEFORE);
-        return new State(state.era(), state.terms(), state.now(), state.last(), state.sessions(), state.holders(),
-            state.plan(), List.of(new Budget(GROUP, figures, of.number(), of.fence(), of.at(), isEarly ? -99 : of.first(),
-                of.changes(), of.tenants(), of.shares(), grants)));
+        return new State(
+                state.era(),
+                state.terms(),
+                state.now(),
+                state.last(),
+                state.sessions(),
+                state.holders(),
+                state.plan(),
+                List.of(new Budget(
+                        GROUP,
+                        figures,
+                        of.number(),
+                        of.fence(),
+                        of.at(),
+                        isEarly ? -99 : of.first(),
+                        of.changes(),
+                        of.tenants(),
+                        of.shares(),
+                        grants)));
     }
 
     /** Of the sessions that processes go by; those that they don't know of yet have nothing. */
@@ -290,9 +341,14 @@
             }
         }
         long after = log.budgets().isEmpty() ? 0 : log.budgets().get(0).number();
-        apply(new Command.Divide(divider, fence, after, GROUP,
-            new Budget.Figures(most, 0, OWN, has(Fault.NO_HALF_OPEN) ? 0 : HALF_OPEN, FORGET), List.of(),
-            List.copyOf(shares.values())));
+        apply(new Command.Divide(
+                divider,
+                fence,
+                after,
+                GROUP,
+                new Budget.Figures(most, 0, OWN, has(Fault.NO_HALF_OPEN) ? 0 : HALF_OPEN, FORGET),
+                List.of(),
+                List.copyOf(shares.values())));
     }
 
     private static <T> List<T> put(List<T> way, T message, int most) {
@@ -322,14 +378,15 @@
             Process of = all[p];
             Process then = new Process(of.who, of.now + of.rate, of.rate, of.sent, of.allowance, of.open, 0);
             int open = Math.min(of.open, then.longest(fault));
-            next.all[p] = new Process(of.who, then.now, of.rate, of.sent, of.allowance, open, of.open - open)
-                .opening(fault);
+            next.all[p] =
+                    new Process(of.who, then.now, of.rate, of.sent, of.allowance, open, of.open - open).opening(fault);
         }
         for (int p = all.length - set.near; p < all.length; p++) {
             Process of = next.all[p];
             if (next.apply(new Command.Renew(of.allowance.session())) instanceof Outcome.Done) {
-                next.all[p] = next.all[p].with(next.all[p].allowance.renewed(of.allowance.session(), of.now, set.terms()))
-                    .opening(fault);
+                next.all[p] = next.all[p]
+                        .with(next.all[p].allowance.renewed(of.allowance.session(), of.now, set.terms()))
+                        .opening(fault);
             }
         }
         step.to(next.settled(), () -> "a step of time");
@@ -378,11 +435,20 @@
         Outcome outcome = next.apply((Command) ask.body);
         if (ask.incarnation == all[ask.process].who.incarnation()) {
             boolean isWord = outcome instanceof Outcome.Allotted;
-            next.answers = put(next.answers, new Message(ask.process, ask.incarnation, isWord ? 0 : ask.asked,
-                isWord ? ((Outcome.Allotted) outcome).word() : outcome instanceof Outcome.Done ? ask.body : outcome),
-                set.mostAnswers);
-        }
-        step.to(next.settled(), () -> "committed" + (gone ? "" : " and still on its way") + ": " + ask + " -> " + outcome);
+            next.answers = put(
+                    next.answers,
+                    new Message(
+                            ask.process,
+                            ask.incarnation,
+                            isWord ? 0 : ask.asked,
+                            isWord
+                                    ? ((Outcome.Allotted) outcome).word()
+                                    : outcome instanceof Outcome.Done ? ask.body : outcome),
+                    set.mostAnswers);
+        }
+        step.to(
+                next.settled(),
+                () -> "committed" + (gone ? "" : " and still on its way") + ": " + ask + " -> " + outcome);
     }
 
     private void hear(int i, Explore.Step<Connections> step) {
@@ -395,12 +461,25 @@
         long asked = has(Fault.LEASE_FROM_THE_ANSWER) ? of.now : answer.asked;
         if (answer.body instanceof Allotment word) {
             if (has(Fault.LATE_WORD)) {
-                allowance = new Allowance(GROUP, allowance.session(), LEASE, allowance.asked(), null, 0, 0, 0, 9, false);
+                allowance =
+                        new Allowance(GROUP, allowance.session(), LEASE, allowance.asked(), null, 0, 0, 0, 9, false);
             }
-            boolean isEarlier = has(Fault.WORD_OF_AN_EARLIER_SESSION) && word.session() < allowance.session()
-                && allowance.word() == null;
-            allowance = allowance.told(isEarlier ? new Allotment(GROUP, allowance.session(), word.number(), word.most(),
-                word.own(), word.granted(), word.forget(), HALF_OPEN, List.of()) : word);
+            boolean isEarlier = has(Fault.WORD_OF_AN_EARLIER_SESSION)
+                    && word.session() < allowance.session()
+                    && allowance.word() == null;
+            allowance = allowance.told(
+                    isEarlier
+                            ? new Allotment(
+                                    GROUP,
+                                    allowance.session(),
+                                    word.number(),
+                                    word.most(),
+                                    word.own(),
+                                    word.granted(),
+                                    word.forget(),
+                                    HALF_OPEN,
+                                    List.of())
+                            : word);
         } else if (answer.body instanceof Outcome.Joined joined) {
             allowance = allowance.renewed(joined.session(), asked, set.terms());
         } else if (answer.body instanceof Command.Renew renew) {
@@ -508,30 +587,44 @@
     private Connections settled() {
         near();
         answers = answers.stream().filter(this::matters).toList();
-        asks = asks.stream().filter(ask -> {
-            long session = sessionOf(ask.body);
-            boolean isThere = session == 0 || log.sessions().stream().anyMatch(each -> each.number() == session);
-            return isThere && (session == 0 || ask.incarnation == all[ask.process].who.incarnation()
-                || ask.body instanceof Command.Cede || ask.body instanceof Command.Renew);
-        }).toList();
+        asks = asks.stream()
+                .filter(ask -> {
+                    long session = sessionOf(ask.body);
+                    boolean isThere =
+                            session == 0 || log.sessions().stream().anyMatch(each -> each.number() == session);
+                    return isThere
+                            && (session == 0
+                                    || ask.incarnation == all[ask.process].who.incarnation()
+                                    || ask.body instanceof Command.Cede
+                                    || ask.body instanceof Command.Renew);
+                })
+                .toList();
         return this;
     }
 
     private boolean matters(Message answer) {
         Allowance allowance = all[answer.process].allowance;
         if (answer.body instanceof Allotment word) {
-            return has(Fault.LATE_WORD) || has(Fault.WORD_OF_AN_EARLIER_SESSION) || word.session() > allowance.session()
-                || !allowance.told(word).equals(allowance);
+            return has(Fault.LATE_WORD)
+                    || has(Fault.WORD_OF_AN_EARLIER_SESSION)
+                    || word.session() > allowance.session()
+                    || !allowance.told(word).equals(allowance);
         }
         boolean isLonger = answer.asked > allowance.asked() || has(Fault.LEASE_FROM_THE_ANSWER);
-        return answer.body instanceof Outcome.Joined joined && joined.session() >= allowance.session()
-            && (joined.session() > allowance.session() || isLonger)
-            || answer.body instanceof Command.Renew renew && renew.session() == allowance.session() && isLonger;
+        return answer.body instanceof Outcome.Joined joined
+                        && joined.session() >= allowance.session()
+                        && (joined.session() > allowance.session() || isLonger)
+                || answer.body instanceof Command.Renew renew && renew.session() == allowance.session() && isLonger;
     }
 
     private static long sessionOf(Object body) {
-        return body instanceof Command.Renew renew ? renew.session() : body instanceof Command.Cede cede ? cede.session()
-            : body instanceof Allotment word ? word.session() : body instanceof Outcome.Joined joined ? joined.session() : 0;
+        return body instanceof Command.Renew renew
+                ? renew.session()
+                : body instanceof Command.Cede cede
+                        ? cede.session()
+                        : body instanceof Allotment word
+                                ? word.session()
+                                : body instanceof Outcome.Joined joined ? joined.session() : 0;
     }
 
     private static long numberOf(Object body) {
@@ -619,37 +712,74 @@
         for (Map.Entry<Long, Integer> each : ranks.entrySet()) {
             each.setValue(rank++);
         }
-        Explore.Print print = new Explore.Print().add(logRate).add(halfOpen).add(allowed).add(most).add(divisions)
-            .add(trouble).add(log.era()).add(fence == 0 ? 0 : 1);
+        Explore.Print print = new Explore.Print()
+                .add(logRate)
+                .add(halfOpen)
+                .add(allowed)
+                .add(most)
+                .add(divisions)
+                .add(trouble)
+                .add(log.era())
+                .add(fence == 0 ? 0 : 1);
         for (State.Session session : log.sessions()) {
-            print.add(ranks.get(session.number())).add(session.who().name().hashCode()).add(session.who().incarnation())
-                .add(session.until() - logTime);
+            print.add(ranks.get(session.number()))
+                    .add(session.who().name().hashCode())
+                    .add(session.who().incarnation())
+                    .add(session.until() - logTime);
         }
         if (of != null) {
             print.add(ranks.get(of.changes())).add(log.era() > 1 ? Math.max(-30, of.first() - logTime) : 0);
-            of.shares().forEach(share -> print.add(ranks.getOrDefault(share.session(), -1)).add(share.connections()));
-            of.grants().forEach(grant -> print.add(ranks.get(grant.session())).add(grant.name().charAt(0))
-                .add(grant.incarnation()).add(ranks.get(grant.number())).add(grant.most()).add(grant.own())
-                .add(grant.granted()).add(grant.floor()).add(grant.isLive() ? 99 : grant.renewed() - logTime));
+            of.shares()
+                    .forEach(share ->
+                            print.add(ranks.getOrDefault(share.session(), -1)).add(share.connections()));
+            of.grants()
+                    .forEach(grant -> print.add(ranks.get(grant.session()))
+                            .add(grant.name().charAt(0))
+                            .add(grant.incarnation())
+                            .add(ranks.get(grant.number()))
+                            .add(grant.most())
+                            .add(grant.own())
+                            .add(grant.granted())
+                            .add(grant.floor())
+                            .add(grant.isLive() ? 99 : grant.renewed() - logTime));
         }
         for (Process each : all) {
             Allowance a = each.allowance;
-            print.add(each.who.incarnation()).add(each.rate).add(each.open).add(each.closed).add(each.sent == each.now ? 1 : 0)
-                .add(ranks.get(a.session())).add(Math.max(-9, a.asked() - each.now)).add(a.kept())
-                .add(Math.max(-2, a.keptUntil() - each.now)).add(Math.max(-3, a.again() - each.now)).add(a.to())
-                .add(a.isLeaving() ? 1 : 0);
+            print.add(each.who.incarnation())
+                    .add(each.rate)
+                    .add(each.open)
+                    .add(each.closed)
+                    .add(each.sent == each.now ? 1 : 0)
+                    .add(ranks.get(a.session()))
+                    .add(Math.max(-9, a.asked() - each.now))
+                    .add(a.kept())
+                    .add(Math.max(-2, a.keptUntil() - each.now))
+                    .add(Math.max(-3, a.again() - each.now))
+                    .add(a.to())
+                    .add(a.isLeaving() ? 1 : 0);
             if (a.word() != null) {
-                print.add(ranks.get(a.word().number())).add(a.word().most()).add(a.word().own()).add(a.word().granted());
+                print.add(ranks.get(a.word().number()))
+                        .add(a.word().most())
+                        .add(a.word().own())
+                        .add(a.word().granted());
             }
         }
         long sum = 0;
         for (int way = 0; way < 2; way++) {
             for (Message each : way == 0 ? asks : answers) {
                 Object body = each.body;
-                Explore.Print one = new Explore.Print().add(way).add(each.process).add(each.incarnation)
-                    .add(ranks.get(sessionOf(body))).add(ranks.get(numberOf(body)))
-                    .add(each.incarnation != all[each.process].who.incarnation() || body instanceof Allotment
-                        || body instanceof Command.Cede ? 0 : Math.max(-9, each.asked - all[each.process].now));
+                Explore.Print one = new Explore.Print()
+                        .add(way)
+                        .add(each.process)
+                        .add(each.incarnation)
+                        .add(ranks.get(sessionOf(body)))
+                        .add(ranks.get(numberOf(body)))
+                        .add(
+                                each.incarnation != all[each.process].who.incarnation()
+                                                || body instanceof Allotment
+                                                || body instanceof Command.Cede
+                                        ? 0
+                                        : Math.max(-9, each.asked - all[each.process].now));
                 if (body instanceof Allotment word) {
                     one.add(1).add(word.most()).add(word.own()).add(word.granted());
                 } else if (body instanceof Command.Cede cede) {
@@ -695,7 +825,7 @@
 
     @Override
     public String toString() {
-        return "log " + logTime + " " + log.sessions() + " " + log.budgets() + " " + Arrays.toString(all) + ", half-open "
-            + halfOpen;
+        return "log " + logTime + " " + log.sessions() + " " + log.budgets() + " " + Arrays.toString(all)
+                + ", half-open " + halfOpen;
     }
 }
--- a/src/test/java/rushpin/accord/ConnectionsExploreTest.java
+++ b/src/test/java/rushpin/accord/ConnectionsExploreTest.java
@@ -21,7 +21,8 @@
     private static final int MORE = Integer.getInteger("rushpin.explore", 1);
 
     private static void holds(String what, Setting set, int clocks, long most) {
-        Explore.Seen seen = Explore.all(Connections.first(set, MORE > 1 ? 99 : clocks), Connections.RULES, 99, most * MORE);
+        Explore.Seen seen =
+                Explore.all(Connections.first(set, MORE > 1 ? 99 : clocks), Connections.RULES, 99, most * MORE);
         System.out.println("explored: " + what + ": " + seen);
         assertNull(seen.broken(), () -> what + ": " + seen);
     }
@@ -52,8 +53,10 @@
                 assertNull(Connections.RULES.broken(world), () -> "seed " + seed + ": " + String.join("\n", path));
             }
             Connections last = world;
-            assertArrayEquals(new int[] {0, 1, 1, 2}, world.inCalm(new int[] {0, 1, 1}, 40),
-                () -> "seed " + seed + ": " + String.join("\n", path) + "\n" + last);
+            assertArrayEquals(
+                    new int[] {0, 1, 1, 2},
+                    world.inCalm(new int[] {0, 1, 1}, 40),
+                    () -> "seed " + seed + ": " + String.join("\n", path) + "\n" + last);
         }
     }
 
@@ -72,7 +75,9 @@
             int divisions = fault == Fault.CEDED_BY_ANY_WORD ? 3 : 1;
             Setting set = new Setting(2, 1, divisions, 1, 2, troubles.size(), troubles, EnumSet.of(fault));
             Explore.Seen seen = Explore.all(Connections.first(set, 1), Connections.RULES, 99, 150_000);
-            System.out.printf("| %s | %s | %,d | %d |%n", fault.text, seen.broken(), seen.states(), seen.path().size() - 2);
+            System.out.printf(
+                    "| %s | %s | %,d | %d |%n",
+                    fault.text, seen.broken(), seen.states(), seen.path().size() - 2);
             if (seen.broken() == null) {
                 missed.add(fault + ": " + seen);
             }
--- a/src/test/java/rushpin/accord/EvidenceTest.java
+++ b/src/test/java/rushpin/accord/EvidenceTest.java
@@ -48,23 +48,39 @@
     @Test
     void whatWasMuchIsNotSmoothed() {
         for (int count : new int[] {10_000, 0}) {
-            evidence.report(new Report(1, 10_001 - count, "a", "x", 1_000_000_000, 0, List.of(), List.of(),
-                List.of(new Report.Entered("book", count))), 0);
+            evidence.report(
+                    new Report(
+                            1,
+                            10_001 - count,
+                            "a",
+                            "x",
+                            1_000_000_000,
+                            0,
+                            List.of(),
+                            List.of(),
+                            List.of(new Report.Entered("book", count))),
+                    0);
         }
         assertEquals(30, evidence.picture(0).demand("x").get("book"), 1e-6, "40 a second is what tells for sure");
     }
 
     @Test
     void whatCantBeTrueIsNotTaken() {
-        for (Report.Seen bad : List.of(new Report.Seen("z", 1, 1, 1, 0, 0), new Report.Seen("z", 1, -1, 0, 0, 0),
-            new Report.Seen("z", 5, 0, 1, 0, 2), new Report.Seen("z", 1, 0, 0, 2, 0), new Report.Seen("", 1, 1, 0, 0, 0),
-            new Report.Seen("z", Long.MAX_VALUE, 1, 0, 0, 0),
-            new Report.Seen("z", 1, Long.MAX_VALUE, Long.MAX_VALUE, 0, 0))) {
+        for (Report.Seen bad : List.of(
+                new Report.Seen("z", 1, 1, 1, 0, 0),
+                new Report.Seen("z", 1, -1, 0, 0, 0),
+                new Report.Seen("z", 5, 0, 1, 0, 2),
+                new Report.Seen("z", 1, 0, 0, 2, 0),
+                new Report.Seen("", 1, 1, 0, 0, 0),
+                new Report.Seen("z", Long.MAX_VALUE, 1, 0, 0, 0),
+                new Report.Seen("z", 1, Long.MAX_VALUE, Long.MAX_VALUE, 0, 0))) {
             assertEquals(Taken.UNSOUND, evidence.report(report("a", "x", 1, 1, bad), 0), bad::toString);
         }
         assertEquals(Taken.UNSOUND, evidence.report(report("a", "x", 1, 1, failing("z", 1), failing("z", 1)), 0));
-        assertEquals(Taken.UNSOUND, evidence.report(new Report(1, 1, "a", "x",
-            Collections.nCopies(Plan.MOST_ZONES + 1, failing("z", 1))), 0));
+        assertEquals(
+                Taken.UNSOUND,
+                evidence.report(
+                        new Report(1, 1, "a", "x", Collections.nCopies(Plan.MOST_ZONES + 1, failing("z", 1))), 0));
     }
 
     @Test
@@ -82,7 +98,9 @@
             evidence.report(report("many" + i, "x", 1, 1, failing("z", 900)), 0);
         }
         assertEquals(Optional.empty(), evidence.across("z", 0), "one zone only: its edges may be what is sick");
-        assertEquals(new View("z", 100, 1, 900, 0, 0, 900, 0), evidence.from("x", "z", 0).orElseThrow());
+        assertEquals(
+                new View("z", 100, 1, 900, 0, 0, 900, 0),
+                evidence.from("x", "z", 0).orElseThrow());
         evidence.report(report("b", "y", 1, 1, failing("z", 10)), 0);
         assertEquals(900, failed("z"), "one alone moves nothing");
         for (int i = 0; i < 2; i++) {
@@ -95,9 +113,10 @@
 
     /** Whatever one report says, what the fleet sees stays among what the others say. */
     @Property(tries = 1_000)
-    void oneReportMovesNothing(@ForAll @Size(min = 2, max = 12) List<@IntRange(min = 0, max = 1_000) Integer> honest,
-        @ForAll @Size(value = 13) List<@IntRange(min = 0, max = 4) Integer> zones,
-        @ForAll @IntRange(min = 0, max = 1_000) int lie) {
+    void oneReportMovesNothing(
+            @ForAll @Size(min = 2, max = 12) List<@IntRange(min = 0, max = 1_000) Integer> honest,
+            @ForAll @Size(value = 13) List<@IntRange(min = 0, max = 4) Integer> zones,
+            @ForAll @IntRange(min = 0, max = 1_000) int lie) {
         Evidence evidence = new Evidence(20, 100, 2, 10);
         List<Integer> all = new ArrayList<>(honest);
         all.add(lie);
@@ -105,8 +124,9 @@
             evidence.report(report("p" + i, "zone" + zones.get(i), 1, 1, failing("z", all.get(i))), 0);
         }
         evidence.across("z", 0).ifPresent(view -> {
-            assertTrue(view.failed() >= Collections.min(honest) && view.failed() <= Collections.max(honest),
-                () -> view + " of " + honest + " and " + lie + " in " + zones);
+            assertTrue(
+                    view.failed() >= Collections.min(honest) && view.failed() <= Collections.max(honest),
+                    () -> view + " of " + honest + " and " + lie + " in " + zones);
             assertTrue(view.reporters() >= 3 && view.zones() >= 2);
         });
     }
--- a/src/test/java/rushpin/accord/Explore.java
+++ b/src/test/java/rushpin/accord/Explore.java
@@ -40,7 +40,7 @@
         @Override
         public String toString() {
             return String.format("%,d states, depth %d%s, %.1f s", states, depth, whole ? ", all" : "", millis / 1e3)
-                + (broken == null ? "" : ": " + broken + "\n    " + String.join("\n    ", path));
+                    + (broken == null ? "" : ": " + broken + "\n    " + String.join("\n    ", path));
         }
     }
 
@@ -55,6 +55,7 @@
     private final Rules<W> rules;
     /** Where each world came from, and as the how manieth of its next ones. */
     private int[] from = new int[1 << 16], as = new int[1 << 16];
+
     private long[] prints = new long[1 << 17];
     private int seen, numbered;
 
@@ -105,8 +106,13 @@
             edge = beyond;
             depth++;
         }
-        return new Seen(seen, depth, edge.isEmpty(), broken[0], broken[0] == null ? List.of() : path(first, seen - 1),
-            (System.nanoTime() - start) / 1_000_000);
+        return new Seen(
+                seen,
+                depth,
+                edge.isEmpty(),
+                broken[0],
+                broken[0] == null ? List.of() : path(first, seen - 1),
+                (System.nanoTime() - start) / 1_000_000);
     }
 
     private void note(int parent, int number) {
--- a/src/test/java/rushpin/accord/ExploreTest.java
+++ b/src/test/java/rushpin/accord/ExploreTest.java
@@ -26,8 +26,8 @@
     private static final int MORE = Integer.getInteger("rushpin.explore", 1);
     private static final int[] TWO_WANT_ONE = {1, 1}, THREE_WANT_TWO = {1, 3, 2};
 
-    private static Setting setting(int[] wants, int asks, int answers, int trouble, Set<Trouble> troubles,
-        Set<Fault> faults) {
+    private static Setting setting(
+            int[] wants, int asks, int answers, int trouble, Set<Trouble> troubles, Set<Fault> faults) {
         return new Setting(wants, asks, answers, trouble, troubles, faults, Fleet.terms(faults));
     }
 
@@ -58,8 +58,9 @@
             holds("two, one resource, " + trouble, explore(sound(TWO_WANT_ONE, 1, 1, EnumSet.of(trouble)), 20_000));
         }
         Set<Trouble> lateWord = EnumSet.of(Trouble.GIVE_BACK, Trouble.TOLD);
-        holds("two, one resource, given back and late word",
-            explore(setting(TWO_WANT_ONE, 1, 2, 2, lateWord, Set.of()), 60_000));
+        holds(
+                "two, one resource, given back and late word",
+                explore(setting(TWO_WANT_ONE, 1, 2, 2, lateWord, Set.of()), 60_000));
         holds("three, two resources, any", explore(sound(THREE_WANT_TWO, 2, 1, EnumSet.allOf(Trouble.class)), 60_000));
     }
 
@@ -118,7 +119,9 @@
     }
 
     private static void found(String fault, Explore.Seen seen) {
-        System.out.printf("| %s | %s | %,d | %d |%n", fault, seen.broken(), seen.states(), seen.path().size() - 2);
+        System.out.printf(
+                "| %s | %s | %,d | %d |%n",
+                fault, seen.broken(), seen.states(), seen.path().size() - 2);
         assertNotNull(seen.broken(), () -> fault + " is not found: " + seen);
     }
 
--- a/src/test/java/rushpin/accord/Fleet.java
+++ b/src/test/java/rushpin/accord/Fleet.java
@@ -50,7 +50,15 @@
     }
 
     /** What else may happen, each as often as {@link Setting#trouble} allows in all. */
-    enum Trouble { REPEAT, CRASH, STALL, GIVE_BACK, TOLD, NEW_LEADER, FOUNDED_ANEW }
+    enum Trouble {
+        REPEAT,
+        CRASH,
+        STALL,
+        GIVE_BACK,
+        TOLD,
+        NEW_LEADER,
+        FOUNDED_ANEW
+    }
 
     /**
      * How much is explored.
@@ -58,8 +66,14 @@
      * @param wants the resources of each process, as bits
      * @param mostAsks how many are on their way at once, and answers
      */
-    record Setting(int[] wants, int mostAsks, int mostAnswers, int trouble, Set<Trouble> troubles, Set<Fault> faults,
-        Terms terms) {
+    record Setting(
+            int[] wants,
+            int mostAsks,
+            int mostAnswers,
+            int trouble,
+            Set<Trouble> troubles,
+            Set<Fault> faults,
+            Terms terms) {
         boolean has(Fault fault) {
             return faults.contains(fault);
         }
@@ -70,8 +84,7 @@
     /** Further back than anything matters. */
     private static final long LONG_AGO = -9;
 
-    private record Message(int process, long id, char about, Object body) {
-    }
+    private record Message(int process, long id, char about, Object body) {}
 
     private final Setting set;
     private State log;
@@ -85,9 +98,11 @@
     private List<Message> asks, answers;
     /** Until when, own time, effects of the start at hand and of earlier ones may last; door and greatest fence granted. */
     private final long[][] tail, formerTail;
+
     private final long[] door, greatest;
     /** The resource whose effect a process was stalled before, or -1, and its fence. */
     private final int[] stalled;
+
     private final long[] stalledFence;
     private int trouble;
     private String broken;
@@ -152,8 +167,12 @@
 
     /** The terms of a fleet that leaves something out. */
     static Terms terms(Set<Fault> faults) {
-        return new Terms(LEASE, faults.contains(Fault.NO_DRIFT) ? 0 : DRIFT,
-            faults.contains(Fault.NO_EFFECT) ? 0 : EFFECT, 20, 9);
+        return new Terms(
+                LEASE,
+                faults.contains(Fault.NO_DRIFT) ? 0 : DRIFT,
+                faults.contains(Fault.NO_EFFECT) ? 0 : EFFECT,
+                20,
+                9);
     }
 
     /** Each setting of clocks, slow or fast, the hardest first: all holders slow, the log fast. */
@@ -192,7 +211,8 @@
         if (command instanceof Command.Join join && has(Fault.TAKES_OVER)) {
             for (State.Session session : log.sessions()) {
                 Who old = session.who();
-                if (old.name().equals(join.who().name()) && old.incarnation() < join.who().incarnation()) {
+                if (old.name().equals(join.who().name())
+                        && old.incarnation() < join.who().incarnation()) {
                     machine.apply(new Entry(logTime, new Command.Leave(session.number())));
                 }
             }
@@ -201,7 +221,8 @@
         if (command instanceof Command.Release release && has(Fault.FREES_ANY_FENCE)) {
             Optional<State.Holder> holder = machine.holder(release.resource());
             if (holder.isPresent()) {
-                applied = new Command.Release(holder.get().session(), release.resource(), holder.get().fence());
+                applied = new Command.Release(
+                        holder.get().session(), release.resource(), holder.get().fence());
             }
         }
         State before = log;
@@ -228,7 +249,7 @@
         }
         for (State.Session session : log.sessions()) {
             if (before.sessions().stream().noneMatch(there -> there.number() == session.number())
-                && !done.decisions().contains(new Decision.Came(session.number(), session.who()))) {
+                    && !done.decisions().contains(new Decision.Came(session.number(), session.who()))) {
                 broken = "a session that was over came back";
             }
         }
@@ -244,8 +265,9 @@
 
     private boolean holds(int p, int r) {
         Holding.Item item = memories[p].items().get(RESOURCES[r]);
-        return item != null && item.live()
-            && (has(Fault.LEASE_NOT_LOOKED_AT) || memories[p].session() != 0 && own[p] < memories[p].until());
+        return item != null
+                && item.live()
+                && (has(Fault.LEASE_NOT_LOOKED_AT) || memories[p].session() != 0 && own[p] < memories[p].until());
     }
 
     /** Whether an effect of a process may still be out, by its own clock. */
@@ -335,8 +357,9 @@
                 put(next.asks, new Message(p, ask.id(), about(ask.command()), ask.command()), set.mostAsks);
             }
             next.remember(p, holding);
-            step.to(next.settled(),
-                () -> whos[p].name() + " asks " + due + (sent.size() < due.size() ? ", arrives " + sent : ""));
+            step.to(
+                    next.settled(),
+                    () -> whos[p].name() + " asks " + due + (sent.size() < due.size() ? ", arrives " + sent : ""));
         }
     }
 
@@ -359,17 +382,22 @@
     }
 
     private static char about(Command command) {
-        return command instanceof Command.Acquire acquire ? acquire.resource().charAt(0)
-            : command instanceof Command.Release release ? Character.toUpperCase(release.resource().charAt(0)) : '-';
+        return command instanceof Command.Acquire acquire
+                ? acquire.resource().charAt(0)
+                : command instanceof Command.Release release
+                        ? Character.toUpperCase(release.resource().charAt(0))
+                        : '-';
     }
 
     /** Lets go of messages that can change nothing any more, so that worlds with the same future are the same. */
     private Fleet settled() {
         answers = only(answers, this::matters);
-        asks = has(Fault.REVIVES) ? asks : only(asks, ask -> {
-            long session = sessionOf((Command) ask.body);
-            return session == 0 || session == memories[ask.process].session() || isThere(session);
-        });
+        asks = has(Fault.REVIVES)
+                ? asks
+                : only(asks, ask -> {
+                    long session = sessionOf((Command) ask.body);
+                    return session == 0 || session == memories[ask.process].session() || isThere(session);
+                });
         return this;
     }
 
@@ -401,14 +429,19 @@
             return false;
         }
         boolean longer = asked.asked() + LEASE > Math.max(memory.until(), own[answer.process])
-            || has(Fault.LEASE_FROM_THE_ANSWER) || has(Fault.LATEST_JOIN);
-        return answer.body instanceof Outcome.Joined joined ? joined.session() > memory.session() || longer
-            : !(asked.command() instanceof Command.Renew) || longer || !(answer.body instanceof Outcome.Done);
+                || has(Fault.LEASE_FROM_THE_ANSWER)
+                || has(Fault.LATEST_JOIN);
+        return answer.body instanceof Outcome.Joined joined
+                ? joined.session() > memory.session() || longer
+                : !(asked.command() instanceof Command.Renew) || longer || !(answer.body instanceof Outcome.Done);
     }
 
     private static long sessionOf(Command command) {
-        return command instanceof Command.Renew renew ? renew.session() : command instanceof Command.Acquire acquire
-            ? acquire.session() : command instanceof Command.Release release ? release.session() : 0;
+        return command instanceof Command.Renew renew
+                ? renew.session()
+                : command instanceof Command.Acquire acquire
+                        ? acquire.session()
+                        : command instanceof Command.Release release ? release.session() : 0;
     }
 
     private static List<Message> without(List<Message> way, int i, boolean gone) {
@@ -430,7 +463,9 @@
             next.answers = new ArrayList<>(answers);
             put(next.answers, new Message(ask.process, ask.id, ask.about, outcome), set.mostAnswers);
         }
-        step.to(next.settled(), () -> "committed" + (gone ? "" : " and still on its way") + ": " + ask + " -> " + outcome);
+        step.to(
+                next.settled(),
+                () -> "committed" + (gone ? "" : " and still on its way") + ": " + ask + " -> " + outcome);
     }
 
     private void hear(int i, Explore.Step<Fleet> step) {
@@ -448,8 +483,22 @@
         }
         if (has(Fault.LEASE_FROM_THE_ANSWER) && holding.until() != memories[p].until()) {
             Holding.Memory m = holding.memory();
-            holding = new Holding(whos[p], 1, RESOURCES.length, new Holding.Memory(m.terms(), m.session(), m.ended(),
-                own[p] + LEASE, m.again(), m.asks(), m.leaveBy(), m.over(), m.forgotten(), m.items(), m.out()));
+            holding = new Holding(
+                    whos[p],
+                    1,
+                    RESOURCES.length,
+                    new Holding.Memory(
+                            m.terms(),
+                            m.session(),
+                            m.ended(),
+                            own[p] + LEASE,
+                            m.again(),
+                            m.asks(),
+                            m.leaveBy(),
+                            m.over(),
+                            m.forgotten(),
+                            m.items(),
+                            m.out()));
         }
         next.remember(p, holding);
         if (has(Fault.GRANT_WITHOUT_A_LOOK) && answer.body instanceof Outcome.Granted granted) {
@@ -465,24 +514,48 @@
         Map<Long, Holding.Out> out = m.out();
         long forgotten = has(Fault.FORGOTTEN) ? 0 : m.forgotten();
         if (asked == null) {
-            return new Holding.Memory(m.terms(), m.session(), m.ended(), m.until(), m.again(), m.asks(), m.leaveBy(),
-                m.over(), forgotten, items, out);
+            return new Holding.Memory(
+                    m.terms(),
+                    m.session(),
+                    m.ended(),
+                    m.until(),
+                    m.again(),
+                    m.asks(),
+                    m.leaveBy(),
+                    m.over(),
+                    forgotten,
+                    items,
+                    out);
         }
         if (has(Fault.LATE_GRANT) && answer.body instanceof Outcome.Granted granted) {
             Holding.Item item = items.get(granted.resource());
             items = new TreeMap<>(items);
-            items.put(granted.resource(), new Holding.Item(item.wanted(), item.known(), item.live(), 0, 0, item.again()));
+            items.put(
+                    granted.resource(), new Holding.Item(item.wanted(), item.known(), item.live(), 0, 0, item.again()));
         } else if (has(Fault.GRANT_OF_AN_EARLIER_SESSION) && asked.command() instanceof Command.Acquire acquire) {
             out = new TreeMap<>(out);
             out.put(answer.id, new Holding.Out(new Command.Acquire(m.session(), acquire.resource()), asked.asked()));
         } else if (has(Fault.LATEST_JOIN) && answer.body instanceof Outcome.Joined) {
-            long latest = out.values().stream().filter(o -> o.command() instanceof Command.Join)
-                .mapToLong(Holding.Out::asked).max().orElseThrow();
+            long latest = out.values().stream()
+                    .filter(o -> o.command() instanceof Command.Join)
+                    .mapToLong(Holding.Out::asked)
+                    .max()
+                    .orElseThrow();
             out = new TreeMap<>(out);
             out.put(answer.id, new Holding.Out(asked.command(), latest));
         }
-        return new Holding.Memory(m.terms(), m.session(), m.ended(), m.until(), m.again(), m.asks(), m.leaveBy(), m.over(),
-            forgotten, items, out);
+        return new Holding.Memory(
+                m.terms(),
+                m.session(),
+                m.ended(),
+                m.until(),
+                m.again(),
+                m.asks(),
+                m.leaveBy(),
+                m.over(),
+                forgotten,
+                items,
+                out);
     }
 
     private boolean may(Trouble what) {
@@ -506,7 +579,9 @@
         next.whos[p] = new Who(whos[p].name(), whos[p].incarnation() + 1, "z", "", 1);
         next.answers = answers.stream().filter(answer -> answer.process != p).toList();
         // Asks of the start before are still on their way, but their answers go nowhere.
-        next.asks = asks.stream().map(ask -> ask.process == p ? new Message(p, 0, ask.about, ask.body) : ask).toList();
+        next.asks = asks.stream()
+                .map(ask -> ask.process == p ? new Message(p, 0, ask.about, ask.body) : ask)
+                .toList();
         Holding holding = new Holding(next.whos[p], 1, RESOURCES.length, own[p]);
         want(p, holding);
         next.memories[p] = holding.memory();
@@ -520,7 +595,9 @@
                 Fleet next = troubled();
                 next.stalled[p] = r;
                 next.stalledFence[p] = memories[p].items().get(RESOURCES[r]).known();
-                step.to(next.settled(), () -> whos[p].name() + " has looked at " + RESOURCES[resource] + " and is stopped");
+                step.to(
+                        next.settled(),
+                        () -> whos[p].name() + " has looked at " + RESOURCES[resource] + " and is stopped");
             }
         }
     }
@@ -702,7 +779,9 @@
                 fences[stalled[p]].add(stalledFence[p]);
             }
             for (Map.Entry<String, Holding.Item> entry : memories[p].items().entrySet()) {
-                fences[index(entry.getKey())].add(entry.getValue().known()).add(entry.getValue().owed());
+                fences[index(entry.getKey())]
+                        .add(entry.getValue().known())
+                        .add(entry.getValue().owed());
             }
         }
         for (Message answer : answers) {
@@ -723,8 +802,10 @@
             print.add(own[1] % 2);
         }
         for (State.Session session : log.sessions()) {
-            print.add(sessions.of(session.number())).add(session.who().name().charAt(0)).add(session.who().incarnation())
-                .add(session.until() - logTime);
+            print.add(sessions.of(session.number()))
+                    .add(session.who().name().charAt(0))
+                    .add(session.who().incarnation())
+                    .add(session.until() - logTime);
         }
         for (State.Holder holder : log.holders()) {
             int r = index(holder.resource());
@@ -739,13 +820,19 @@
                 print.add(fences[stalled[p]].of(stalledFence[p]));
             }
             Holding.Memory m = memories[p];
-            print.add(m.terms() == null ? 0 : 1).add(sessions.of(m.session())).add(ahead(m.until(), p))
-                .add(ahead(m.again(), p));
+            print.add(m.terms() == null ? 0 : 1)
+                    .add(sessions.of(m.session()))
+                    .add(ahead(m.until(), p))
+                    .add(ahead(m.again(), p));
             for (Map.Entry<String, Holding.Item> entry : m.items().entrySet()) {
                 Holding.Item item = entry.getValue();
                 Row row = fences[index(entry.getKey())];
-                print.add(index(entry.getKey())).add((item.wanted() ? 1 : 0) + (item.live() ? 2 : 0))
-                    .add(row.of(item.known())).add(row.of(item.back())).add(row.of(item.owed())).add(ahead(item.again(), p));
+                print.add(index(entry.getKey()))
+                        .add((item.wanted() ? 1 : 0) + (item.live() ? 2 : 0))
+                        .add(row.of(item.known()))
+                        .add(row.of(item.back()))
+                        .add(row.of(item.owed()))
+                        .add(ahead(item.again(), p));
             }
             for (int r = 0; r < RESOURCES.length; r++) {
                 print.add(fences[r].of(m.forgotten()));
@@ -806,8 +893,11 @@
         Object body = message.body;
         if (way == 2 && asked != null) {
             Command command = asked.command();
-            print.add(sessions.of(sessionOf(command))).add(command instanceof Command.Release release
-                ? fences[index(release.resource())].of(release.fence()) : 0);
+            print.add(sessions.of(sessionOf(command)))
+                    .add(
+                            command instanceof Command.Release release
+                                    ? fences[index(release.resource())].of(release.fence())
+                                    : 0);
         }
         if (body instanceof Command command) {
             print.add(sessions.of(sessionOf(command)));
@@ -852,9 +942,20 @@
         StringBuilder text = new StringBuilder("log " + logTime + " (rate " + logRate + ") ");
         text.append(log.sessions()).append(log.holders());
         for (int p = 0; p < own.length; p++) {
-            text.append("; ").append(whos[p].name()).append(" at ").append(own[p]).append(" (rate ").append(rates[p])
-                .append(") session ").append(memories[p].session()).append(" until ").append(memories[p].until()).append(' ')
-                .append(memories[p].items()).append(" effects until ").append(Arrays.toString(tail[p]));
+            text.append("; ")
+                    .append(whos[p].name())
+                    .append(" at ")
+                    .append(own[p])
+                    .append(" (rate ")
+                    .append(rates[p])
+                    .append(") session ")
+                    .append(memories[p].session())
+                    .append(" until ")
+                    .append(memories[p].until())
+                    .append(' ')
+                    .append(memories[p].items())
+                    .append(" effects until ")
+                    .append(Arrays.toString(tail[p]));
         }
         return text.toString();
     }
--- a/src/test/java/rushpin/accord/HoldingTest.java
+++ b/src/test/java/rushpin/accord/HoldingTest.java
@@ -38,8 +38,9 @@
     private void holds(long session, long fence) {
         joins(session);
         holding.want("r", 1);
-        assertEquals(List.of(new Event.Gained("r", fence)),
-            holding.answered(ask(1, new Command.Acquire(session, "r")).id(), new Outcome.Granted("r", fence), 2));
+        assertEquals(
+                List.of(new Event.Gained("r", fence)),
+                holding.answered(ask(1, new Command.Acquire(session, "r")).id(), new Outcome.Granted("r", fence), 2));
     }
 
     @Test
--- a/src/test/java/rushpin/accord/MachineTest.java
+++ b/src/test/java/rushpin/accord/MachineTest.java
@@ -67,7 +67,8 @@
         assertEquals(refused(Reason.UNKNOWN), at(0, newer));
         at(0, new Command.Join(new Who("n", 1, "z", "", Machine.LEVEL + 1)));
         long old = join(0, "o", 1);
-        assertEquals(new Outcome.Done(), at(0, new Command.Carried(new Command.Renew(old), new byte[9])), "more fields");
+        assertEquals(
+                new Outcome.Done(), at(0, new Command.Carried(new Command.Renew(old), new byte[9])), "more fields");
         assertEquals(Machine.LEVEL, machine.level());
         assertEquals(refused(Reason.UNKNOWN), at(0, newer));
         at(0, new Command.Leave(old));
@@ -81,10 +82,13 @@
         assertEquals(FIRST, join(0, "a", 1));
         assertEquals(new Outcome.Done(), at(119, new Command.Renew(FIRST)));
         assertEquals(new Outcome.Granted("r", FIRST + 1), at(120, new Command.Acquire(FIRST, "r")));
-        assertEquals(List.of(), machine.apply(new Entry(5, new Command.Tick())).decisions(), "log time never goes back");
+        assertEquals(
+                List.of(), machine.apply(new Entry(5, new Command.Tick())).decisions(), "log time never goes back");
         assertEquals(120, machine.now());
-        assertEquals(List.of(new Decision.Went(FIRST, who("a", 1)), new Decision.Free("r")),
-            machine.apply(new Entry(239, new Command.Renew(FIRST))).decisions(), "before the command, however late");
+        assertEquals(
+                List.of(new Decision.Went(FIRST, who("a", 1)), new Decision.Free("r")),
+                machine.apply(new Entry(239, new Command.Renew(FIRST))).decisions(),
+                "before the command, however late");
         assertEquals(refused(Reason.NO_SESSION), at(239, new Command.Acquire(FIRST, "r")));
         assertEquals(FIRST + 2, join(239, "a", 1), "a number is never given twice");
     }
@@ -113,8 +117,9 @@
         assertTrue(second > first);
         assertEquals(refused(Reason.NOT_HOLDER), at(2, new Command.Release(a, "r", first)), "a repeated one");
         assertEquals(refused(Reason.NOT_HOLDER), at(2, new Command.Release(b, "r", second)));
-        assertEquals(List.of(new Decision.Went(a, who("a", 1)), new Decision.Free("r")),
-            machine.apply(new Entry(3, new Command.Leave(a))).decisions());
+        assertEquals(
+                List.of(new Decision.Went(a, who("a", 1)), new Decision.Free("r")),
+                machine.apply(new Entry(3, new Command.Leave(a))).decisions());
         assertEquals(refused(Reason.NO_SESSION), at(3, new Command.Leave(a)));
         assertEquals(new Outcome.Granted("r", second + 1), at(3, new Command.Acquire(b, "r")));
     }
@@ -162,17 +167,25 @@
         assertEquals(refused(Reason.NOT_HOLDER), at(0, new Command.Publish(b, fence, 0, ways)));
         assertEquals(refused(Reason.NOT_HOLDER), at(0, new Command.Publish(a, fence - 1, 0, ways)));
         assertEquals(refused(Reason.STALE_PLAN), at(0, new Command.Publish(a, fence, 1, ways)));
-        for (List<Plan.Way> bad : List.of(ways("x", "y", 400, "z", 599), ways("x", "y", 500, "y", 500),
-            ways("", "y", 400, "z", 600), ways("x", "y", 0, "z", 1_000), ways("x", "y", -1, "z", 1_001),
-            List.of(ways.get(0), ways.get(0)), List.of(new Plan.Way("x", List.of())),
-            Collections.nCopies(Plan.MOST_ZONES + 1, ways.get(0)))) {
+        for (List<Plan.Way> bad : List.of(
+                ways("x", "y", 400, "z", 599),
+                ways("x", "y", 500, "y", 500),
+                ways("", "y", 400, "z", 600),
+                ways("x", "y", 0, "z", 1_000),
+                ways("x", "y", -1, "z", 1_001),
+                List.of(ways.get(0), ways.get(0)),
+                List.of(new Plan.Way("x", List.of())),
+                Collections.nCopies(Plan.MOST_ZONES + 1, ways.get(0)))) {
             assertEquals(refused(Reason.BAD_PLAN), at(0, new Command.Publish(a, fence, 0, bad)), () -> bad.toString());
         }
         Plan plan = new Plan(1, fence, ways);
-        assertEquals(new Applied(new Outcome.Published(1), List.of(new Decision.InForce(plan))),
-            machine.apply(new Entry(0, new Command.Publish(a, fence, 0, ways))));
-        assertEquals(new Applied(new Outcome.Published(1), List.of()),
-            machine.apply(new Entry(0, new Command.Publish(a, fence, 0, ways))), "its answer was lost");
+        assertEquals(
+                new Applied(new Outcome.Published(1), List.of(new Decision.InForce(plan))),
+                machine.apply(new Entry(0, new Command.Publish(a, fence, 0, ways))));
+        assertEquals(
+                new Applied(new Outcome.Published(1), List.of()),
+                machine.apply(new Entry(0, new Command.Publish(a, fence, 0, ways))),
+                "its answer was lost");
         assertEquals(plan, machine.plan());
         at(1, new Command.Leave(a));
         assertEquals(plan, machine.plan(), "a plan outlives its planner");
@@ -185,9 +198,10 @@
     @Test
     void aStateThatCanBeNoneIsRefused() {
         State.Session session = new State.Session(FIRST, who("a", 1), 5);
-        for (State state : List.of(new State(1, null, 0, 0, List.of(), List.of(), Plan.NONE),
-            new State(1, TERMS, 0, 1, List.of(session, session), List.of(), Plan.NONE),
-            new State(1, TERMS, 0, 2, List.of(session), List.of(new State.Holder("r", 9, FIRST + 1)), Plan.NONE))) {
+        for (State state : List.of(
+                new State(1, null, 0, 0, List.of(), List.of(), Plan.NONE),
+                new State(1, TERMS, 0, 1, List.of(session, session), List.of(), Plan.NONE),
+                new State(1, TERMS, 0, 2, List.of(session), List.of(new State.Holder("r", 9, FIRST + 1)), Plan.NONE))) {
             assertThrows(IllegalArgumentException.class, () -> new Machine(state), state.toString());
         }
     }
@@ -196,18 +210,27 @@
     static Arbitrary<List<Entry>> histories() {
         Arbitrary<Long> numbers = Arbitraries.longs().between(FIRST, FIRST + 14);
         Arbitrary<String> resources = Arbitraries.of("planner", "r", "s", "t", "u", "!");
-        Arbitrary<Command> joins = Combinators.combine(Arbitraries.of("a", "b", "c", "?"), Arbitraries.longs().between(1, 3))
-            .as((name, incarnation) -> new Command.Join(who(name, incarnation)));
-        Arbitrary<Command> publishes = Combinators.combine(numbers, numbers, Arbitraries.longs().between(0, 3))
-            .as((session, fence, after) -> new Command.Publish(session, fence, after, ways("x", "y", 400, "z", 600)));
-        Arbitrary<Command> commands = Arbitraries.frequencyOf(Tuple.of(4, joins),
-            Tuple.of(4, numbers.map(Command.Renew::new)), Tuple.of(1, numbers.map(Command.Leave::new)),
-            Tuple.of(6, Combinators.combine(numbers, resources).as(Command.Acquire::new)),
-            Tuple.of(3, Combinators.combine(numbers, resources, numbers).as(Command.Release::new)),
-            Tuple.of(2, publishes), Tuple.of(1, Arbitraries.just(new Command.Tick())),
-            Tuple.of(1, Arbitraries.just(new Command.Found(1, TERMS))));
+        Arbitrary<Command> joins = Combinators.combine(
+                        Arbitraries.of("a", "b", "c", "?"), Arbitraries.longs().between(1, 3))
+                .as((name, incarnation) -> new Command.Join(who(name, incarnation)));
+        Arbitrary<Command> publishes = Combinators.combine(
+                        numbers, numbers, Arbitraries.longs().between(0, 3))
+                .as((session, fence, after) ->
+                        new Command.Publish(session, fence, after, ways("x", "y", 400, "z", 600)));
+        Arbitrary<Command> commands = Arbitraries.frequencyOf(
+                Tuple.of(4, joins),
+                Tuple.of(4, numbers.map(Command.Renew::new)),
+                Tuple.of(1, numbers.map(Command.Leave::new)),
+                Tuple.of(6, Combinators.combine(numbers, resources).as(Command.Acquire::new)),
+                Tuple.of(3, Combinators.combine(numbers, resources, numbers).as(Command.Release::new)),
+                Tuple.of(2, publishes),
+                Tuple.of(1, Arbitraries.just(new Command.Tick())),
+                Tuple.of(1, Arbitraries.just(new Command.Found(1, TERMS))));
         Arbitrary<Long> gaps = Arbitraries.longs().between(-20, 60);
-        return Combinators.combine(gaps, commands).as((gap, command) -> new Entry(gap, command)).list().ofMaxSize(80);
+        return Combinators.combine(gaps, commands)
+                .as((gap, command) -> new Entry(gap, command))
+                .list()
+                .ofMaxSize(80);
     }
 
     /**
@@ -268,7 +291,8 @@
         for (int i = 0; i < shares.length; i += 2) {
             parts.add(new Budget.Share(shares[i], (int) shares[i + 1], List.of(1)));
         }
-        return new Command.Divide(session, fence, after, "db", new Budget.Figures(most, 1, 2, 30, forget), List.of("t"), parts);
+        return new Command.Divide(
+                session, fence, after, "db", new Budget.Figures(most, 1, 2, 30, forget), List.of("t"), parts);
     }
 
     @Test
@@ -281,14 +305,17 @@
         assertEquals(refused(Reason.UNKNOWN), at(0, divide(a, fence, 0, 10, 200, b, 4)), "as the older version does");
         at(0, new Command.Leave(old));
         assertEquals(refused(Reason.STALE_DIVISION), at(0, divide(a, fence, 1, 10, 200, b, 4)));
-        assertEquals(refused(Reason.BAD_DIVISION), at(0, divide(a, fence, 0, 10, 200, b, 10)), "one of ten is a reserve");
+        assertEquals(
+                refused(Reason.BAD_DIVISION), at(0, divide(a, fence, 0, 10, 200, b, 10)), "one of ten is a reserve");
         assertEquals(refused(Reason.BAD_DIVISION), at(0, divide(a, fence, 0, 10, 200, b, 1, a, 1)), "out of order");
         assertEquals(refused(Reason.NOT_ALLOTTED), at(0, new Command.Cede(b, "db", 0, 0)));
         assertEquals(new Outcome.Divided(1), at(0, divide(a, fence, 0, 10, 200, b, 4)));
         assertEquals(new Outcome.Divided(1), at(0, divide(a, fence, 0, 10, 200, b, 4)), "told again");
-        assertEquals(refused(Reason.BAD_DIVISION), at(0, divide(a, fence, 1, 10, 199, b, 4)), "who is cut off goes by 200");
+        assertEquals(
+                refused(Reason.BAD_DIVISION), at(0, divide(a, fence, 1, 10, 199, b, 4)), "who is cut off goes by 200");
         Allotment word = machine.word("db", b).orElseThrow();
-        assertEquals(new Allotment("db", b, word.number(), 4, 2, 4, 200, 30, List.of(new Allotment.Quota("t", 1))), word);
+        assertEquals(
+                new Allotment("db", b, word.number(), 4, 2, 4, 200, 30, List.of(new Allotment.Quota("t", 1))), word);
     }
 
     /** The sum of what is granted only grows while it is under the number; a restored machine goes on alike. */
@@ -300,9 +327,12 @@
             Machine one = new Machine(State.EMPTY);
             long now = 0;
             one.apply(new Entry(0, new Command.Found(1, TERMS)));
-            long divider = ((Outcome.Joined) one.apply(new Entry(0, new Command.Join(who("d", 1)))).outcome()).session();
-            long fence = ((Outcome.Granted) one.apply(new Entry(0, new Command.Acquire(divider, Command.DIVIDER))).outcome())
-                .fence();
+            long divider = ((Outcome.Joined) one.apply(new Entry(0, new Command.Join(who("d", 1))))
+                            .outcome())
+                    .session();
+            long fence = ((Outcome.Granted) one.apply(new Entry(0, new Command.Acquire(divider, Command.DIVIDER)))
+                            .outcome())
+                    .fence();
             int most = 20;
             for (int i = 0; i < 400; i++) {
                 now += chance.nextInt(12);
@@ -314,8 +344,15 @@
                     case 0 -> new Command.Join(who("p" + chance.nextInt(4), chance.nextInt(3)));
                     case 1 -> new Command.Renew(any.number());
                     case 2 -> any.number() == divider ? new Command.Tick() : new Command.Leave(any.number());
-                    case 3 -> new Command.Cede(any.number(), "db", one.word("db", any.number()).map(Allotment::number)
-                        .orElse(0L) - chance.nextInt(2), chance.nextInt(12));
+                    case 3 ->
+                        new Command.Cede(
+                                any.number(),
+                                "db",
+                                one.word("db", any.number())
+                                                .map(Allotment::number)
+                                                .orElse(0L)
+                                        - chance.nextInt(2),
+                                chance.nextInt(12));
                     default -> {
                         most = 5 + chance.nextInt(20);
                         long[] shares = new long[2 * sessions.size()];
@@ -323,7 +360,13 @@
                             shares[2 * j] = sessions.get(j).number();
                             shares[2 * j + 1] = chance.nextInt(1 + most / sessions.size());
                         }
-                        yield divide(divider, fence, one.budget("db").map(Budget::number).orElse(0L), most, 150, shares);
+                        yield divide(
+                                divider,
+                                fence,
+                                one.budget("db").map(Budget::number).orElse(0L),
+                                most,
+                                150,
+                                shares);
                     }
                 };
                 Machine restored = new Machine(one.state());
@@ -334,9 +377,18 @@
                 if (one.budget("db").isPresent()) {
                     Budget of = one.budget("db").get();
                     granted = of.granted();
-                    assertTrue(granted <= Math.max(before, of.figures().most() - of.figures().reserve()), what + ": " + of);
-                    of.grants().forEach(each -> assertTrue(each.most() <= each.granted() && each.own() <= each.floor()
-                        && each.floor() <= each.granted(), what + ": " + each));
+                    assertTrue(
+                            granted
+                                    <= Math.max(
+                                            before,
+                                            of.figures().most() - of.figures().reserve()),
+                            what + ": " + of);
+                    of.grants()
+                            .forEach(each -> assertTrue(
+                                    each.most() <= each.granted()
+                                            && each.own() <= each.floor()
+                                            && each.floor() <= each.granted(),
+                                    what + ": " + each));
                 }
             }
         }
--- a/src/test/java/rushpin/accord/Voters.java
+++ b/src/test/java/rushpin/accord/Voters.java
@@ -32,8 +32,14 @@
     private static final List<String> LISTED = List.of(NAMES);
 
     /** A folder and what a process remembers; it is up where it has started. */
-    private record Voter(String id, UUID group, UUID offer, Set<String> offered, boolean up, int stored,
-        Map<String, Founding.Introduction> heard) {
+    private record Voter(
+            String id,
+            UUID group,
+            UUID offer,
+            Set<String> offered,
+            boolean up,
+            int stored,
+            Map<String, Founding.Introduction> heard) {
         Voter with(UUID now, int entries) {
             return new Voter(id, now, null, Set.of(), up, entries, heard);
         }
@@ -80,19 +86,26 @@
     private Founding.Introduction introduction(int v) {
         Voter voter = voters[v];
         boolean blank = voter.group == null;
-        return new Founding.Introduction(NAMES[v], voter.id, blank, 1, blank ? voter.offer : voter.group,
-            List.copyOf(blank ? voter.offered : members.get(voter.group)));
+        return new Founding.Introduction(
+                NAMES[v],
+                voter.id,
+                blank,
+                1,
+                blank ? voter.offer : voter.group,
+                List.copyOf(blank ? voter.offered : members.get(voter.group)));
     }
 
     private Founding.Step decide(int v) {
         Collection<Founding.Introduction> heard = voters[v].heard.values();
         Founding.Step step = Founding.decide(introduction(v), LISTED, voters[v].group == null ? 0 : 1, heard);
         if (fault == Fault.NOT_ALL && step instanceof Founding.Step.Wait && heard.size() == 1) {
-            Set<String> ids = new TreeSet<>(List.of(voters[v].id, heard.iterator().next().id()));
+            Set<String> ids =
+                    new TreeSet<>(List.of(voters[v].id, heard.iterator().next().id()));
             return new Founding.Step.Found(Founding.group(1, ids), List.copyOf(ids));
         }
         return fault == Fault.NO_OFFERS && step instanceof Founding.Step.Offer offer
-            ? new Founding.Step.Found(offer.group(), offer.memberIds()) : step;
+                ? new Founding.Step.Found(offer.group(), offer.memberIds())
+                : step;
     }
 
     private Voters set(int v, Voter voter) {
@@ -106,8 +119,9 @@
             Voter voter = voters[v];
             int at = v;
             if (!voter.up) {
-                step.to(set(v, new Voter(voter.id, voter.group, null, Set.of(), true, voter.stored, voter.heard)),
-                    () -> NAMES[at] + " starts");
+                step.to(
+                        set(v, new Voter(voter.id, voter.group, null, Set.of(), true, voter.stored, voter.heard)),
+                        () -> NAMES[at] + " starts");
                 continue;
             }
             for (int w = 0; w < voters.length; w++) {
@@ -115,8 +129,7 @@
                     int other = w;
                     Map<String, Founding.Introduction> heard = new TreeMap<>(voter.heard);
                     heard.put(NAMES[w], introduction(w));
-                    step.to(set(v, voter.hears(heard)),
-                        () -> NAMES[at] + " hears " + introduction(other));
+                    step.to(set(v, voter.hears(heard)), () -> NAMES[at] + " hears " + introduction(other));
                 }
             }
             act(v, step);
@@ -176,8 +189,11 @@
                 int last = leader, with = other;
                 int stored = voters[leader].stored + 1;
                 // The first entry is enough: a second first one is what must not be.
-                if (leader != other && isMember(leader, group) && isMember(other, group)
-                    && voters[leader].stored >= voters[other].stored && stored == 1) {
+                if (leader != other
+                        && isMember(leader, group)
+                        && isMember(other, group)
+                        && voters[leader].stored >= voters[other].stored
+                        && stored == 1) {
                     Voters next = new Voters(this);
                     next.voters[leader] = voters[leader].with(group, stored);
                     next.voters[other] = voters[other].with(group, stored);
@@ -187,14 +203,18 @@
                         next.broken = "two foundings of one era decide";
                     }
                     next.decided.put(group, stored);
-                    step.to(next, () -> NAMES[last] + " and " + NAMES[with] + " decide entry " + stored + " of " + group);
+                    step.to(
+                            next,
+                            () -> NAMES[last] + " and " + NAMES[with] + " decide entry " + stored + " of " + group);
                 }
             }
         }
     }
 
     private boolean isMember(int v, UUID group) {
-        return voters[v].up && group.equals(voters[v].group) && members.get(group).contains(voters[v].id);
+        return voters[v].up
+                && group.equals(voters[v].group)
+                && members.get(group).contains(voters[v].id);
     }
 
     static final Explore.Rules<Voters> RULES = new Explore.Rules<>() {
@@ -210,13 +230,19 @@
 
         @Override
         public long print(Voters world) {
-            Explore.Print print = new Explore.Print().add(world.losses).add(world.deaths).add(world.drawn);
+            Explore.Print print =
+                    new Explore.Print().add(world.losses).add(world.deaths).add(world.drawn);
             for (Voter voter : world.voters) {
-                print.add(voter.id.hashCode()).add(hash(voter.group)).add(hash(voter.offer))
-                    .add(voter.up ? 1 : 0).add(voter.stored);
+                print.add(voter.id.hashCode())
+                        .add(hash(voter.group))
+                        .add(hash(voter.offer))
+                        .add(voter.up ? 1 : 0)
+                        .add(voter.stored);
                 for (Founding.Introduction said : voter.heard.values()) {
-                    print.add(said.id().hashCode()).add(said.blank() ? 1 : 0).add(hash(said.groupId()))
-                        .add(said.memberIds().hashCode());
+                    print.add(said.id().hashCode())
+                            .add(said.blank() ? 1 : 0)
+                            .add(hash(said.groupId()))
+                            .add(said.memberIds().hashCode());
                 }
                 print.add(-1);
             }
--- a/src/test/java/rushpin/accord/log/DiskTest.java
+++ b/src/test/java/rushpin/accord/log/DiskTest.java
@@ -98,9 +98,12 @@
             net.decide(2);
             net.await("that it says so", () -> "the disk hangs".equals(one.back));
             assertFalse(one.replica.leads());
-            assertThrows(ExecutionException.class, () -> one.replica.propose(new Command.Renew(50)).get(60, TimeUnit.SECONDS));
-            assertThrows(ExecutionException.class,
-                () -> one.replica.received(Carrier.Kind.APPEND, new byte[0]).get(60, TimeUnit.SECONDS));
+            assertThrows(
+                    ExecutionException.class,
+                    () -> one.replica.propose(new Command.Renew(50)).get(60, TimeUnit.SECONDS));
+            assertThrows(
+                    ExecutionException.class,
+                    () -> one.replica.received(Carrier.Kind.APPEND, new byte[0]).get(60, TimeUnit.SECONDS));
             net.decide(3);
             one.disk.complete(null);
             net.together(4);
@@ -110,13 +113,26 @@
     /** A file may not grow any more, as on a full disk: what was answered for is there afterwards, and nothing is answered since. */
     @Test
     void aDiskThatIsFull() throws Exception {
-        Process process = new ProcessBuilder("bash", "-c", "ulimit -f 300; exec \"$0\" \"$@\"",
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx48m", "-XX:-UsePerfData", "-cp",
-            System.getProperty("java.class.path"), Alone.class.getName(), root.toString()).redirectErrorStream(true).start();
+        Process process = new ProcessBuilder(
+                        "bash",
+                        "-c",
+                        "ulimit -f 300; exec \"$0\" \"$@\"",
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-Xmx48m",
+                        "-XX:-UsePerfData",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Alone.class.getName(),
+                        root.toString())
+                .redirectErrorStream(true)
+                .start();
         String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(0, process.waitFor(), said);
         List<String> lines = said.lines().toList();
-        List<String> done = lines.stream().filter(line -> line.startsWith("done ")).map(line -> line.substring(5)).toList();
+        List<String> done = lines.stream()
+                .filter(line -> line.startsWith("done "))
+                .map(line -> line.substring(5))
+                .toList();
         assertTrue(done.size() > 10, said);
         assertTrue(lines.stream().anyMatch(line -> line.startsWith("back the log can't be written")), said);
         assertEquals("after: refused", lines.get(lines.size() - 1), said);
@@ -125,8 +141,10 @@
             net.decide(1);
             List<String> there;
             synchronized (net) {
-                there = net.voters.get("a").heard.stream().filter(e -> e.command() instanceof Command.Join)
-                    .map(e -> ((Command.Join) e.command()).who().name().strip()).toList();
+                there = net.voters.get("a").heard.stream()
+                        .filter(e -> e.command() instanceof Command.Join)
+                        .map(e -> ((Command.Join) e.command()).who().name().strip())
+                        .toList();
             }
             assertEquals(done, there.subList(0, done.size()));
         }
@@ -141,10 +159,13 @@
             String most = " ".repeat(4_000);
             for (int i = 0; voter.back == null; i++) {
                 try {
-                    voter.replica.propose(new Command.Join(new Who(i + most, 0, "", "", 1))).get(60, TimeUnit.SECONDS);
+                    voter.replica
+                            .propose(new Command.Join(new Who(i + most, 0, "", "", 1)))
+                            .get(60, TimeUnit.SECONDS);
                     System.out.println("done " + i);
                 } catch (ExecutionException e) {
-                    System.out.println("not " + i + ": " + e.getCause().getClass().getSimpleName());
+                    System.out.println(
+                            "not " + i + ": " + e.getCause().getClass().getSimpleName());
                     net.await("that it says so", () -> voter.back != null);
                 }
             }
@@ -174,7 +195,9 @@
 
     private static Path segment(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
-            Path segment = files.filter(file -> file.getFileName().toString().startsWith("log_inprogress")).findFirst().orElseThrow();
+            Path segment = files.filter(file -> file.getFileName().toString().startsWith("log_inprogress"))
+                    .findFirst()
+                    .orElseThrow();
             assertEquals("current", segment.getParent().getFileName().toString());
             return segment;
         }
--- a/src/test/java/rushpin/accord/log/FolderTest.java
+++ b/src/test/java/rushpin/accord/log/FolderTest.java
@@ -35,7 +35,9 @@
         Folder folder = Folder.open(root);
         folder.settle("a-1", 1, GROUP);
         folder.begin();
-        assertTrue(assertThrows(IOException.class, () -> Folder.open(root)).getMessage().contains("has lost its log"));
+        assertTrue(assertThrows(IOException.class, () -> Folder.open(root))
+                .getMessage()
+                .contains("has lost its log"));
     }
 
     @Test
@@ -47,7 +49,9 @@
     @Test
     void aDamagedNameIsRefused() throws IOException {
         Files.writeString(root.resolve("voter"), "id=a-1\nera=");
-        assertTrue(assertThrows(IOException.class, () -> Folder.open(root)).getMessage().contains("is damaged"));
+        assertTrue(assertThrows(IOException.class, () -> Folder.open(root))
+                .getMessage()
+                .contains("is damaged"));
     }
 
     @Test
--- a/src/test/java/rushpin/accord/log/Lan.java
+++ b/src/test/java/rushpin/accord/log/Lan.java
@@ -56,11 +56,13 @@
     private volatile double loss;
     /** Requests that this holds for are lost. */
     volatile Predicate<AppendEntriesRequestProto> lost = request -> false;
+
     private volatile int delayMost;
     /** Each message takes so many milliseconds at least. */
     volatile int delayLeast;
     /** For voters that are started from now on: so many nanoseconds go by while the log is opened. */
     volatile long opening;
+
     final Map<String, Voter> voters = new ConcurrentHashMap<>();
 
     Lan(Path root, long seed) {
@@ -75,6 +77,7 @@
         final Replica replica;
         /** Guarded by the net. */
         final List<Entry> heard = new ArrayList<>();
+
         final List<State> restored = new ArrayList<>();
         volatile String back;
         private volatile long late;
@@ -88,9 +91,17 @@
             if (folder.blank()) {
                 folder.settle(id, 1, GROUP);
             }
-            replica = new Replica(peer, new Replica.Group(GROUP, founders), folder(name), this::machine, new Text(),
-                (to, kind, body, patience) -> carry(name, to, kind, body, patience), TIMING, () -> System.nanoTime() + late, this,
-                () -> disk);
+            replica = new Replica(
+                    peer,
+                    new Replica.Group(GROUP, founders),
+                    folder(name),
+                    this::machine,
+                    new Text(),
+                    (to, kind, body, patience) -> carry(name, to, kind, body, patience),
+                    TIMING,
+                    () -> System.nanoTime() + late,
+                    this,
+                    () -> disk);
             voters.put(name, this);
         }
 
@@ -130,18 +141,25 @@
         /** Numbers of what was applied here, without ticks. */
         List<Long> numbers() {
             synchronized (Lan.this) {
-                return heard.stream().filter(e -> e.command() instanceof Command.Renew)
-                    .map(e -> ((Command.Renew) e.command()).session()).toList();
+                return heard.stream()
+                        .filter(e -> e.command() instanceof Command.Renew)
+                        .map(e -> ((Command.Renew) e.command()).session())
+                        .toList();
             }
         }
     }
 
     /** Asks for a vote, in a term that is over. */
     static byte[] vote(String from, String to) {
-        return RequestVoteRequestProto.newBuilder().setServerRequest(RaftRpcRequestProto.newBuilder()
-            .setRequestorId(ByteString.copyFromUtf8(from)).setReplyId(ByteString.copyFromUtf8(to))
-            .setRaftGroupId(RaftGroupIdProto.newBuilder().setId(RaftGroupId.valueOf(GROUP).toByteString())))
-            .setCandidateLastEntry(TermIndexProto.getDefaultInstance()).build().toByteArray();
+        return RequestVoteRequestProto.newBuilder()
+                .setServerRequest(RaftRpcRequestProto.newBuilder()
+                        .setRequestorId(ByteString.copyFromUtf8(from))
+                        .setReplyId(ByteString.copyFromUtf8(to))
+                        .setRaftGroupId(RaftGroupIdProto.newBuilder()
+                                .setId(RaftGroupId.valueOf(GROUP).toByteString())))
+                .setCandidateLastEntry(TermIndexProto.getDefaultInstance())
+                .build()
+                .toByteArray();
     }
 
     Path folder(String name) {
@@ -183,7 +201,9 @@
 
     /** Makes these ids the voters, by whoever leads. */
     void change(String... ids) throws InterruptedException {
-        List<Replica.Peer> peers = Stream.of(ids).map(id -> new Replica.Peer(id, id.substring(0, id.indexOf('-')))).toList();
+        List<Replica.Peer> peers = Stream.of(ids)
+                .map(id -> new Replica.Peer(id, id.substring(0, id.indexOf('-'))))
+                .toList();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
         while (System.nanoTime() < end) {
             Voter leader = leader();
@@ -204,11 +224,13 @@
 
     /** Has many numbers decided, in batches that fit. */
     void many(int count) throws Exception {
-        for (int done = 0; done < count;) {
+        for (int done = 0; done < count; ) {
             List<CompletableFuture<Boolean>> batch = new ArrayList<>();
             Voter leader = leader();
             for (int i = 0; i < 500; i++) {
-                batch.add(leader.replica.propose(new Command.Renew(10_000 + done + i)).handle((outcome, e) -> e == null));
+                batch.add(leader.replica
+                        .propose(new Command.Renew(10_000 + done + i))
+                        .handle((outcome, e) -> e == null));
             }
             for (CompletableFuture<Boolean> one : batch) {
                 done += one.get(PATIENCE_S, TimeUnit.SECONDS) ? 1 : 0;
@@ -218,14 +240,18 @@
 
     /** Waits until all have applied a number. */
     void everywhere(long number) {
-        await(number + " at all", () -> voters.values().stream().allMatch(v -> v.numbers().contains(number)));
+        await(
+                number + " at all",
+                () -> voters.values().stream().allMatch(v -> v.numbers().contains(number)));
     }
 
     /** Asserts that logs say the same, stamps too, from their ends back, and that log time does not go back. */
     synchronized void agree() {
         for (Voter left : voters.values()) {
             for (int i = 1; i < left.heard.size(); i++) {
-                assertTrue(left.heard.get(i).at() >= left.heard.get(i - 1).at(), left.name + ": log time goes back at " + i);
+                assertTrue(
+                        left.heard.get(i).at() >= left.heard.get(i - 1).at(),
+                        left.name + ": log time goes back at " + i);
             }
             for (Voter right : voters.values()) {
                 List<Entry> both = left.restored.isEmpty() && right.restored.isEmpty() ? left.heard : List.of();
@@ -283,7 +309,9 @@
     /** Bytes in a voter's folder. */
     long bytes(String name) throws IOException {
         try (Stream<Path> files = Files.walk(folder(name))) {
-            return files.filter(Files::isRegularFile).mapToLong(file -> file.toFile().length()).sum();
+            return files.filter(Files::isRegularFile)
+                    .mapToLong(file -> file.toFile().length())
+                    .sum();
         }
     }
 
@@ -292,8 +320,13 @@
         long least = Long.MAX_VALUE;
         for (Voter other : voters.values()) {
             try {
-                least = other.name.equals(name) ? least
-                    : Math.min(least, Folder.open(folder(other.name)).reached().getOrDefault(voters.get(name).peer.id(), -1L));
+                least = other.name.equals(name)
+                        ? least
+                        : Math.min(
+                                least,
+                                Folder.open(folder(other.name))
+                                        .reached()
+                                        .getOrDefault(voters.get(name).peer.id(), -1L));
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -330,8 +363,12 @@
     private Voter leading() {
         for (Voter voter : voters.values()) {
             // one that was cut off may not know yet that it does not lead
-            if (voter.replica.leads() && (voters.size() == 1 || voters.keySet().stream().anyMatch(other -> !other.equals(voter.name)
-                && !cuts.contains(other + ">" + voter.name) && !cuts.contains(voter.name + ">" + other)))) {
+            if (voter.replica.leads()
+                    && (voters.size() == 1
+                            || voters.keySet().stream()
+                                    .anyMatch(other -> !other.equals(voter.name)
+                                            && !cuts.contains(other + ">" + voter.name)
+                                            && !cuts.contains(voter.name + ">" + other)))) {
                 return voter;
             }
         }
@@ -385,8 +422,11 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("no " + what + "; stepped back: " + voters.values().stream().filter(v -> v.back != null)
-                    .map(v -> v.name + " (" + v.back + ")").toList());
+                throw new AssertionError("no " + what + "; stepped back: "
+                        + voters.values().stream()
+                                .filter(v -> v.back != null)
+                                .map(v -> v.name + " (" + v.back + ")")
+                                .toList());
             }
             try {
                 wait(20);
@@ -402,13 +442,15 @@
         pass(from, to, () -> {
             Voter voter = voters.get(to);
             if (voter != null && !lost(kind, body)) {
-                voter.replica.received(kind, body).whenComplete((reply, e) -> pass(to, from, () -> {
-                    if (e == null) {
-                        answer.complete(reply);
-                    } else {
-                        answer.completeExceptionally(e);
-                    }
-                }));
+                voter.replica
+                        .received(kind, body)
+                        .whenComplete((reply, e) -> pass(to, from, () -> {
+                            if (e == null) {
+                                answer.complete(reply);
+                            } else {
+                                answer.completeExceptionally(e);
+                            }
+                        }));
             }
         });
         return answer;
@@ -430,11 +472,14 @@
             }
             delay = delayLeast + (delayMost == 0 ? 0 : random.nextInt(delayMost));
         }
-        wire.schedule(() -> {
-            if (!cuts.contains(from + ">" + to)) {
-                then.run();
-            }
-        }, delay, TimeUnit.MILLISECONDS);
+        wire.schedule(
+                () -> {
+                    if (!cuts.contains(from + ">" + to)) {
+                        then.run();
+                    }
+                },
+                delay,
+                TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -468,15 +513,22 @@
     static final class Text implements Encoding {
         @Override
         public byte[] bytes(Command command) {
-            return (command instanceof Command.Renew renew ? Long.toString(renew.session())
-                : command instanceof Command.Join join ? "j" + join.who().name() : "").getBytes(StandardCharsets.UTF_8);
+            return (command instanceof Command.Renew renew
+                            ? Long.toString(renew.session())
+                            : command instanceof Command.Join join
+                                    ? "j" + join.who().name()
+                                    : "")
+                    .getBytes(StandardCharsets.UTF_8);
         }
 
         @Override
         public Command command(byte[] bytes) {
             String text = new String(bytes, StandardCharsets.UTF_8);
-            return text.isEmpty() ? new Command.Tick() : text.startsWith("j") ? new Command.Join(new Who(text.substring(1), 0, "", "", 1))
-                : new Command.Renew(Long.parseLong(text));
+            return text.isEmpty()
+                    ? new Command.Tick()
+                    : text.startsWith("j")
+                            ? new Command.Join(new Who(text.substring(1), 0, "", "", 1))
+                            : new Command.Renew(Long.parseLong(text));
         }
 
         @Override
@@ -500,8 +552,14 @@
             if (parts.length != 3) {
                 throw new Unreadable("not three numbers");
             }
-            return new State(Long.parseLong(parts[0]), null, Long.parseLong(parts[1]), Long.parseLong(parts[2]), List.of(), List.of(),
-                Plan.NONE);
+            return new State(
+                    Long.parseLong(parts[0]),
+                    null,
+                    Long.parseLong(parts[1]),
+                    Long.parseLong(parts[2]),
+                    List.of(),
+                    List.of(),
+                    Plan.NONE);
         }
     }
 }
