--- a/src/test/java/rushpin/membership/ClaimsTest.java
+++ b/src/test/java/rushpin/membership/ClaimsTest.java
@@ -35,13 +35,15 @@
     @Test
     void theFirstKeepsItAndTheSecondGetsItWhenItIsLetGo() {
         claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.FULL);
-        Claims.Outcome second = claims.admit("b", roll(member("s", 1, Readiness.READY), member("t", 2, Readiness.READY)),
-            ListKind.FULL);
+        Claims.Outcome second = claims.admit(
+                "b", roll(member("s", 1, Readiness.READY), member("t", 2, Readiness.READY)), ListKind.FULL);
         assertEquals(1, second.conflicts().size());
         assertEquals(Readiness.GONE, of(second.told().get(0), 0));
         assertEquals(Readiness.READY, of(second.told().get(0), 1));
         Claims.Outcome drained = claims.admit("a", roll(member("s", 1, Readiness.DRAINING)), ListKind.DELTA);
-        assertEquals(List.of("a", "b"), drained.told().stream().map(Claims.Told::pool).toList());
+        assertEquals(
+                List.of("a", "b"),
+                drained.told().stream().map(Claims.Told::pool).toList());
         assertEquals(Readiness.READY, of(drained.told().get(1), 0));
         Claims.Outcome back = claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.DELTA);
         assertEquals(Readiness.GONE, of(back.told().get(0), 0), "now the other one has it");
@@ -50,10 +52,17 @@
     @Test
     void anAddressThatChangesHandsInOnePoolIsNoConflict() {
         claims.admit("a", roll(member("old", 1, Readiness.READY)), ListKind.FULL);
-        assertEquals(List.of(), claims.admit("a", roll(member("new", 1, Readiness.READY)), ListKind.DELTA).conflicts());
+        assertEquals(
+                List.of(),
+                claims.admit("a", roll(member("new", 1, Readiness.READY)), ListKind.DELTA)
+                        .conflicts());
         claims.admit("a", roll(member("old", 1, Readiness.GONE)), ListKind.DELTA);
-        assertEquals(1, claims.admit("b", roll(member("x", 1, Readiness.READY)), ListKind.FULL).conflicts().size(),
-            "the new one still holds it");
+        assertEquals(
+                1,
+                claims.admit("b", roll(member("x", 1, Readiness.READY)), ListKind.FULL)
+                        .conflicts()
+                        .size(),
+                "the new one still holds it");
     }
 
     @Test
@@ -77,11 +86,15 @@
             Map<String, Member> members = new HashMap<>();
             for (int i = random.nextInt(3); i >= 0; i--) {
                 String id = "s" + random.nextInt(4);
-                members.put(id, member(id, 1 + random.nextInt(4),
-                    Readiness.values()[random.nextInt(Readiness.values().length)]));
+                members.put(
+                        id,
+                        member(
+                                id,
+                                1 + random.nextInt(4),
+                                Readiness.values()[random.nextInt(Readiness.values().length)]));
             }
-            Claims.Outcome outcome = all.admit(pool, new Roll(step, kind == ListKind.FULL, List.copyOf(members.values())),
-                kind);
+            Claims.Outcome outcome =
+                    all.admit(pool, new Roll(step, kind == ListKind.FULL, List.copyOf(members.values())), kind);
             for (Claims.Told one : outcome.told()) {
                 Map<String, Integer> ready = told.computeIfAbsent(one.pool(), p -> new TreeMap<>());
                 if (one.kind() == ListKind.FULL) {
--- a/src/test/java/rushpin/membership/StartsTest.java
+++ b/src/test/java/rushpin/membership/StartsTest.java
@@ -17,8 +17,11 @@
     private static final long SECOND = 1_000_000_000L, HOUR = 3_600 * SECOND, NOW = 5 * HOUR;
 
     private static Roll roll(Readiness readiness, String id, long started) {
-        return new Roll(1, true, List.of(new Member(new Server(id, 1, 0, 0, 0, readiness, started),
-            new InetSocketAddress("127.0.0.1", 80))));
+        return new Roll(
+                1,
+                true,
+                List.of(new Member(
+                        new Server(id, 1, 0, 0, 0, readiness, started), new InetSocketAddress("127.0.0.1", 80))));
     }
 
     private static long start(Roll of) {
@@ -34,8 +37,14 @@
     @Test
     void aStartAfterAJumpIsDatedByThisNodesClock() {
         Starts starts = new Starts();
-        assertEquals(5 * HOUR, start(starts.carry(roll(Readiness.READY, "a", 6 * HOUR), true, NOW, HOUR)), "set forward by an hour");
-        assertEquals(5 * HOUR, start(starts.carry(roll(Readiness.READY, "b", 4 * HOUR), true, NOW, -HOUR)), "set back by an hour");
+        assertEquals(
+                5 * HOUR,
+                start(starts.carry(roll(Readiness.READY, "a", 6 * HOUR), true, NOW, HOUR)),
+                "set forward by an hour");
+        assertEquals(
+                5 * HOUR,
+                start(starts.carry(roll(Readiness.READY, "b", 4 * HOUR), true, NOW, -HOUR)),
+                "set back by an hour");
     }
 
     @Test
@@ -54,7 +63,8 @@
             long started = NOW - age;
             for (long told : new long[] {started, started + set}) {
                 long here = start(new Starts().carry(roll(Readiness.READY, "a", told), true, NOW, set));
-                assertTrue(here >= started, "set by " + set + ", told " + (told - NOW) + ": older by " + (started - here));
+                assertTrue(
+                        here >= started, "set by " + set + ", told " + (told - NOW) + ": older by " + (started - here));
                 assertTrue(here <= NOW, "not in the future");
                 assertTrue(here - started <= Math.abs(set), "no younger than the clock was set by");
             }
@@ -68,7 +78,10 @@
         Roll ahead = roll(Readiness.READY, "a", NOW + 2 * HOUR);
         assertEquals(NOW, start(starts.carry(ahead, true, NOW, set)));
         assertEquals(NOW, start(starts.carry(ahead, true, NOW + 3 * HOUR, set)), "told again, it is no other start");
-        assertEquals(NOW + 1, start(starts.carry(roll(Readiness.READY, "a", NOW + 3 * HOUR), true, NOW + 1, set)), "a restart");
+        assertEquals(
+                NOW + 1,
+                start(starts.carry(roll(Readiness.READY, "a", NOW + 3 * HOUR), true, NOW + 1, set)),
+                "a restart");
     }
 
     @Test
--- a/src/test/java/rushpin/membership/WithheldTest.java
+++ b/src/test/java/rushpin/membership/WithheldTest.java
@@ -31,7 +31,12 @@
     }
 
     private static Readiness said(Roll roll, String id) {
-        return roll.members().stream().filter(m -> m.server().id().equals(id)).findFirst().orElseThrow().server().readiness();
+        return roll.members().stream()
+                .filter(m -> m.server().id().equals(id))
+                .findFirst()
+                .orElseThrow()
+                .server()
+                .readiness();
     }
 
     @Test
@@ -51,7 +56,8 @@
         assertEquals(Readiness.DRAINING, said(withheld.follow(roll(member("a", Readiness.READY, 77)), true), "a"));
         Roll back = withheld.set(Set.of());
         assertEquals(Readiness.READY, said(back, "a"));
-        assertEquals(77, back.members().get(0).server().startedAt(), "it restarted while it was out, and comes back cold");
+        assertEquals(
+                77, back.members().get(0).server().startedAt(), "it restarted while it was out, and comes back cold");
     }
 
     @Test
@@ -85,7 +91,8 @@
 
     /** Whatever the order of lists and calls: what the pool was told last is the list with those out draining. */
     @Property(tries = 500)
-    void thePoolsViewIsTheListLessThoseOut(@ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 39) Integer> steps) {
+    void thePoolsViewIsTheListLessThoseOut(
+            @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 39) Integer> steps) {
         Withheld deciding = new Withheld();
         Map<String, Readiness> list = new HashMap<>(), told = new HashMap<>();
         Set<String> out = new HashSet<>();
@@ -100,8 +107,11 @@
             } else if (what == 3) {
                 list.keySet().retainAll(Set.of(id));
                 told.clear();
-                heard = deciding.follow(roll(list.entrySet().stream()
-                    .map(e -> member(e.getKey(), e.getValue(), 0)).toArray(Member[]::new)), true);
+                heard = deciding.follow(
+                        roll(list.entrySet().stream()
+                                .map(e -> member(e.getKey(), e.getValue(), 0))
+                                .toArray(Member[]::new)),
+                        true);
             } else {
                 if (what < 6) {
                     out.add(id);
@@ -112,8 +122,9 @@
             }
             heard.members().forEach(m -> told.put(m.server().id(), m.server().readiness()));
             list.forEach((server, readiness) -> assertEquals(
-                readiness == Readiness.READY && out.contains(server) ? Readiness.DRAINING : readiness, told.get(server),
-                "after " + steps));
+                    readiness == Readiness.READY && out.contains(server) ? Readiness.DRAINING : readiness,
+                    told.get(server),
+                    "after " + steps));
         }
     }
 }
--- a/src/test/java/rushpin/membership/discovery/RollStreamTest.java
+++ b/src/test/java/rushpin/membership/discovery/RollStreamTest.java
@@ -13,7 +13,8 @@
 
 /** Messages in every piece that a connection may cut them into. */
 class RollStreamTest {
-    private static final Names NAMES = new Names(List.of("order"), List.of("bulk"), List.of("a\u00e9", "b"), List.of("m"));
+    private static final Names NAMES =
+            new Names(List.of("order"), List.of("bulk"), List.of("a\u00e9", "b"), List.of("m"));
     private static final String ONE = """
         {
           "revision": 41,
@@ -30,8 +31,8 @@
         }
         """;
     private static final String TWO =
-        "{\"revision\":43,\"complete\":false,\"members\":[{\"id\":\"s\",\"host_port\":\"127.0.0.1:81\","
-        + "\"phase\":\"Gone\"}]}";
+            "{\"revision\":43,\"complete\":false,\"members\":[{\"id\":\"s\",\"host_port\":\"127.0.0.1:81\","
+                    + "\"phase\":\"Gone\"}]}";
 
     private static List<Roll> read(RollStream stream, byte[]... pieces) throws RollReader.Malformed {
         List<Roll> heard = new ArrayList<>();
@@ -47,13 +48,16 @@
 
     @Test
     void aListIsTheSameAtEverySplit() throws Exception {
-        List<Roll> wanted = List.of(RollReader.read(ONE, NAMES), RollReader.read(TWO, NAMES), RollReader.read(ONE, NAMES));
+        List<Roll> wanted =
+                List.of(RollReader.read(ONE, NAMES), RollReader.read(TWO, NAMES), RollReader.read(ONE, NAMES));
         String text = "\n" + ONE + "\n\n" + TWO + "  " + ONE;
         for (String form : List.of(text, text.replace("\n", "\r\n"))) {
             byte[] all = bytes(form);
             for (int at = 0; at <= all.length; at++) {
-                assertEquals(wanted, read(new RollStream(NAMES), Arrays.copyOf(all, at),
-                    Arrays.copyOfRange(all, at, all.length)), "cut at " + at);
+                assertEquals(
+                        wanted,
+                        read(new RollStream(NAMES), Arrays.copyOf(all, at), Arrays.copyOfRange(all, at, all.length)),
+                        "cut at " + at);
             }
             byte[][] single = new byte[all.length][];
             for (int i = 0; i < single.length; i++) {
@@ -68,8 +72,8 @@
         for (String bad : List.of("x", "}", "]", "{} ", "[1]", "7 ", "null\n", "{\"revision\":1,\"members\":[{}]}")) {
             List<Roll> heard = new ArrayList<>();
             byte[] text = bytes(TWO + bad);
-            assertThrows(RollReader.Malformed.class,
-                () -> new RollStream(NAMES).feed(text, text.length, heard::add), bad);
+            assertThrows(
+                    RollReader.Malformed.class, () -> new RollStream(NAMES).feed(text, text.length, heard::add), bad);
             assertEquals(1, heard.size(), bad);
         }
     }
--- a/src/test/java/rushpin/membership/xds/ClusterViewTest.java
+++ b/src/test/java/rushpin/membership/xds/ClusterViewTest.java
@@ -227,11 +227,15 @@
     void oneWeightThatChangesIsOneChange() {
         List<Endpoints.One> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            all.add(new Endpoints.One("s" + i, new InetSocketAddress("127.0.0.1", 1 + i), Readiness.READY, 100, "a", 0, -1, "m", 0));
+            all.add(new Endpoints.One(
+                    "s" + i, new InetSocketAddress("127.0.0.1", 1 + i), Readiness.READY, 100, "a", 0, -1, "m", 0));
         }
         view.endpoints(new Endpoints("c", List.copyOf(all), 0, 0), now, now);
         assertEquals(1, pool.get("s7").server().size(), 1e-9, "the usual size is 1");
-        all.set(7, new Endpoints.One("s7", new InetSocketAddress("127.0.0.1", 8), Readiness.READY, 50, "a", 0, -1, "m", 0));
+        all.set(
+                7,
+                new Endpoints.One(
+                        "s7", new InetSocketAddress("127.0.0.1", 8), Readiness.READY, 50, "a", 0, -1, "m", 0));
         view.endpoints(new Endpoints("c", List.copyOf(all), 0, 0), now, now);
         assertEquals(1, told.get(1).members().size());
         assertEquals(0.5, pool.get("s7").server().size(), 1e-9);
--- a/src/test/java/rushpin/membership/xds/ResourceReaderTest.java
+++ b/src/test/java/rushpin/membership/xds/ResourceReaderTest.java
@@ -39,11 +39,13 @@
 /** What is taken of clusters and endpoints, and what is refused, by name. */
 class ResourceReaderTest {
     private static String refused(LbEndpoint... of) {
-        return assertThrows(Rejected.class, () -> ResourceReader.endpoints(any(assignment("c", of)))).getMessage();
+        return assertThrows(Rejected.class, () -> ResourceReader.endpoints(any(assignment("c", of))))
+                .getMessage();
     }
 
     private static String refused(Cluster of) {
-        return assertThrows(Rejected.class, () -> ResourceReader.cluster(any(of))).getMessage();
+        return assertThrows(Rejected.class, () -> ResourceReader.cluster(any(of)))
+                .getMessage();
     }
 
     private static Endpoints.One one(LbEndpoint of) throws Rejected {
@@ -52,8 +54,16 @@
 
     @Test
     void anEndpointIsReadWithAllThatItsMetadataSays() throws Exception {
-        LbEndpoint from = said(said(said(said(weighted(endpoint(8081), 3), "id", text("s-1")), "started_ms", number(1_700_000_000_000.0)),
-            "kind", text("m")), "cell", number(2));
+        LbEndpoint from = said(
+                said(
+                        said(
+                                said(weighted(endpoint(8081), 3), "id", text("s-1")),
+                                "started_ms",
+                                number(1_700_000_000_000.0)),
+                        "kind",
+                        text("m")),
+                "cell",
+                number(2));
         Endpoints.One read = one(from);
         assertEquals("s-1", read.id());
         assertEquals(1_700_000_000_000_000_000L, read.started());
@@ -69,8 +79,11 @@
     @ParameterizedTest
     @EnumSource(value = HealthStatus.class, names = "UNRECOGNIZED", mode = EnumSource.Mode.EXCLUDE)
     void eachHealthHasAMeaning(HealthStatus health) throws Exception {
-        boolean ready = List.of(HealthStatus.UNKNOWN, HealthStatus.HEALTHY, HealthStatus.DEGRADED).contains(health);
-        assertEquals(ready ? Readiness.READY : Readiness.DRAINING, one(endpoint("10.0.0.1", 80, health)).readiness());
+        boolean ready = List.of(HealthStatus.UNKNOWN, HealthStatus.HEALTHY, HealthStatus.DEGRADED)
+                .contains(health);
+        assertEquals(
+                ready ? Readiness.READY : Readiness.DRAINING,
+                one(endpoint("10.0.0.1", 80, health)).readiness());
     }
 
     @ParameterizedTest
@@ -87,31 +100,52 @@
 
     @Test
     void sixIsAnAddressToo() throws Exception {
-        assertEquals(80, one(endpoint("fe80::1", 80, HealthStatus.HEALTHY)).address().getPort());
+        assertEquals(
+                80, one(endpoint("fe80::1", 80, HealthStatus.HEALTHY)).address().getPort());
     }
 
     @Test
     void whatIsMissingIsNamed() {
         assertTrue(refused(LbEndpoint.getDefaultInstance()).contains("no endpoint"));
-        assertTrue(refused(LbEndpoint.newBuilder().setEndpoint(Endpoint.getDefaultInstance()).build()).contains("socket_address"));
-        LbEndpoint pipe = LbEndpoint.newBuilder().setEndpoint(Endpoint.newBuilder().setAddress(Address.newBuilder()
-            .setPipe(Pipe.newBuilder().setPath("/run/x")))).build();
+        assertTrue(refused(LbEndpoint.newBuilder()
+                        .setEndpoint(Endpoint.getDefaultInstance())
+                        .build())
+                .contains("socket_address"));
+        LbEndpoint pipe = LbEndpoint.newBuilder()
+                .setEndpoint(Endpoint.newBuilder()
+                        .setAddress(
+                                Address.newBuilder().setPipe(Pipe.newBuilder().setPath("/run/x"))))
+                .build();
         assertTrue(refused(pipe).contains("socket_address"));
-        LbEndpoint named = LbEndpoint.newBuilder().setEndpoint(Endpoint.newBuilder().setAddress(Address.newBuilder()
-            .setSocketAddress(SocketAddress.newBuilder().setAddress("10.0.0.1").setNamedPort("http")))).build();
+        LbEndpoint named = LbEndpoint.newBuilder()
+                .setEndpoint(Endpoint.newBuilder()
+                        .setAddress(Address.newBuilder()
+                                .setSocketAddress(SocketAddress.newBuilder()
+                                        .setAddress("10.0.0.1")
+                                        .setNamedPort("http"))))
+                .build();
         assertTrue(refused(named).contains("missing"));
-        LbEndpoint udp = LbEndpoint.newBuilder().setEndpoint(Endpoint.newBuilder().setAddress(Address.newBuilder()
-            .setSocketAddress(SocketAddress.newBuilder().setAddress("10.0.0.1").setPortValue(1)
-                .setProtocol(SocketAddress.Protocol.UDP)))).build();
+        LbEndpoint udp = LbEndpoint.newBuilder()
+                .setEndpoint(Endpoint.newBuilder()
+                        .setAddress(Address.newBuilder()
+                                .setSocketAddress(SocketAddress.newBuilder()
+                                        .setAddress("10.0.0.1")
+                                        .setPortValue(1)
+                                        .setProtocol(SocketAddress.Protocol.UDP))))
+                .build();
         assertTrue(refused(udp).contains("allowed: TCP"));
     }
 
     @Test
     void whatStandsThereTwiceIsRefused() {
         assertTrue(refused(endpoint(80), endpoint(80)).contains("stands there twice"));
-        assertTrue(refused(said(endpoint(80), "id", text("a")), said(endpoint(80), "id", text("b"))).contains("one address"));
-        ClusterLoadAssignment two = ClusterLoadAssignment.newBuilder().setClusterName("c")
-            .addEndpoints(locality("a", 0, List.of(endpoint(80)))).addEndpoints(locality("b", 0, List.of(endpoint(80)))).build();
+        assertTrue(refused(said(endpoint(80), "id", text("a")), said(endpoint(80), "id", text("b")))
+                .contains("one address"));
+        ClusterLoadAssignment two = ClusterLoadAssignment.newBuilder()
+                .setClusterName("c")
+                .addEndpoints(locality("a", 0, List.of(endpoint(80))))
+                .addEndpoints(locality("b", 0, List.of(endpoint(80))))
+                .build();
         assertThrows(Rejected.class, () -> ResourceReader.endpoints(any(two)), "in two localities");
     }
 
@@ -127,41 +161,67 @@
 
     @Test
     void overloadsAreDroppedOneAfterAnother() throws Exception {
-        FractionalPercent half = FractionalPercent.newBuilder().setNumerator(50)
-            .setDenominator(FractionalPercent.DenominatorType.HUNDRED).build();
+        FractionalPercent half = FractionalPercent.newBuilder()
+                .setNumerator(50)
+                .setDenominator(FractionalPercent.DenominatorType.HUNDRED)
+                .build();
         ClusterLoadAssignment.Policy.DropOverload drop = ClusterLoadAssignment.Policy.DropOverload.newBuilder()
-            .setCategory("x").setDropPercentage(half).build();
-        Endpoints read = ResourceReader.endpoints(any(assignment("c", endpoint(80)).toBuilder().setPolicy(
-            ClusterLoadAssignment.Policy.newBuilder().addDropOverloads(drop).addDropOverloads(drop)
-                .setEndpointStaleAfter(Duration.newBuilder().setSeconds(5))).build()));
+                .setCategory("x")
+                .setDropPercentage(half)
+                .build();
+        Endpoints read = ResourceReader.endpoints(any(assignment("c", endpoint(80)).toBuilder()
+                .setPolicy(ClusterLoadAssignment.Policy.newBuilder()
+                        .addDropOverloads(drop)
+                        .addDropOverloads(drop)
+                        .setEndpointStaleAfter(Duration.newBuilder().setSeconds(5)))
+                .build()));
         assertEquals(0.75, read.dropped(), 1e-9);
         assertEquals(5_000_000_000L, read.staleAfter());
     }
 
     @Test
     void aClusterIsReadWithItsBounds() throws Exception {
-        Cluster from = eds("c", "s").toBuilder().setCircuitBreakers(CircuitBreakers.newBuilder().addThresholds(
-            CircuitBreakers.Thresholds.newBuilder().setMaxConnections(UInt32Value.of(7)).setMaxRequests(UInt32Value.of(9)))).build();
+        Cluster from = eds("c", "s").toBuilder()
+                .setCircuitBreakers(CircuitBreakers.newBuilder()
+                        .addThresholds(CircuitBreakers.Thresholds.newBuilder()
+                                .setMaxConnections(UInt32Value.of(7))
+                                .setMaxRequests(UInt32Value.of(9))))
+                .build();
         ClusterSpec read = ResourceReader.cluster(any(from));
         assertEquals(new ClusterSpec("c", "s", null, null, 1_000_000_000L, 7, 9), read);
         assertNull(ResourceReader.cluster(any(eds("c"))).inline());
-        Cluster fixed = Cluster.newBuilder().setName("c").setType(Cluster.DiscoveryType.STATIC)
-            .setLoadAssignment(assignment("c", endpoint(80))).build();
+        Cluster fixed = Cluster.newBuilder()
+                .setName("c")
+                .setType(Cluster.DiscoveryType.STATIC)
+                .setLoadAssignment(assignment("c", endpoint(80)))
+                .build();
         assertEquals(1, ResourceReader.cluster(any(fixed)).inline().all().size());
     }
 
     @Test
     void clustersThatAreNotForThisNodeAreRefusedWithTheReason() {
-        assertTrue(refused(eds("c").toBuilder().setType(Cluster.DiscoveryType.STRICT_DNS).build()).contains("look-ups are off"));
-        assertTrue(refused(eds("c").toBuilder().setType(Cluster.DiscoveryType.ORIGINAL_DST).build()).contains("allowed: EDS, STATIC"));
+        assertTrue(refused(eds("c").toBuilder()
+                        .setType(Cluster.DiscoveryType.STRICT_DNS)
+                        .build())
+                .contains("look-ups are off"));
+        assertTrue(refused(eds("c").toBuilder()
+                        .setType(Cluster.DiscoveryType.ORIGINAL_DST)
+                        .build())
+                .contains("allowed: EDS, STATIC"));
         assertTrue(refused(eds("")).contains("name is empty"));
         assertTrue(refused(eds("c").toBuilder().clearEdsClusterConfig().build()).contains("eds_config"));
-        assertTrue(refused(eds("c").toBuilder().setConnectTimeout(Duration.newBuilder().setSeconds(-1)).build()).contains("connect_timeout"));
+        assertTrue(refused(eds("c").toBuilder()
+                        .setConnectTimeout(Duration.newBuilder().setSeconds(-1))
+                        .build())
+                .contains("connect_timeout"));
     }
 
     @Test
     void bytesThatAreNoResourceAreRefused() {
-        Any torn = Any.newBuilder().setTypeUrl(ResourceReader.CLUSTER).setValue(ByteString.copyFrom(new byte[] {10, 50, 1})).build();
+        Any torn = Any.newBuilder()
+                .setTypeUrl(ResourceReader.CLUSTER)
+                .setValue(ByteString.copyFrom(new byte[] {10, 50, 1}))
+                .build();
         assertThrows(Rejected.class, () -> ResourceReader.cluster(torn));
         assertEquals("", ResourceReader.name(torn));
         assertThrows(Rejected.class, () -> ResourceReader.endpoints(any(eds("c"))), "another type");
--- a/src/test/java/rushpin/membership/xds/SubscriptionTest.java
+++ b/src/test/java/rushpin/membership/xds/SubscriptionTest.java
@@ -100,11 +100,14 @@
     void aRefusalNamesTheResourceAndKeepsTheVersionThatWasTaken() {
         Subscription s = subscription(Form.SOTW);
         s.answered(whole(CDS, "1", "n1", any(eds("c"))));
-        Cluster bad = eds("c").toBuilder().setType(Cluster.DiscoveryType.STRICT_DNS).build();
+        Cluster bad =
+                eds("c").toBuilder().setType(Cluster.DiscoveryType.STRICT_DNS).build();
         s.answered(whole(CDS, "2", "n2", any(bad), any(eds("other"))));
         assertEquals("1", client.last().version());
         assertEquals("n2", client.last().nonce());
-        assertTrue(client.last().error().startsWith("c: type STRICT_DNS"), client.last().error());
+        assertTrue(
+                client.last().error().startsWith("c: type STRICT_DNS"),
+                client.last().error());
         assertNotNull(client.cluster, "what was taken stays in force");
         assertEquals(1, client.clusters);
     }
@@ -112,8 +115,14 @@
     @Test
     void theGoodOnesOfAHalfBadAnswerAreTaken() {
         Subscription s = subscription(Form.SOTW);
-        s.answered(whole(CDS, "1", "n1", any(eds("other").toBuilder().setType(Cluster.DiscoveryType.LOGICAL_DNS).build()),
-            any(eds("c"))));
+        s.answered(whole(
+                CDS,
+                "1",
+                "n1",
+                any(eds("other").toBuilder()
+                        .setType(Cluster.DiscoveryType.LOGICAL_DNS)
+                        .build()),
+                any(eds("c"))));
         assertNotNull(client.cluster);
         Ask refusal = client.asks.get(1);
         assertTrue(refusal.error().startsWith("other: "), refusal.error());
@@ -124,7 +133,14 @@
     void anAnyThatCannotBeReadIsNoRemoval() {
         Subscription s = subscription(Form.SOTW);
         s.answered(whole(CDS, "1", "n1", any(eds("c"))));
-        s.answered(whole(CDS, "2", "n2", Any.newBuilder().setTypeUrl(CDS).setValue(ByteString.copyFrom(new byte[] {10, 9})).build()));
+        s.answered(whole(
+                CDS,
+                "2",
+                "n2",
+                Any.newBuilder()
+                        .setTypeUrl(CDS)
+                        .setValue(ByteString.copyFrom(new byte[] {10, 9}))
+                        .build()));
         assertNotNull(client.cluster);
         assertTrue(client.last().error().startsWith("resource 1: "));
     }
@@ -167,8 +183,10 @@
         s.closed();
         client.asks.clear();
         s.opened();
-        assertEquals(new Ask(CDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "5"), null), client.asks.get(0));
-        assertEquals(new Ask(EDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "6"), null), client.asks.get(1));
+        assertEquals(
+                new Ask(CDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "5"), null), client.asks.get(0));
+        assertEquals(
+                new Ask(EDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "6"), null), client.asks.get(1));
         Client other = new Client();
         Subscription whole = new Subscription(Form.SOTW, "c", false, other);
         whole.opened();
--- a/src/test/java/rushpin/membership/xds/Worlds.java
+++ b/src/test/java/rushpin/membership/xds/Worlds.java
@@ -25,24 +25,34 @@
 
 /** Clusters and endpoints as a management server would send them. */
 final class Worlds {
-    private Worlds() {
-    }
+    private Worlds() {}
 
     static Cluster eds(String name) {
-        return Cluster.newBuilder().setName(name).setType(Cluster.DiscoveryType.EDS)
-            .setEdsClusterConfig(Cluster.EdsClusterConfig.newBuilder().setEdsConfig(ConfigSource.newBuilder()
-                .setAds(AggregatedConfigSource.getDefaultInstance())))
-            .setConnectTimeout(Duration.newBuilder().setSeconds(1)).build();
+        return Cluster.newBuilder()
+                .setName(name)
+                .setType(Cluster.DiscoveryType.EDS)
+                .setEdsClusterConfig(Cluster.EdsClusterConfig.newBuilder()
+                        .setEdsConfig(ConfigSource.newBuilder().setAds(AggregatedConfigSource.getDefaultInstance())))
+                .setConnectTimeout(Duration.newBuilder().setSeconds(1))
+                .build();
     }
 
     static Cluster eds(String name, String service) {
         Cluster made = eds(name);
-        return made.toBuilder().setEdsClusterConfig(made.getEdsClusterConfig().toBuilder().setServiceName(service)).build();
+        return made.toBuilder()
+                .setEdsClusterConfig(made.getEdsClusterConfig().toBuilder().setServiceName(service))
+                .build();
     }
 
     static LbEndpoint endpoint(String host, int port, HealthStatus health) {
-        return LbEndpoint.newBuilder().setHealthStatus(health).setEndpoint(Endpoint.newBuilder().setAddress(
-            Address.newBuilder().setSocketAddress(SocketAddress.newBuilder().setAddress(host).setPortValue(port)))).build();
+        return LbEndpoint.newBuilder()
+                .setHealthStatus(health)
+                .setEndpoint(Endpoint.newBuilder()
+                        .setAddress(Address.newBuilder()
+                                .setSocketAddress(SocketAddress.newBuilder()
+                                        .setAddress(host)
+                                        .setPortValue(port))))
+                .build();
     }
 
     static LbEndpoint endpoint(int port) {
@@ -56,8 +66,11 @@
     static LbEndpoint said(LbEndpoint of, String key, Value value) {
         Metadata.Builder all = of.getMetadata().toBuilder();
         Struct before = all.getFilterMetadataOrDefault(ResourceReader.METADATA, Struct.getDefaultInstance());
-        return of.toBuilder().setMetadata(all.putFilterMetadata(ResourceReader.METADATA,
-            before.toBuilder().putFields(key, value).build())).build();
+        return of.toBuilder()
+                .setMetadata(all.putFilterMetadata(
+                        ResourceReader.METADATA,
+                        before.toBuilder().putFields(key, value).build()))
+                .build();
     }
 
     static Value text(String of) {
@@ -69,12 +82,18 @@
     }
 
     static LocalityLbEndpoints locality(String zone, int priority, List<LbEndpoint> of) {
-        return LocalityLbEndpoints.newBuilder().setLocality(Locality.newBuilder().setZone(zone)).setPriority(priority)
-            .addAllLbEndpoints(of).build();
+        return LocalityLbEndpoints.newBuilder()
+                .setLocality(Locality.newBuilder().setZone(zone))
+                .setPriority(priority)
+                .addAllLbEndpoints(of)
+                .build();
     }
 
     static ClusterLoadAssignment assignment(String name, LbEndpoint... of) {
-        return ClusterLoadAssignment.newBuilder().setClusterName(name).addEndpoints(locality("a", 0, Arrays.asList(of))).build();
+        return ClusterLoadAssignment.newBuilder()
+                .setClusterName(name)
+                .addEndpoints(locality("a", 0, Arrays.asList(of)))
+                .build();
     }
 
     static Any any(com.google.protobuf.Message of) {
--- a/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
+++ b/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
@@ -135,7 +135,9 @@
                 long version = any == null ? 0 : server.versions.get(name + type);
                 if (form == Form.SOTW && any != null) {
                     items.add(new Item("", "" + server.version, any));
-                } else if (form == Form.DELTA && any != null && !Long.valueOf(version).equals(has.get(name))) {
+                } else if (form == Form.DELTA
+                        && any != null
+                        && !Long.valueOf(version).equals(has.get(name))) {
                     items.add(new Item(name, "" + version, any));
                     has.put(name, version);
                 } else if (form == Form.DELTA && any == null && has.remove(name) != null) {
@@ -194,8 +196,7 @@
         }
 
         @Override
-        public void log(String text) {
-        }
+        public void log(String text) {}
     }
 
     private static Any assignment(SplittableRandom random, boolean good) {
@@ -205,7 +206,10 @@
         for (int i = 0; i < count; i++) {
             HealthStatus health = random.nextInt(4) == 0 ? HealthStatus.DRAINING : HealthStatus.HEALTHY;
             LbEndpoint one = Worlds.endpoint("10.0.0." + (i + 1), 80 + random.nextInt(2), health);
-            all.add(random.nextBoolean() ? one : Worlds.said(one, "id", Worlds.text("s" + random.nextInt(100) + "-" + i)));
+            all.add(
+                    random.nextBoolean()
+                            ? one
+                            : Worlds.said(one, "id", Worlds.text("s" + random.nextInt(100) + "-" + i)));
         }
         if (!good) {
             all.add(Worlds.endpoint(0));
@@ -216,7 +220,8 @@
     /** What the pool should have: id to address and readiness. */
     private static Map<String, String> shape(Iterable<Member> members) {
         Map<String, String> shape = new TreeMap<>();
-        members.forEach(m -> shape.put(m.server().id(), m.address() + " " + m.server().readiness()));
+        members.forEach(
+                m -> shape.put(m.server().id(), m.address() + " " + m.server().readiness()));
         return shape;
     }
 
@@ -239,11 +244,16 @@
             int what = random.nextInt(12);
             switch (what) {
                 case 0 -> server.set(server.clusters, "c", random.nextInt(4) == 0 ? null : Any.pack(Worlds.eds("c")));
-                case 1 -> server.set(server.clusters, "c",
-                    Any.pack(Worlds.eds("c").toBuilder().setType(Cluster.DiscoveryType.LOGICAL_DNS).build()));
+                case 1 ->
+                    server.set(
+                            server.clusters,
+                            "c",
+                            Any.pack(Worlds.eds("c").toBuilder()
+                                    .setType(Cluster.DiscoveryType.LOGICAL_DNS)
+                                    .build()));
                 case 2, 3 -> server.set(server.assignments, "c", assignment(random, true));
                 case 4 -> server.set(server.assignments, "c", assignment(random, false));
-                default -> { }
+                default -> {}
             }
             for (Client client : clients) {
                 client.now = i;
@@ -272,13 +282,16 @@
             client.push(ResourceReader.ENDPOINTS, false);
             client.settle();
             assertEquals(wanted(last), shape(client.pool.values()), "seed " + seed + ", " + client.form);
-            assertEquals(shape(client.view.members()), shape(client.pool.values()),
-                "seed " + seed + ": the changes add up, " + client.form);
+            assertEquals(
+                    shape(client.view.members()),
+                    shape(client.pool.values()),
+                    "seed " + seed + ": the changes add up, " + client.form);
             // A new stream to the same world tells the pool nothing.
             int before = client.lists;
             client.lose();
             client.settle();
-            assertEquals(wanted(last), shape(client.pool.values()), "seed " + seed + " after a new stream, " + client.form);
+            assertEquals(
+                    wanted(last), shape(client.pool.values()), "seed " + seed + " after a new stream, " + client.form);
             assertEquals(before, client.lists, "seed " + seed + ": told again what it knew, " + client.form);
         }
     }
--- a/src/test/java/rushpin/model/ComparisonTest.java
+++ b/src/test/java/rushpin/model/ComparisonTest.java
@@ -28,8 +28,8 @@
     }
 
     /** Plays a comparison of figures drawn from the same or from shifted laws. */
-    private static Comparison play(long seed, int first, int budget, double halfWidth, double shift,
-                                   ToDoubleFunction<SplittableRandom> law) {
+    private static Comparison play(
+            long seed, int first, int budget, double halfWidth, double shift, ToDoubleFunction<SplittableRandom> law) {
         Comparison comparison = new Comparison(0.95, halfWidth, first, budget);
         SplittableRandom random = new SplittableRandom(seed);
         for (long s = 1; comparison.more() > 0; s++) {
@@ -47,7 +47,8 @@
         return random.nextInt(8) == 0 ? 0.9 : 1;
     }
 
-    private static void sameIsSame(String what, int first, int budget, double width, ToDoubleFunction<SplittableRandom> law) {
+    private static void sameIsSame(
+            String what, int first, int budget, double width, ToDoubleFunction<SplittableRandom> law) {
         int differs = 0;
         for (long seed = 1; seed <= COMPARISONS; seed++) {
             differs += play(seed, first, budget, width, 0, law).verdict() == Verdict.CANNOT_TELL ? 0 : 1;
@@ -68,7 +69,9 @@
             differs += play(seed, 40, 40, 1, 0, r -> r.nextGaussian()).verdict() == Verdict.CANNOT_TELL ? 0 : 1;
         }
         BinomialDistribution said = new BinomialDistribution(null, COMPARISONS, 0.05);
-        assertTrue(differs >= said.inverseCumulativeProbability(0.001), differs + " of " + COMPARISONS + ": the test sleeps");
+        assertTrue(
+                differs >= said.inverseCumulativeProbability(0.001),
+                differs + " of " + COMPARISONS + ": the test sleeps");
     }
 
     @Test
@@ -119,7 +122,9 @@
     void fewSeedsTellNothingAndSaySo() {
         Comparison comparison = play(1, 5, 5, 1, 100, r -> r.nextGaussian());
         assertEquals(Verdict.CANNOT_TELL, comparison.verdict());
-        assertTrue(comparison.reasons().get(0).contains("5 seeds can tell nothing"), comparison.reasons().toString());
+        assertTrue(
+                comparison.reasons().get(0).contains("5 seeds can tell nothing"),
+                comparison.reasons().toString());
         assertEquals(Verdict.B, play(1, 6, 6, 1, 100, r -> r.nextGaussian()).verdict());
         assertEquals(Verdict.A, play(1, 6, 6, 1, -100, r -> r.nextGaussian()).verdict());
     }
@@ -144,7 +149,9 @@
             comparison.add(s, run(0.5), b);
         }
         assertEquals(Verdict.A, comparison.verdict());
-        assertTrue(comparison.reasons().get(0).contains("seed 4: CEILINGS_KEPT: made up"), comparison.reasons().toString());
+        assertTrue(
+                comparison.reasons().get(0).contains("seed 4: CEILINGS_KEPT: made up"),
+                comparison.reasons().toString());
         Comparison thrown = new Comparison(0.95, 1, 6, 6);
         thrown.failed(true, 2, "made to");
         assertEquals(0, thrown.more());
@@ -185,7 +192,10 @@
         for (int k = 0; k < 2_000; k++) {
             double[] sample = random.doubles(n).map(u -> u - 0.5).toArray();
             SignedRank of = SignedRank.of(sample, 0.95);
-            assertEquals(of.p() <= 0.05, of.differs(), "the interval and the test are one thing, n = " + n + ", sample " + k);
+            assertEquals(
+                    of.p() <= 0.05,
+                    of.differs(),
+                    "the interval and the test are one thing, n = " + n + ", sample " + k);
             differs += of.differs() ? 1 : 0;
         }
         int most = new BinomialDistribution(null, 2_000, 0.05).inverseCumulativeProbability(0.999);
--- a/src/test/java/rushpin/model/FleetModelTest.java
+++ b/src/test/java/rushpin/model/FleetModelTest.java
@@ -19,11 +19,18 @@
 class FleetModelTest {
     /** All kinds of trouble in 20 s. */
     private static Map<String, String> rough() {
-        return Days.with(Days.day(), "kind=nodes-die at-s=3 for-s=3 part=0.4", "kind=servers-fail-fast at-s=5 for-s=6 part=0.2",
-            "kind=servers-replaced at-s=8 for-s=3 part=0.3", "kind=counter-silent at-s=10 for-s=2", "kind=counter-blank at-s=13",
-            "kind=servers-slow at-s=12 for-s=3 part=0.2 factor=3", "kind=servers-pause at-s=15 for-s=1 part=0.2",
-            "kind=overload at-s=14 for-s=3 factor=1.5", "kind=heavy-customer at-s=2 for-s=10 factor=0.3",
-            "kind=zone-lost at-s=16 for-s=2 zone=1 counter=true");
+        return Days.with(
+                Days.day(),
+                "kind=nodes-die at-s=3 for-s=3 part=0.4",
+                "kind=servers-fail-fast at-s=5 for-s=6 part=0.2",
+                "kind=servers-replaced at-s=8 for-s=3 part=0.3",
+                "kind=counter-silent at-s=10 for-s=2",
+                "kind=counter-blank at-s=13",
+                "kind=servers-slow at-s=12 for-s=3 part=0.2 factor=3",
+                "kind=servers-pause at-s=15 for-s=1 part=0.2",
+                "kind=overload at-s=14 for-s=3 factor=1.5",
+                "kind=heavy-customer at-s=2 for-s=10 factor=0.3",
+                "kind=zone-lost at-s=16 for-s=2 zone=1 counter=true");
     }
 
     @Test
@@ -55,7 +62,11 @@
         Map<String, Object> run = Days.play(rough(), seed);
         assertEquals("", run.get("breach"), "seed " + seed);
         assertTrue(Days.number(run, "service") < Days.number(Days.play(Days.day(), seed), "service"), "seed " + seed);
-        assertEquals(Days.number(run, "servers.present-s"), Days.number(run, "servers.sojourn-s"), 1e-3, "Little, seed " + seed);
+        assertEquals(
+                Days.number(run, "servers.present-s"),
+                Days.number(run, "servers.sojourn-s"),
+                1e-3,
+                "Little, seed " + seed);
     }
 
     private static double part(Map<String, Object> run, int from, int to) {
@@ -76,13 +87,17 @@
     @ValueSource(ints = {1, 3, 14, 60})
     void withNoWarmServerLeftNoneIsPushedOverAndAllAreServedOnceTheyAreWarm(int nodes) {
         for (long seed = 1; seed <= 2; seed++) {
-            Map<String, String> day = Days.with(Days.day("seconds=40 fleet.nodes=" + nodes + " fleet.spread=" + Math.min(3, nodes)
-                + " fleet.zones=1 clients.rate=150 servers.drain-ms=1500 servers.count=60 servers.cores=1 servers.line=6"),
-                "kind=servers-replaced at-s=8 for-s=0.5 part=1");
+            Map<String, String> day = Days.with(
+                    Days.day(
+                            "seconds=40 fleet.nodes=" + nodes + " fleet.spread=" + Math.min(3, nodes)
+                                    + " fleet.zones=1 clients.rate=150 servers.drain-ms=1500 servers.count=60 servers.cores=1 servers.line=6"),
+                    "kind=servers-replaced at-s=8 for-s=0.5 part=1");
             Map<String, Object> run = Days.play(day, seed);
             assertEquals("", run.get("breach"), nodes + " nodes, seed " + seed);
             double before = part(run, 2, 8), meanwhile = part(run, 12, 18), behind = part(run, 30, 40);
-            assertTrue(behind > before - 0.05, nodes + " nodes, seed " + seed + ": " + before + " before, " + behind + " behind it");
+            assertTrue(
+                    behind > before - 0.05,
+                    nodes + " nodes, seed " + seed + ": " + before + " before, " + behind + " behind it");
             assertTrue(meanwhile > 0.3 * before, nodes + " nodes, seed " + seed + ": " + meanwhile + " meanwhile");
         }
     }
@@ -90,8 +105,10 @@
     /** The servers of a fleet that starts are all new: each does at least half a request at a time. */
     @Test
     void aGatewayThatKnowsNoWarmServerSendsAllTheSame() {
-        Map<String, String> day = Days.with(Days.day("seconds=12 fleet.nodes=3"), "kind=servers-replaced at-s=0.1 for-s=0.1 part=1",
-            "kind=nodes-die at-s=3 for-s=0.5 part=1");
+        Map<String, String> day = Days.with(
+                Days.day("seconds=12 fleet.nodes=3"),
+                "kind=servers-replaced at-s=0.1 for-s=0.1 part=1",
+                "kind=nodes-die at-s=3 for-s=0.5 part=1");
         day.put("servers.drain-ms", "1000");
         day.put("clients.rate", "60");
         Map<String, Object> run = Days.play(day, 1);
@@ -104,8 +121,10 @@
     void aGatewayThatStartsInAReleaseUsesColdServersByWhatTheWarmOnesTake() {
         double served = 0;
         for (long seed = 1; seed <= 3; seed++) {
-            Map<String, String> day = Days.with(Days.day("seconds=14 fleet.nodes=2 fleet.spread=2 fleet.zones=1 clients.rate=120"),
-                "kind=servers-replaced at-s=2 for-s=0.5 part=0.8", "kind=nodes-die at-s=5.5 for-s=0.3 part=1");
+            Map<String, String> day = Days.with(
+                    Days.day("seconds=14 fleet.nodes=2 fleet.spread=2 fleet.zones=1 clients.rate=120"),
+                    "kind=servers-replaced at-s=2 for-s=0.5 part=0.8",
+                    "kind=nodes-die at-s=5.5 for-s=0.3 part=1");
             day.put("servers.drain-ms", "1500");
             Map<String, Object> run = Days.play(day, seed);
             assertEquals("", run.get("breach"), "seed " + seed);
@@ -121,37 +140,56 @@
     @Test
     void aModuleThatSendsToADrainIsCaught() {
         Map<String, String> day = Days.with(Days.day(), "kind=servers-replaced at-s=3 for-s=1 part=0.5");
-        String found = broken(day, (settings, seed, now, actions) -> new Gateway(settings, seed, now, new Bent(actions) {
-            @Override
-            public void send(String id, String server, long patience) {
-                super.send(id, "s-" + id.hashCode() % 10 * Integer.signum(id.hashCode()), patience);
-            }
-        }));
+        String found = broken(
+                day,
+                (settings, seed, now, actions) -> new Gateway(settings, seed, now, new Bent(actions) {
+                    @Override
+                    public void send(String id, String server, long patience) {
+                        super.send(id, "s-" + id.hashCode() % 10 * Integer.signum(id.hashCode()), patience);
+                    }
+                }));
         assertTrue(found.startsWith("DRAINS_KEPT"), found);
     }
 
     @Test
     void aModuleThatKnowsNoQuotaBreaksACeiling() {
         Map<String, String> day = Days.with(Days.day(), "kind=heavy-customer at-s=2 for-s=10 factor=0.5");
-        String found = broken(day, (settings, seed, now, actions) -> new Gateway(free(settings), seed, now, new Bent(actions) { }));
+        String found = broken(
+                day, (settings, seed, now, actions) -> new Gateway(free(settings), seed, now, new Bent(actions) {}));
         assertTrue(found.startsWith("CEILINGS_KEPT"), found);
     }
 
     private static Ports.Settings free(Ports.Settings of) {
         Ports.Plan plan = new Ports.Plan(0, 0, 0, 1, 0, 0, 0, 0, 0);
-        return new Ports.Settings(of.me(), of.siblings(), of.zone(), of.tick(), of.sizesTell(), of.reports(), of.classes(),
-            List.of(plan, plan), of.limits(), of.counter(), of.rules());
+        return new Ports.Settings(
+                of.me(),
+                of.siblings(),
+                of.zone(),
+                of.tick(),
+                of.sizesTell(),
+                of.reports(),
+                of.classes(),
+                List.of(plan, plan),
+                of.limits(),
+                of.counter(),
+                of.rules());
     }
 
     @Test
     void aModuleThatSendsAllToOneColdServerPushesItOver() {
-        Map<String, String> day = Days.with(Days.day("servers.line=200"), "kind=servers-replaced at-s=3 for-s=1 part=0.1");
-        String found = broken(day, (settings, seed, now, actions) -> new Gateway(settings, seed, now, new Bent(actions) {
-            @Override
-            public void send(String id, String server, long patience) {
-                super.send(id, now > 0 || Integer.parseInt(id.substring(0, id.indexOf('.'))) > 700 ? "r-0" : server, patience);
-            }
-        }));
+        Map<String, String> day =
+                Days.with(Days.day("servers.line=200"), "kind=servers-replaced at-s=3 for-s=1 part=0.1");
+        String found = broken(
+                day,
+                (settings, seed, now, actions) -> new Gateway(settings, seed, now, new Bent(actions) {
+                    @Override
+                    public void send(String id, String server, long patience) {
+                        super.send(
+                                id,
+                                now > 0 || Integer.parseInt(id.substring(0, id.indexOf('.'))) > 700 ? "r-0" : server,
+                                patience);
+                    }
+                }));
         assertTrue(found.startsWith("COLD_NOT_PUSHED_OVER"), found);
     }
 
@@ -159,18 +197,36 @@
     void aModuleThatRepeatsWhatMayHaveRunIsCaught() {
         Map<String, String> settings = Days.settings();
         settings.put("classes.1.idempotency", "fragile");
-        Map<String, String> day = Days.with(Days.day("servers.line=200"), "kind=servers-slow at-s=2 for-s=10 part=0.5 factor=30");
-        World.Module module = (told, seed, now, actions) -> new Gateway(retryable(told), seed, now, new Bent(actions) { });
-        World world = new World(rushpin.gateway.SettingsReader.read(settings), List.of("lookup", "order"), List.of("basic", "bulk"),
-            Day.of(day), null, 3, module);
+        Map<String, String> day =
+                Days.with(Days.day("servers.line=200"), "kind=servers-slow at-s=2 for-s=10 part=0.5 factor=30");
+        World.Module module =
+                (told, seed, now, actions) -> new Gateway(retryable(told), seed, now, new Bent(actions) {});
+        World world = new World(
+                rushpin.gateway.SettingsReader.read(settings),
+                List.of("lookup", "order"),
+                List.of("basic", "bulk"),
+                Day.of(day),
+                null,
+                3,
+                module);
         String found = (String) world.play().get("breach");
         assertTrue(found.startsWith("NO_EFFECT_TWICE"), found);
     }
 
     private static Ports.Settings retryable(Ports.Settings of) {
         Ports.RequestClass safe = of.classes().get(0);
-        return new Ports.Settings(of.me(), of.siblings(), of.zone(), of.tick(), of.sizesTell(), of.reports(),
-            List.of(safe, safe), of.plans(), of.limits(), of.counter(), of.rules());
+        return new Ports.Settings(
+                of.me(),
+                of.siblings(),
+                of.zone(),
+                of.tick(),
+                of.sizesTell(),
+                of.reports(),
+                List.of(safe, safe),
+                of.plans(),
+                of.limits(),
+                of.counter(),
+                of.rules());
     }
 
     @Test
@@ -184,10 +240,11 @@
 
     @Test
     void aModuleThatThrowsIsNoRun() {
-        RuntimeException why = assertThrows(IllegalStateException.class, () -> Days.play(Days.day(), 1,
-            (settings, seed, now, actions) -> {
-                throw new IllegalStateException("made to");
-            }));
+        RuntimeException why = assertThrows(
+                IllegalStateException.class,
+                () -> Days.play(Days.day(), 1, (settings, seed, now, actions) -> {
+                    throw new IllegalStateException("made to");
+                }));
         assertEquals("made to", why.getMessage());
     }
 
@@ -195,17 +252,24 @@
     void whatADayLacksIsNamedWithWhatIsAllowed() {
         Map<String, String> day = Days.day("servers.cores=0", "front.notice-ms=9,3", "servers.colour=red");
         day.put("class.lookup.work", "bimodal 1 2");
-        String why = assertThrows(IllegalArgumentException.class, () -> Day.of(day)).getMessage();
-        for (String part : List.of("servers.cores is \"0\"; allowed: a number from 1", "front.notice-ms", "servers.colour is no key",
-            "\"bimodal\" is no family")) {
+        String why =
+                assertThrows(IllegalArgumentException.class, () -> Day.of(day)).getMessage();
+        for (String part : List.of(
+                "servers.cores is \"0\"; allowed: a number from 1",
+                "front.notice-ms",
+                "servers.colour is no key",
+                "\"bimodal\" is no family")) {
             assertTrue(why.contains(part), why);
         }
         Map<String, String> unknown = Days.day("class.refund.share=0.1");
         unknown.put("class.refund.work", "fixed 10");
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Days.play(unknown, 1)).getMessage()
-            .contains("class.refund: the settings have lookup, order"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> Days.play(unknown, 1))
+                .getMessage()
+                .contains("class.refund: the settings have lookup, order"));
         Map<String, String> huge = Days.day("seconds=7200", "clients.rate=10000");
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> Days.play(huge, 1)).getMessage().contains("2000000"));
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> Days.play(huge, 1))
+                .getMessage()
+                .contains("2000000"));
     }
 
     @Test
@@ -233,10 +297,22 @@
         var line = Tallies.line();
         StringBuilder order = new StringBuilder();
         counter.silent(true);
-        counter.call(line, 9, 1, 1_000_000_000, 100, (outcome, total) -> order.append("first ").append(outcome));
+        counter.call(
+                line,
+                9,
+                1,
+                1_000_000_000,
+                100,
+                (outcome, total) -> order.append("first ").append(outcome));
         time.run(1_000_000);
         counter.silent(false);
-        counter.call(line, 9, 2, 1_000_000_000, 100, (outcome, total) -> order.append(", second ").append(outcome).append(total));
+        counter.call(
+                line,
+                9,
+                2,
+                1_000_000_000,
+                100,
+                (outcome, total) -> order.append(", second ").append(outcome).append(total));
         time.run(100_000_000);
         assertEquals("first TIMEOUT, second OK2.0", order.toString());
         assertTrue(line.isEmpty());
--- a/src/test/java/rushpin/model/QueueTheoryTest.java
+++ b/src/test/java/rushpin/model/QueueTheoryTest.java
@@ -21,12 +21,11 @@
     private static final int SEEDS = 24;
 
     /** What was seen of a server under Poisson arrivals: mean span in ms, part turned away, mean number present. */
-    private record Seen(double sojourn, double turnedAway, double present, double served) {
-    }
+    private record Seen(double sojourn, double turnedAway, double present, double served) {}
 
     private static Seen play(double perSecond, Work work, int cores, int line, double seconds, long seed) {
         Timeline time = new Timeline();
-        Station station = new Station("s", 0, 0, time, RULES, cores, line, true, () -> { });
+        Station station = new Station("s", 0, 0, time, RULES, cores, line, true, () -> {});
         SplittableRandom random = new SplittableRandom(seed);
         SummaryStatistics spans = new SummaryStatistics();
         int[] counts = new int[2];
@@ -53,8 +52,11 @@
         time.run((long) (seconds * S));
         double[] little = station.little();
         assertEquals(little[0], little[1], 1e-6 * little[0] + 1e-9, "Little's law, seed " + seed);
-        return new Seen(spans.getMean(), counts[1] / Math.max(1.0, counts[0] + counts[1]),
-            (little[0] - before) / (seconds - warm), counts[0] / (seconds - warm));
+        return new Seen(
+                spans.getMean(),
+                counts[1] / Math.max(1.0, counts[0] + counts[1]),
+                (little[0] - before) / (seconds - warm),
+                counts[0] / (seconds - warm));
     }
 
     private static void holds(String what, double theory, java.util.function.LongToDoubleFunction seen) {
@@ -62,9 +64,12 @@
         for (long seed = 1; seed <= SEEDS; seed++) {
             of.addValue(seen.applyAsDouble(seed));
         }
-        double half = new TDistribution(null, SEEDS - 1).inverseCumulativeProbability(0.9995) * of.getStandardDeviation()
-            / Math.sqrt(SEEDS);
-        assertTrue(Math.abs(of.getMean() - theory) <= half, what + ": theory " + theory + ", seen " + of.getMean() + " +- " + half);
+        double half = new TDistribution(null, SEEDS - 1).inverseCumulativeProbability(0.9995)
+                * of.getStandardDeviation()
+                / Math.sqrt(SEEDS);
+        assertTrue(
+                Math.abs(of.getMean() - theory) <= half,
+                what + ": theory " + theory + ", seen " + of.getMean() + " +- " + half);
         assertTrue(half < 0.12 * theory, what + ": " + half + " is too wide to say anything of " + theory);
     }
 
@@ -72,8 +77,14 @@
     void oneServerOfExponentialWork() {
         // M/M/1: W = 1 / (mu - lambda) = 1 / (100 - 70).
         Work work = Work.of("exponential 10");
-        holds("M/M/1 span", 1e3 / 30, seed -> play(70, work, 1, 1_000_000, 400, seed).sojourn());
-        holds("M/M/1 present", 0.7 / 0.3, seed -> play(70, work, 1, 1_000_000, 400, seed).present());
+        holds(
+                "M/M/1 span",
+                1e3 / 30,
+                seed -> play(70, work, 1, 1_000_000, 400, seed).sojourn());
+        holds(
+                "M/M/1 present",
+                0.7 / 0.3,
+                seed -> play(70, work, 1, 1_000_000, 400, seed).present());
     }
 
     @Test
@@ -85,27 +96,41 @@
             term *= a / (k + 1);
         }
         double c = term / (1 - a / 4) / (sum + term / (1 - a / 4));
-        holds("M/M/4 span", 10 + c * 10 / (4 - a), seed -> play(320, Work.of("exponential 10"), 4, 1_000_000, 200, seed).sojourn());
+        holds(
+                "M/M/4 span",
+                10 + c * 10 / (4 - a),
+                seed -> play(320, Work.of("exponential 10"), 4, 1_000_000, 200, seed)
+                        .sojourn());
     }
 
     @Test
     void oneServerOfAnyWork() {
         // Pollaczek and Khinchine: W = E[S] + lambda E[S^2] / 2 (1 - rho); uniform from 4 to 16 ms, E[S^2] = 112.
-        holds("M/G/1 span", 10 + 0.07 * 112 / (2 * 0.3), seed -> play(70, Work.of("uniform 4 16"), 1, 1_000_000, 300, seed).sojourn());
+        holds(
+                "M/G/1 span",
+                10 + 0.07 * 112 / (2 * 0.3),
+                seed -> play(70, Work.of("uniform 4 16"), 1, 1_000_000, 300, seed)
+                        .sojourn());
     }
 
     @Test
     void moreThanCanBeServedIsTurnedAwayAtTheRate() {
         // M/M/1/K with K = 11: of twice the load nearly half is turned away.
         double rho = 2, blocked = (1 - rho) * Math.pow(rho, 11) / (1 - Math.pow(rho, 12));
-        holds("M/M/1/11 turned away", blocked, seed -> play(200, Work.of("exponential 10"), 1, 10, 100, seed).turnedAway());
-        holds("overloaded, served a second", 100, seed -> play(300, Work.of("exponential 10"), 1, 50, 100, seed).served());
+        holds(
+                "M/M/1/11 turned away",
+                blocked,
+                seed -> play(200, Work.of("exponential 10"), 1, 10, 100, seed).turnedAway());
+        holds(
+                "overloaded, served a second",
+                100,
+                seed -> play(300, Work.of("exponential 10"), 1, 50, 100, seed).served());
     }
 
     @Test
     void aPauseDoesNoWorkAndLosesNone() {
         Timeline time = new Timeline();
-        Station station = new Station("s", 0, 0, time, RULES, 1, 10, true, () -> { });
+        Station station = new Station("s", 0, 0, time, RULES, 1, 10, true, () -> {});
         long[] ended = new long[2];
         for (int i = 0; i < 2; i++) {
             int mine = i;
@@ -127,7 +152,7 @@
     void workThatIsCalledOffFreesItsCoreOnlyWhereItCan() {
         for (boolean stops : new boolean[] {true, false}) {
             Timeline time = new Timeline();
-            Station station = new Station("s", 0, 0, time, RULES, 1, 10, stops, () -> { });
+            Station station = new Station("s", 0, 0, time, RULES, 1, 10, stops, () -> {});
             Station.Visit first = new Station.Visit((long) (100 * MS), 1);
             long[] ended = new long[1];
             station.arrive(first);
@@ -172,10 +197,12 @@
     void noEventBeforeItsCauseAndNoneGoesRound() {
         Timeline time = new Timeline();
         time.run(100);
-        assertThrows(IllegalStateException.class, () -> time.at(99, () -> { }));
+        assertThrows(IllegalStateException.class, () -> time.at(99, () -> {}));
         Runnable[] round = new Runnable[1];
         round[0] = () -> time.after(0, round[0]);
         round[0].run();
-        assertTrue(assertThrows(IllegalStateException.class, () -> time.run(200)).getMessage().contains("goes round"));
+        assertTrue(assertThrows(IllegalStateException.class, () -> time.run(200))
+                .getMessage()
+                .contains("goes round"));
     }
 }
--- a/src/test/java/rushpin/net/ClientServerTest.java
+++ b/src/test/java/rushpin/net/ClientServerTest.java
@@ -34,6 +34,7 @@
     private static final long IDLE = 3_000_000_000L;
     /** Of 16 descriptors 8 are clients'; of these 4 may rest. */
     private static final int SOCKETS = 16, MOST_CLIENTS = 8, MOST_RESTING = 4;
+
     private static final int MANY_SOCKETS = 1_024;
     /** Connections that end while accepting fails; milliseconds of four pauses, and how many tries may fall into them. */
     private static final int ENDING = 40, PAUSES = 1_000, MOST_TRIES = 8;
@@ -43,6 +44,7 @@
     private final List<Socket> clients = new ArrayList<>();
     /** What accepting does instead of the system's call, which it may make. */
     private volatile Acceptor.Source accepts = ServerSocketChannel::accept;
+
     private ClientServer server;
 
     private static final class Healthy implements Front {
@@ -57,8 +59,7 @@
         }
 
         @Override
-        public void connectionEnded(int open) {
-        }
+        public void connectionEnded(int open) {}
 
         @Override
         public long now() {
@@ -67,8 +68,14 @@
     }
 
     private void serve(int sockets) throws Exception {
-        server = new ClientServer(new Healthy(), loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), sockets,
-            new ByteBudget(1 << 24), false, at -> accepts.accept(at));
+        server = new ClientServer(
+                new Healthy(),
+                loop,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                sockets,
+                new ByteBudget(1 << 24),
+                false,
+                at -> accepts.accept(at));
         server.bind().get();
     }
 
@@ -95,7 +102,7 @@
     private static String answer(Socket client) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.UTF_8));
         String first = in.readLine();
-        for (String line = first; line != null && !line.isEmpty();) {
+        for (String line = first; line != null && !line.isEmpty(); ) {
             line = in.readLine();
         }
         return first;
@@ -108,11 +115,13 @@
     /** Runs work on the loop, of which clients' acts are a part: the loop does not look at its sockets between them. */
     private void onHeldLoop(Act clientsAct, Runnable then) throws Exception {
         CompletableFuture<Void> held = new CompletableFuture<>(), acted = new CompletableFuture<>();
-        CompletableFuture<Void> done = CompletableFuture.runAsync(() -> {
-            held.complete(null);
-            acted.join();
-            then.run();
-        }, loop);
+        CompletableFuture<Void> done = CompletableFuture.runAsync(
+                () -> {
+                    held.complete(null);
+                    acted.join();
+                    then.run();
+                },
+                loop);
         held.join();
         try {
             clientsAct.run();
@@ -136,10 +145,12 @@
         while (server.connections() < 2) {
             Thread.onSpinWait();
         }
-        onHeldLoop(() -> {
-            ask(used);
-            ask(fresh);
-        }, () -> server.endOverdue(System.nanoTime() + IDLE));
+        onHeldLoop(
+                () -> {
+                    ask(used);
+                    ask(fresh);
+                },
+                () -> server.endOverdue(System.nanoTime() + IDLE));
         assertAnswered(used, "on a connection that was used");
         assertAnswered(fresh, "on a connection that was not");
     }
@@ -150,7 +161,7 @@
         Socket used = connect();
         ask(used);
         assertAnswered(used, "the first request");
-        onHeldLoop(() -> { }, () -> server.endOverdue(System.nanoTime() + IDLE));
+        onHeldLoop(() -> {}, () -> server.endOverdue(System.nanoTime() + IDLE));
         assertEquals(-1, used.getInputStream().read());
     }
 
@@ -189,15 +200,17 @@
     }
 
     private void endWith(Acceptor.Source failing) throws Exception {
-        onHeldLoop(() -> {
-            for (int i = 0; i < 3; i++) {
-                ask(connect());
-            }
-        }, () -> {
-            accepts = failing;
-            server.closeAfterAnswers();
-            server.stopAccepting(true);
-        });
+        onHeldLoop(
+                () -> {
+                    for (int i = 0; i < 3; i++) {
+                        ask(connect());
+                    }
+                },
+                () -> {
+                    accepts = failing;
+                    server.closeAfterAnswers();
+                    server.stopAccepting(true);
+                });
     }
 
     private void assertClosed(InetSocketAddress at) throws Exception {
@@ -266,7 +279,7 @@
             }
         }
         int before = tries.get();
-        loop.schedule(() -> { }, PAUSES, TimeUnit.MILLISECONDS).get();
+        loop.schedule(() -> {}, PAUSES, TimeUnit.MILLISECONDS).get();
         assertTrue(tries.get() - before <= MOST_TRIES, "tried " + (tries.get() - before) + " times");
         accepts = ServerSocketChannel::accept;
         assertAnswered(waiting, "who waited meanwhile");
--- a/src/test/java/rushpin/net/ConnectTest.java
+++ b/src/test/java/rushpin/net/ConnectTest.java
@@ -59,7 +59,10 @@
         }
 
         private void tell(String what) {
-            told.add(loop.inEventLoop() ? what : what + " on " + Thread.currentThread().getName());
+            told.add(
+                    loop.inEventLoop()
+                            ? what
+                            : what + " on " + Thread.currentThread().getName());
         }
     };
 
@@ -74,10 +77,11 @@
 
     private Channel connect(Bootstrap bootstrap, SocketAddress to) throws Exception {
         return loop.submit(() -> {
-            Channel made = Transport.connect(bootstrap, loop, to, listener);
-            assertTrue(told.isEmpty(), "told from within the call");
-            return made;
-        }).get();
+                    Channel made = Transport.connect(bootstrap, loop, to, listener);
+                    assertTrue(told.isEmpty(), "told from within the call");
+                    return made;
+                })
+                .get();
     }
 
     private void assertTold(String... all) throws Exception {
@@ -87,7 +91,7 @@
         }
         assertEquals(List.of(all), heard);
         for (int i = 0; i < TURNS; i++) {
-            loop.submit(() -> { }).get();
+            loop.submit(() -> {}).get();
         }
         assertTrue(told.isEmpty(), "told once more: " + told);
     }
@@ -103,13 +107,15 @@
     void nettyTellsOfAMissingSocketOnAForeignThreadAndNeverOfItsEnd() throws Exception {
         SocketAddress to = nobody();
         CompletableFuture<Boolean> foreign = new CompletableFuture<>(), ended = new CompletableFuture<>();
-        ChannelFuture connecting = loop.submit(() -> over(new FailingSockets().refuseSockets()).connect(to)).get();
+        ChannelFuture connecting = loop.submit(
+                        () -> over(new FailingSockets().refuseSockets()).connect(to))
+                .get();
         connecting.addListener(done -> foreign.complete(!loop.inEventLoop()));
         connecting.channel().closeFuture().addListener(done -> ended.complete(true));
         assertTrue(foreign.get(30, TimeUnit.SECONDS));
         assertThrows(IllegalStateException.class, () -> connecting.channel().close());
         for (int i = 0; i < TURNS; i++) {
-            loop.submit(() -> { }).get();
+            loop.submit(() -> {}).get();
         }
         assertFalse(ended.isDone());
     }
@@ -139,7 +145,9 @@
     @Test
     void aConnectThatIsGivenUpIsToldAndEnds() throws Exception {
         SocketAddress to = nobody();
-        loop.submit(() -> Transport.connect(over(NioSocketChannel::new), loop, to, listener).close()).get();
+        loop.submit(() -> Transport.connect(over(NioSocketChannel::new), loop, to, listener)
+                        .close())
+                .get();
         assertTold("failed StacklessClosedChannelException", "ended");
     }
 
--- a/src/test/java/rushpin/net/CounterConnectTest.java
+++ b/src/test/java/rushpin/net/CounterConnectTest.java
@@ -61,20 +61,36 @@
     }
 
     private void client(long timeout) throws Exception {
-        Upstream upstream = new Upstream(null, counter.getLocalSocketAddress(), timeout, LONG_NANOS, 0, 0,
-            new Names(List.of(), List.of(), List.of(), List.of()), PREFIX, null);
-        client = loop.submit(() -> new CounterClient((name, outcome, total) -> {
-            String where = loop.inEventLoop() ? "" : " on " + Thread.currentThread().getName();
-            told.add(name + " " + outcome + where);
-        }, loop, upstream, bootstrap)).get();
+        Upstream upstream = new Upstream(
+                null,
+                counter.getLocalSocketAddress(),
+                timeout,
+                LONG_NANOS,
+                0,
+                0,
+                new Names(List.of(), List.of(), List.of(), List.of()),
+                PREFIX,
+                null);
+        client = loop.submit(() -> new CounterClient(
+                        (name, outcome, total) -> {
+                            String where = loop.inEventLoop()
+                                    ? ""
+                                    : " on " + Thread.currentThread().getName();
+                            told.add(name + " " + outcome + where);
+                        },
+                        loop,
+                        upstream,
+                        bootstrap))
+                .get();
     }
 
     private void count(long... names) throws Exception {
         loop.submit(() -> {
-            for (long name : names) {
-                client.count(name, 1, LIFE_NANOS);
-            }
-        }).get();
+                    for (long name : names) {
+                        client.count(name, 1, LIFE_NANOS);
+                    }
+                })
+                .get();
     }
 
     private void move(SocketAddress to) throws Exception {
@@ -91,7 +107,7 @@
 
     private void drain() throws Exception {
         for (int i = 0; i < TURNS; i++) {
-            loop.submit(() -> { }).get();
+            loop.submit(() -> {}).get();
         }
     }
 
@@ -144,9 +160,10 @@
         sockets.failConnects(new ConnectException("Network is unreachable"));
         // In one turn of the loop: a call that comes when the new line has failed rightly tries another.
         loop.submit(() -> {
-            client.move(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
-            client.count(4, 1, LIFE_NANOS);
-        }).get();
+                    client.move(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
+                    client.count(4, 1, LIFE_NANOS);
+                })
+                .get();
         drain();
         assertTrue(told.isEmpty(), "told before the call that is out: " + told);
         assertEquals(2, sockets.sockets.get(), "tried again though nothing may be written");
@@ -225,7 +242,8 @@
             }
         }
         String read = new String(slow.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-        Matcher whole = Pattern.compile("POST /tally/p+(\\d+)\\?[^\r]*\r\n(?:[^\r]+\r\n)*\r\n").matcher(read);
+        Matcher whole = Pattern.compile("POST /tally/p+(\\d+)\\?[^\r]*\r\n(?:[^\r]+\r\n)*\r\n")
+                .matcher(read);
         while (whole.find()) {
             added.add(whole.group(1));
         }
--- a/src/test/java/rushpin/net/DiscoveryClientTest.java
+++ b/src/test/java/rushpin/net/DiscoveryClientTest.java
@@ -55,7 +55,7 @@
     private final EventLoop loop = group.next();
     private final BlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
     private final BlockingQueue<Long> heard = new LinkedBlockingQueue<>();
-    private volatile Runnable still = () -> { };
+    private volatile Runnable still = () -> {};
     private ServerSocket listening;
     private DiscoveryClient client;
     private final FailingSockets sockets = new FailingSockets();
@@ -68,10 +68,10 @@
                 while (true) {
                     Socket socket = listening.accept();
                     socket.setSoTimeout(60_000);
-                    BufferedReader in = new BufferedReader(
-                        new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+                    BufferedReader in =
+                            new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
                     String first = in.readLine();
-                    for (String line = first; line != null && !line.isEmpty();) {
+                    for (String line = first; line != null && !line.isEmpty(); ) {
                         line = in.readLine();
                     }
                     asked.add(new Asked(first, socket));
@@ -94,14 +94,18 @@
     }
 
     private void watch(long silence, long answer) throws Exception {
-        client = new DiscoveryClient((roll, kind) -> {
-            heard.add(roll.revision());
-            if (roll.revision() == 8) {
-                still.run();
-            }
-        }, loop, NAMES,
-            listening.getLocalSocketAddress(), new DiscoveryClient.Spans(silence, answer, 20, 60_000),
-            new Bootstrap().group(loop).channelFactory(sockets));
+        client = new DiscoveryClient(
+                (roll, kind) -> {
+                    heard.add(roll.revision());
+                    if (roll.revision() == 8) {
+                        still.run();
+                    }
+                },
+                loop,
+                NAMES,
+                listening.getLocalSocketAddress(),
+                new DiscoveryClient.Spans(silence, answer, 20, 60_000),
+                new Bootstrap().group(loop).channelFactory(sockets));
         loop.submit(() -> client.start(5)).get();
     }
 
@@ -125,7 +129,8 @@
     @Test
     void aSilentWatchIsMadeUpForBeforeItCountsAsTold() {
         DiscoveryClient.Spans spans = DiscoveryClient.Spans.USUAL;
-        long pause = 1_000, sum = pause + spans.silence() + pause + spans.settling() + spans.answer() + spans.settling();
+        long pause = 1_000,
+                sum = pause + spans.silence() + pause + spans.settling() + spans.answer() + spans.settling();
         assertTrue(sum <= 6_000 - 100, "the new watch may speak only after " + sum + " ms");
         assertTrue(spans.silence() * 9 / 10 >= 2_000 + spans.answer(), "a line every 2 s is no silence");
     }
@@ -308,10 +313,11 @@
         assertHeard(8);
         loop.submit(() -> client.move(nobody)).get();
         loop.submit(() -> {
-            client.move(listening.getLocalSocketAddress());
-            client.move(nobody);
-            client.move(listening.getLocalSocketAddress());
-        }).get();
+                    client.move(listening.getLocalSocketAddress());
+                    client.move(nobody);
+                    client.move(listening.getLocalSocketAddress());
+                })
+                .get();
         left.ended();
         // A discovery that has begun anew counts from a lower revision.
         Asked last = next("8");
--- a/src/test/java/rushpin/net/FailingSockets.java
+++ b/src/test/java/rushpin/net/FailingSockets.java
@@ -15,6 +15,7 @@
 final class FailingSockets implements ChannelFactory<Channel> {
     /** How often {@code socket} and {@code connect} were called. */
     final AtomicInteger sockets = new AtomicInteger(), connects = new AtomicInteger();
+
     private volatile boolean refusing;
     private volatile IOException connect, finish;
     private final AtomicReference<IOException> read = new AtomicReference<>();
--- a/src/test/java/rushpin/net/FiguresTest.java
+++ b/src/test/java/rushpin/net/FiguresTest.java
@@ -12,8 +12,8 @@
     void onlyPlainFiguresWithinBoundsCount() {
         assertEquals(3, Figures.amount("3", 8));
         assertEquals(2.5, Figures.amount("2.5", 8));
-        for (String bad : List.of("", "0", "-1", "8.1", "1d", "0x1p1", "NaN", "Infinity", "1e9", "+1", "1.2.3",
-            " 1", "\u0661")) {
+        for (String bad :
+                List.of("", "0", "-1", "8.1", "1d", "0x1p1", "NaN", "Infinity", "1e9", "+1", "1.2.3", " 1", "\u0661")) {
             assertTrue(Double.isNaN(Figures.amount(bad, 8)), bad);
         }
         assertTrue(Double.isNaN(Figures.amount(null, 8)));
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -57,9 +57,11 @@
     private final List<Channel> listening = new ArrayList<>();
     /** Requests that wait at the servers for their answers, and how attempts ended. */
     private final BlockingQueue<ChannelHandlerContext> held = new LinkedBlockingQueue<>();
+
     private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
     /** Whether servers hear that the other side has closed. */
     private volatile boolean deaf;
+
     private final BlockingQueue<ChannelHandlerContext> unheard = new LinkedBlockingQueue<>();
     private long longest = LONG;
     private ServerPool servers;
@@ -69,19 +71,34 @@
     void begin() throws Exception {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            Channel made = new ServerBootstrap().group(far).channel(NioServerSocketChannel.class)
-                .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true).childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        mostOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
-                        channel.pipeline().addLast(new HttpServerCodec(), new Side());
-                    }
-                }).bind(InetAddress.getLoopbackAddress(), 0).sync().channel();
+            Channel made = new ServerBootstrap()
+                    .group(far)
+                    .channel(NioServerSocketChannel.class)
+                    .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
+                    .childHandler(new ChannelInitializer<Channel>() {
+                        @Override
+                        protected void initChannel(Channel channel) {
+                            mostOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
+                            channel.pipeline().addLast(new HttpServerCodec(), new Side());
+                        }
+                    })
+                    .bind(InetAddress.getLoopbackAddress(), 0)
+                    .sync()
+                    .channel();
             listening.add(made);
-            members.add(new Member(new Server("s" + i, 1, 0, 0, 0, Readiness.READY, 0), (InetSocketAddress) made.localAddress()));
+            members.add(new Member(
+                    new Server("s" + i, 1, 0, 0, 0, Readiness.READY, 0), (InetSocketAddress) made.localAddress()));
         }
-        Upstream upstream = new Upstream(null, null, MS, 1_000 * MS, LONG, 8, new Names(List.of("c"), List.of("a", "b"),
-            List.of("z"), List.of("k")), "", null);
+        Upstream upstream = new Upstream(
+                null,
+                null,
+                MS,
+                1_000 * MS,
+                LONG,
+                8,
+                new Names(List.of("c"), List.of("a", "b"), List.of("z"), List.of("k")),
+                "",
+                null);
         call(() -> {
             servers = new ServerPool(new Ends(), loop, upstream, new Slots());
             gate = servers.keepTo(LONG, longest, request -> request.plan() == 0 ? "a" : "b");
@@ -113,7 +130,8 @@
 
     private void send(String id, int plan, String server, long patience) throws Exception {
         Request request = new Request(id, 0, plan, 1, System.nanoTime() + LONG, 1, 1, 0, false);
-        OpenRequest of = new OpenRequest(request, "c", HttpMethod.GET, "/", null, "h", Unpooled.EMPTY_BUFFER, null, null, 0, LONG);
+        OpenRequest of = new OpenRequest(
+                request, "c", HttpMethod.GET, "/", null, "h", Unpooled.EMPTY_BUFFER, null, null, 0, LONG);
         call(() -> {
             servers.send(of, server, patience);
             return null;
@@ -299,7 +317,8 @@
 
     private final class Ends implements ServerPool.Listener {
         @Override
-        public void attemptEnded(OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
+        public void attemptEnded(
+                OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
             ended.add(of.request().id() + " " + outcome);
         }
 
--- a/src/test/java/rushpin/net/PassageTest.java
+++ b/src/test/java/rushpin/net/PassageTest.java
@@ -28,17 +28,21 @@
         boolean[] go = {true};
         Passage.Room room = new Passage.Room(Long.MAX_VALUE);
         int[] stopped = {0};
-        Passage passage = new Passage(loop, new Passage.Source() {
-            @Override
-            public void flow(boolean now) {
-                go[0] = now;
-            }
+        Passage passage = new Passage(
+                loop,
+                new Passage.Source() {
+                    @Override
+                    public void flow(boolean now) {
+                        go[0] = now;
+                    }
 
-            @Override
-            public void stopped() {
-                stopped[0]++;
-            }
-        }, loop, room);
+                    @Override
+                    public void stopped() {
+                        stopped[0]++;
+                    }
+                },
+                loop,
+                room);
         Passage.Sink sink = new Passage.Sink() {
             @Override
             public void piece(ByteBuf piece) {
--- a/src/test/java/rushpin/net/ServerConnectTest.java
+++ b/src/test/java/rushpin/net/ServerConnectTest.java
@@ -57,12 +57,26 @@
     @BeforeEach
     void begin() throws Exception {
         listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Upstream upstream = new Upstream(null, null, 1, LONG, LONG, 8,
-            new Names(List.of("c"), List.of("a"), List.of("z"), List.of("k")), "", null);
-        Member member = new Member(new Server("s0", 1, 0, 0, 0, Readiness.READY, 0),
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), listening.getLocalPort()));
+        Upstream upstream = new Upstream(
+                null,
+                null,
+                1,
+                LONG,
+                LONG,
+                8,
+                new Names(List.of("c"), List.of("a"), List.of("z"), List.of("k")),
+                "",
+                null);
+        Member member = new Member(
+                new Server("s0", 1, 0, 0, 0, Readiness.READY, 0),
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), listening.getLocalPort()));
         onLoop(() -> {
-            servers = new ServerPool(new Ends(), loop, upstream, slots, new Bootstrap().group(loop).channelFactory(sockets));
+            servers = new ServerPool(
+                    new Ends(),
+                    loop,
+                    upstream,
+                    slots,
+                    new Bootstrap().group(loop).channelFactory(sockets));
             servers.update(new Roll(1, true, List.of(member)), true);
             return null;
         });
@@ -79,11 +93,12 @@
     }
 
     static Stream<Consumer<FailingSockets>> failures() {
-        return Stream.of(FailingSockets::refuseSockets,
-            all -> all.failConnects(new ConnectException("Network is unreachable")),
-            all -> all.failConnects(new IOException("Cannot assign requested address")),
-            all -> all.failConnects(new NoRouteToHostException("No route to host")),
-            all -> all.failFinishing(new IOException("Connection timed out")));
+        return Stream.of(
+                FailingSockets::refuseSockets,
+                all -> all.failConnects(new ConnectException("Network is unreachable")),
+                all -> all.failConnects(new IOException("Cannot assign requested address")),
+                all -> all.failConnects(new NoRouteToHostException("No route to host")),
+                all -> all.failFinishing(new IOException("Connection timed out")));
     }
 
     @ParameterizedTest
@@ -113,7 +128,7 @@
         long moment = TimeUnit.MILLISECONDS.toNanos(1);
         onLoop(() -> {
             servers.send(request("late"), "s0", LONG, moment);
-            for (long sent = System.nanoTime(); System.nanoTime() - sent <= moment;) {
+            for (long sent = System.nanoTime(); System.nanoTime() - sent <= moment; ) {
                 Thread.onSpinWait();
             }
             return null;
@@ -140,7 +155,8 @@
 
     private static OpenRequest request(String id) {
         Request request = new Request(id, 0, 0, 1, System.nanoTime() + LONG, 1, 1, 0, false);
-        return new OpenRequest(request, "c", HttpMethod.GET, "/", null, "h", Unpooled.EMPTY_BUFFER, null, null, 0, LONG);
+        return new OpenRequest(
+                request, "c", HttpMethod.GET, "/", null, "h", Unpooled.EMPTY_BUFFER, null, null, 0, LONG);
     }
 
     private void send(String id) throws Exception {
@@ -156,7 +172,8 @@
 
     private final class Ends implements ServerPool.Listener {
         @Override
-        public void attemptEnded(OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
+        public void attemptEnded(
+                OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
             endedElsewhere |= !loop.inEventLoop();
             // Behind the end of the channel, which gives the place back.
             loop.execute(() -> ended.add(outcome));
--- a/src/test/java/rushpin/net/xds/LastGoodTest.java
+++ b/src/test/java/rushpin/net/xds/LastGoodTest.java
@@ -21,17 +21,22 @@
 /** The list as last told, torn and on a disk that fails. */
 class LastGoodTest {
     private static final Names NAMES = new Names(List.of("bulk"), List.of("basic"), List.of("z-0"), List.of("m"));
+
     @TempDir
     Path folder;
+
     private final List<String> said = new ArrayList<>();
 
     private static List<Member> members(String... ids) {
-        return Stream.of(ids).map(id -> new Member(new Server(id, 1, 0, 0, 0, Readiness.READY, 0),
-            new InetSocketAddress("127.0.0.1", 8_000))).toList();
+        return Stream.of(ids)
+                .map(id -> new Member(
+                        new Server(id, 1, 0, 0, 0, Readiness.READY, 0), new InetSocketAddress("127.0.0.1", 8_000)))
+                .toList();
     }
 
     private List<String> ids() {
-        return new LastGood(folder, "p", NAMES).read(said::add).stream().map(member -> member.server().id()).toList();
+        return new LastGood(folder, "p", NAMES)
+                .read(said::add).stream().map(member -> member.server().id()).toList();
     }
 
     @Test
--- a/src/test/java/rushpin/node/BehindAStopTest.java
+++ b/src/test/java/rushpin/node/BehindAStopTest.java
@@ -18,9 +18,11 @@
     private static final long STOP_MS = 300;
     /** Longer than a client waits that says {@link #SHORT_MS}. */
     private static final long LONG_STOP_MS = 2_100;
+
     private static final String SHORT_MS = "2000";
     /** Shorter than what counts as a stop by itself. */
     private static final long CROWDED_MS = 40;
+
     private static final int CLIENTS = 8;
 
     private final List<Peer.Message> watches = new ArrayList<>();
@@ -89,8 +91,9 @@
             for (int i = 0; i < CLIENTS; i++) {
                 order(clients[i], "t-" + i);
             }
-            watch.answer(chunk("{\"revision\":9,\"complete\":true,\"members\":["
-                + member("s-0", gone.address(), "Terminating", 0) + "," + member("s-1", there.address(), "Ready", 0) + "]}"));
+            watch.answer(chunk(
+                    "{\"revision\":9,\"complete\":true,\"members\":[" + member("s-0", gone.address(), "Terminating", 0)
+                            + "," + member("s-1", there.address(), "Ready", 0) + "]}"));
         });
         for (Socket client : clients) {
             assertEquals("new", Peer.read(client).body());
@@ -116,7 +119,9 @@
         }
         // What the node would send it has sent by the time that this one is answered.
         assertEquals("200", ask(client(node), "after"));
-        assertEquals(List.of("after"), server.seen.stream().map(m -> m.headers().get("x-trace-id")).toList());
+        assertEquals(
+                List.of("after"),
+                server.seen.stream().map(m -> m.headers().get("x-trace-id")).toList());
     }
 
     /** Guards against requests that are sent on after their time, since their wait in the kernel did not count. */
--- a/src/test/java/rushpin/node/BesideTest.java
+++ b/src/test/java/rushpin/node/BesideTest.java
@@ -22,7 +22,8 @@
     void whatWaitsInTheQueueIsTakenBeforeTheSocketGoes() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
-        EdgeNode node = new EdgeNode(config, OperatorFile.parse(Daemon.operator("listener = \"reuseport\"\n"), Path.of("."), config));
+        EdgeNode node = new EdgeNode(
+                config, OperatorFile.parse(Daemon.operator("listener = \"reuseport\"\n"), Path.of("."), config));
         toClose.add(node);
         node.start();
         InetSocketAddress at = (InetSocketAddress) node.address();
--- a/src/test/java/rushpin/node/ClockStepTest.java
+++ b/src/test/java/rushpin/node/ClockStepTest.java
@@ -23,9 +23,11 @@
 class ClockStepTest extends Stage {
     /** Beyond the ramp of the settings: hardly anything is sent to a cold server. */
     private static final long WARM_MS = 60_000;
+
     private static final int EXPIRES_MS = 20_000, SOON_MS = 2_500;
     /** What a node keeps back of its client's time, and what lies between this side's reading of the time and the node's. */
     private static final long MARGIN_MS = 500;
+
     private final AtomicLong set = new AtomicLong();
     private final List<Peer.Message> watches = new ArrayList<>();
     private String told = "";
@@ -71,7 +73,7 @@
 
     /** Until a list has come, which replaces the one server by another. */
     private static void awaitBody(Socket client, String body) throws IOException {
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             order(client, body + "-" + i);
             Peer.Message answer = Peer.read(client);
             assertEquals("200", status(answer));
@@ -106,8 +108,9 @@
         write(held, "POST /api?slot=4", headers("held", "order", Integer.toString(EXPIRES_MS)), "book");
         old.next();
         set.set(step);
-        tell(member("s-0", old.address(), "Terminating", wallMs() - WARM_MS - step),
-            member("s-1", fresh.address(), "Ready", wallMs() - WARM_MS));
+        tell(
+                member("s-0", old.address(), "Terminating", wallMs() - WARM_MS - step),
+                member("s-1", fresh.address(), "Ready", wallMs() - WARM_MS));
         awaitBody(other, "new");
         fresh.seen.clear();
         go.complete(null);
@@ -124,7 +127,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1_000, -1_000, 10_000, -10_000, 3_600_000, -3_600_000})
     void aRequestThatIsNotServedIsAnsweredAtItsOwnTime(long step) throws Exception {
-        Peer silent = peer(m -> { });
+        Peer silent = peer(m -> {});
         Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
         watched();
         EdgeNode node = node(new Clock(this::wallMs), member("s-0", silent.address(), "Ready", 0));
--- a/src/test/java/rushpin/node/ClockTest.java
+++ b/src/test/java/rushpin/node/ClockTest.java
@@ -37,11 +37,13 @@
     @ValueSource(longs = {1_000, 10_000, HOUR_MS})
     void aStallWhileTheClocksAreReadIsNoJump(long stallMs) {
         AtomicLong real = new AtomicLong(HOUR_MS), stall = new AtomicLong();
-        Clock stalled = new Clock(() -> {
-            long read = real.get();
-            real.addAndGet(stall.getAndSet(0));
-            return read;
-        }, () -> TimeUnit.MILLISECONDS.toNanos(real.get()));
+        Clock stalled = new Clock(
+                () -> {
+                    long read = real.get();
+                    real.addAndGet(stall.getAndSet(0));
+                    return read;
+                },
+                () -> TimeUnit.MILLISECONDS.toNanos(real.get()));
         stall.set(stallMs);
         assertEquals(0, stalled.ahead());
         assertEquals(TimeUnit.MILLISECONDS.toNanos(HOUR_MS + stallMs), stalled.now());
--- a/src/test/java/rushpin/node/ConsoleTest.java
+++ b/src/test/java/rushpin/node/ConsoleTest.java
@@ -26,6 +26,7 @@
 class ConsoleTest extends Stage {
     @TempDir
     Path folder;
+
     private EdgeNode node;
     private Console console;
 
@@ -93,10 +94,12 @@
         assertEquals(before, first.get(), "nothing new goes to a server that is out");
         assertEquals("done\n", call("ENABLE s-0"), "one call back ends the ban");
         await("node.pool_ejected:0|g");
-        // Which of two idle servers an answer comes from sooner is learnt, so this may take long where one machine runs much.
+        // Which of two idle servers an answer comes from sooner is learnt, so this may take long where one machine runs
+        // much.
         long end = System.nanoTime() + 30_000_000_000L;
         for (int i = 0; first.get() == before; i++) {
-            assertTrue(System.nanoTime() < end, "a server that is back must be used again, not so in " + i + " requests");
+            assertTrue(
+                    System.nanoTime() < end, "a server that is back must be used again, not so in " + i + " requests");
             assertEquals("200", ask(client, "back-" + i));
         }
     }
@@ -106,8 +109,10 @@
         AtomicInteger tries = new AtomicInteger();
         Peer server = peer(m -> {
             tries.incrementAndGet();
-            m.answer(m.headers().get("x-trace-id").startsWith("bad") ? "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
-                : Peer.ok("", "x"));
+            m.answer(
+                    m.headers().get("x-trace-id").startsWith("bad")
+                            ? "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
+                            : Peer.ok("", "x"));
         });
         serve(config(member("s-0", server.address(), "Ready", 0)));
         Socket client = client(node);
@@ -179,12 +184,19 @@
             m.answer(Peer.ok("", "a"));
         });
         Peer b = peer(m -> m.answer(Peer.ok("", "b")));
-        Config config = Config.parse(config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0)));
+        Config config =
+                Config.parse(config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0)));
         Desk desk = Desk.in(folder);
         console = new Console(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), desk, () -> node);
         toClose.add(console);
-        node = new EdgeNode(config, OperatorFile.parse("[[pool]]\nname = \"a\"\nsettings = \"platform\"\nloop = \"own\"\n"
-            + "[[route]]\npool = \"a\"\n", Path.of("."), config), desk);
+        node = new EdgeNode(
+                config,
+                OperatorFile.parse(
+                        "[[pool]]\nname = \"a\"\nsettings = \"platform\"\nloop = \"own\"\n"
+                                + "[[route]]\npool = \"a\"\n",
+                        Path.of("."),
+                        config),
+                desk);
         toClose.add(node);
         node.start();
         assertTrue(call("DISABLE s-9").startsWith("error"));
--- a/src/test/java/rushpin/node/CounterClientTest.java
+++ b/src/test/java/rushpin/node/CounterClientTest.java
@@ -34,13 +34,16 @@
         toClose.add(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly());
         loop = group.next();
         Config config = counting(counter);
-        client = loop.submit(() -> new CounterClient((name, outcome, total) ->
-            told.add(name + " " + outcome + " " + total), loop, config.upstream())).get();
+        client = loop.submit(() -> new CounterClient(
+                        (name, outcome, total) -> told.add(name + " " + outcome + " " + total),
+                        loop,
+                        config.upstream()))
+                .get();
     }
 
     private Config counting(Peer at) throws Exception {
         return Config.parse(config().replace(counter.address(), at.address())
-            .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
+                .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
     }
 
     private void count(long name, double amount) {
@@ -69,16 +72,24 @@
         go.complete(null);
         assertTold("4 OK 88.0");
         assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().first());
-        assertEquals("POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().first());
+        assertEquals(
+                "POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().first());
     }
 
     /** A line that went on after such an answer took what followed for the next call's, or waited for ever. */
     @Test
     void afterAnAnswerThatCannotBeReadTheLineIsReplaced() throws Exception {
-        for (String spoilt : List.of(Peer.ok("", "1d"), Peer.ok("", "0x1p3"), Peer.ok("", ""), Peer.ok("", "NaN"),
-            "noise", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\n1",
-            "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n1",
-            "HTTP/1.1 200 OK\r\n\r\n1", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")) {
+        for (String spoilt : List.of(
+                Peer.ok("", "1d"),
+                Peer.ok("", "0x1p3"),
+                Peer.ok("", ""),
+                Peer.ok("", "NaN"),
+                "noise",
+                "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\n1",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n1",
+                "HTTP/1.1 200 OK\r\n\r\n1",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")) {
             counting = m -> m.answer(spoilt);
             count(4, 1);
             assertTold("4 RESET 0.0");
@@ -116,7 +127,7 @@
     /** Too many calls without an answer end in their order: a newcomer's end must not be told first. */
     @Test
     void aLineThatIsFullEndsItsCallsInOrder() throws Exception {
-        counting = m -> { };
+        counting = m -> {};
         for (int i = 0; i < 300; i++) {
             count(4L * i, 1);
         }
@@ -141,19 +152,23 @@
                 m.answer(Peer.ok("", "4"));
             }
         };
-        CounterClient slow = loop.submit(() -> new CounterClient((name, outcome, total) -> {
-            told.add(name + " " + outcome + " " + total);
-            if (name == 4) {
-                busy.complete(null);
-                free.join();
-            }
-        }, loop, counting(counter).upstream())).get();
+        CounterClient slow = loop.submit(() -> new CounterClient(
+                        (name, outcome, total) -> {
+                            told.add(name + " " + outcome + " " + total);
+                            if (name == 4) {
+                                busy.complete(null);
+                                free.join();
+                            }
+                        },
+                        loop,
+                        counting(counter).upstream()))
+                .get();
         loop.execute(() -> {
             slow.count(5, 1, LIFE);
             slow.count(4, 1, LIFE);
         });
         second.join();
-        for (long at = System.nanoTime(); System.nanoTime() - at < 2_050_000_000L;) {
+        for (long at = System.nanoTime(); System.nanoTime() - at < 2_050_000_000L; ) {
             Thread.onSpinWait();
         }
         free.complete(null);
@@ -170,15 +185,16 @@
             m.answer(Peer.ok("", "5"));
         };
         loop.submit(() -> {
-            client.count(4, 1, LIFE);
-            for (long at = System.nanoTime(); System.nanoTime() - at < 2_050_000_000L;) {
-                Thread.onSpinWait();
-            }
-        }).get();
+                    client.count(4, 1, LIFE);
+                    for (long at = System.nanoTime(); System.nanoTime() - at < 2_050_000_000L; ) {
+                        Thread.onSpinWait();
+                    }
+                })
+                .get();
         counter.next();
         // Timers that were due have had their turns, also those that look once more.
         for (int i = 0; i < 4; i++) {
-            loop.schedule(() -> { }, 1, TimeUnit.NANOSECONDS).get();
+            loop.schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get();
         }
         go.complete(null);
         assertTold("4 OK 5.0");
--- a/src/test/java/rushpin/node/Daemon.java
+++ b/src/test/java/rushpin/node/Daemon.java
@@ -36,10 +36,16 @@
     /** As above, by a command that runs the one that follows it. */
     Daemon(Path folder, String config, String operator, List<String> before) throws IOException {
         List<String> command = new ArrayList<>(before);
-        command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-            System.getProperty("java.class.path"), "rushpin.cli.Main", "serve"));
+        command.addAll(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "rushpin.cli.Main",
+                "serve"));
         if (operator != null) {
-            command.addAll(List.of("--operator", Files.writeString(folder.resolve("rushpin.toml"), operator).toString()));
+            command.addAll(List.of(
+                    "--operator",
+                    Files.writeString(folder.resolve("rushpin.toml"), operator).toString()));
         }
         this.config = Files.writeString(folder.resolve("config.json"), config);
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
@@ -54,7 +60,8 @@
     }
 
     private void read() {
-        try (BufferedReader from = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader from =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             from.lines().forEach(lines::add);
         } catch (IOException | UncheckedIOException e) {
             lines.add("(unreadable: " + e + ")");
@@ -111,7 +118,11 @@
     }
 
     void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** What it said to its end. */
--- a/src/test/java/rushpin/node/DescriptorsProcessTest.java
+++ b/src/test/java/rushpin/node/DescriptorsProcessTest.java
@@ -14,6 +14,7 @@
 /** A real process whose descriptors are all in use. */
 class DescriptorsProcessTest extends Stage {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: n0\r\n\r\n";
+
     @TempDir
     Path folder;
 
@@ -31,8 +32,11 @@
 
     /** From now on no descriptor is given to it that has this number or a greater one; what is open stays open. */
     private static void room(Process process, int numbers) throws Exception {
-        assertEquals(0, new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()), "--nofile=" + numbers + ":").start()
-            .waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()), "--nofile=" + numbers + ":")
+                        .start()
+                        .waitFor());
     }
 
     /** A newcomer waits and is served later; nothing that is said of it ends the event loop, and with it the process. */
--- a/src/test/java/rushpin/node/DivisionsTest.java
+++ b/src/test/java/rushpin/node/DivisionsTest.java
@@ -22,14 +22,23 @@
     private final LinkedBlockingQueue<List<Command.Divide>> drafts = new LinkedBlockingQueue<>();
 
     private static Report report(long session, long sequence, int wanted) {
-        return new Report(session, sequence, "n" + session, "a", SECOND, 0, List.of(), List.of(), List.of(), List.of(
-            new Report.Need("yard", "", 0, 0), new Report.Need("yard", GroupPlan.OTHERS, wanted, wanted)));
+        return new Report(
+                session,
+                sequence,
+                "n" + session,
+                "a",
+                SECOND,
+                0,
+                List.of(),
+                List.of(),
+                List.of(),
+                List.of(new Report.Need("yard", "", 0, 0), new Report.Need("yard", GroupPlan.OTHERS, wanted, wanted)));
     }
 
     /** The parts of processes 1 to 4, which are all there, in a first division. */
     private Map<Long, Integer> look(Divisions divisions) throws InterruptedException {
-        divisions.look(new Divisions.Look(1, 7, Map.of(1L, "n1", 2L, "n2", 3L, "n3", 4L, "n4"), Map.of(), List.of(YARD),
-            100 * SECOND));
+        divisions.look(new Divisions.Look(
+                1, 7, Map.of(1L, "n1", 2L, "n2", 3L, "n3", 4L, "n4"), Map.of(), List.of(YARD), 100 * SECOND));
         List<Command.Divide> draft = drafts.poll(60, TimeUnit.SECONDS);
         assertNotNull(draft, "nothing came of a look");
         Map<Long, Integer> parts = new TreeMap<>();
@@ -85,15 +94,15 @@
     void asManyReportsWaitAsThereMayBeProcesses() throws InterruptedException {
         LinkedBlockingQueue<Long> read = new LinkedBlockingQueue<>();
         LinkedBlockingQueue<Integer> go = new LinkedBlockingQueue<>();
-        try (Hearing<Integer> hearing = new Hearing<>("hearing", 2, report -> read.add(report.session()), Integer.class,
-            look -> {
-                read.add(0L);
-                try {
-                    go.poll(60, TimeUnit.SECONDS);
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            })) {
+        try (Hearing<Integer> hearing =
+                new Hearing<>("hearing", 2, report -> read.add(report.session()), Integer.class, look -> {
+                    read.add(0L);
+                    try {
+                        go.poll(60, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                })) {
             hearing.look(1);
             assertEquals(0L, read.poll(60, TimeUnit.SECONDS));
             for (long session = 1; session <= 4; session++) {
--- a/src/test/java/rushpin/node/EdgeNodeTest.java
+++ b/src/test/java/rushpin/node/EdgeNodeTest.java
@@ -50,9 +50,21 @@
     void whatIsNoRequestIsTurnedAwayAtOnce() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         EdgeNode node = node(server);
-        Map<String, String> bad = new TreeMap<>(Map.of("X-Trace-Id", "", "X-Qos", "nonsense", "X-Plan", "gold",
-            "Cookie", "customer=zz", "X-Expires-In-Ms", "soon", "X-Quota", "units=NaN,spread=1,first=0",
-            "Idempotency-Key", ""));
+        Map<String, String> bad = new TreeMap<>(Map.of(
+                "X-Trace-Id",
+                "",
+                "X-Qos",
+                "nonsense",
+                "X-Plan",
+                "gold",
+                "Cookie",
+                "customer=zz",
+                "X-Expires-In-Ms",
+                "soon",
+                "X-Quota",
+                "units=NaN,spread=1,first=0",
+                "Idempotency-Key",
+                ""));
         for (Map.Entry<String, String> one : bad.entrySet()) {
             Map<String, String> headers = headers("t-1", "order", "20000");
             headers.put(one.getKey(), one.getValue());
@@ -60,8 +72,12 @@
             write(client, "POST /api", headers, "");
             assertEquals("400", status(Peer.read(client)), one.getKey());
         }
-        for (String quota : List.of("units=1,spread=0,first=0", "units=1,spread=1,first=99",
-            "units=-1,spread=1,first=0", "spread=1,first=0", "units=1")) {
+        for (String quota : List.of(
+                "units=1,spread=0,first=0",
+                "units=1,spread=1,first=99",
+                "units=-1,spread=1,first=0",
+                "spread=1,first=0",
+                "units=1")) {
             Map<String, String> headers = headers("t-1", "order", "20000");
             headers.put("X-Quota", quota);
             Socket client = client(node);
@@ -69,7 +85,8 @@
             assertEquals("400", status(Peer.read(client)), quota);
         }
         Map<String, String> good = headers("t-1", "order", "20000");
-        for (Map.Entry<String, String> one : Map.of("GET /api", "405", "POST /elsewhere", "404").entrySet()) {
+        for (Map.Entry<String, String> one :
+                Map.of("GET /api", "405", "POST /elsewhere", "404").entrySet()) {
             Socket client = client(node);
             write(client, one.getKey(), good, "");
             assertEquals(one.getValue(), status(Peer.read(client)), one.getKey());
@@ -93,7 +110,7 @@
     @Test
     void aTurnedAwayAttemptGoesElsewhereUnseen() throws Exception {
         Peer full = peer(m -> m.answer("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
-        Peer gone = peer(m -> { });
+        Peer gone = peer(m -> {});
         gone.close();
         Peer good = peer(m -> m.answer(Peer.ok("", "x")));
         Socket client = client(node(full, gone, good));
@@ -105,9 +122,12 @@
     /** An unsafe request that may have run is failed, not refused: a refusal invites the client to repeat it. */
     @Test
     void anUnsafeRequestIsSentOnceMoreOnlyIfItNeverRan() throws Exception {
-        for (String answer : List.of("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-            "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf")) {
+        for (String answer : List.of(
+                "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+                "",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf")) {
             Peer server = peer(m -> {
                 m.answer(answer);
                 if (!answer.startsWith("HTTP/1.1 50")) {
@@ -125,7 +145,7 @@
     /** A server that says nothing: the answer comes before the client's time is up, and the attempt ends. */
     @Test
     void silenceIsAnsweredAndItsConnectionClosed() throws Exception {
-        Peer server = peer(m -> { });
+        Peer server = peer(m -> {});
         Socket client = client(node(server));
         write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
         assertEquals("502", status(Peer.read(client)));
@@ -137,8 +157,8 @@
     @Test
     void silentClientsGiveWayToNewOnes() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
-        EdgeNode node = start(config(member("s-0", server.address(), "Ready", 0))
-            .replace("\"sockets\": 1024", "\"sockets\": 16"));
+        EdgeNode node = start(
+                config(member("s-0", server.address(), "Ready", 0)).replace("\"sockets\": 1024", "\"sockets\": 16"));
         for (int i = 0; i < 30; i++) {
             client(node);
         }
@@ -180,13 +200,13 @@
         Peer moved = peer(m -> m.answer(Peer.ok("", "new")));
         Peer old = peer(m -> m.answer(Peer.ok("", "old")));
         String line = "{\"revision\":8,\"complete\":false,\"members\":["
-            + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000) + "]}\n";
+                + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000) + "]}\n";
         CompletableFuture<Void> go = new CompletableFuture<>();
         discovery = peer(m -> {
             if (m.first().contains("after=5")) {
                 go.join();
-                m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                    + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n0\r\n\r\n");
+                m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
+                        + "\r\n" + line + "\r\n0\r\n\r\n");
             }
         });
         EdgeNode node = node(old);
@@ -212,8 +232,9 @@
     void nothingIsSentByTheSavedListBeforeTheAgentSpoke() throws Exception {
         Peer gone = peer(m -> m.answer(Peer.ok("", "old")));
         Peer there = peer(m -> m.answer(Peer.ok("", "new")));
-        String line = "{\"revision\":8,\"complete\":false,\"members\":[" + member("s-0", gone.address(), "Terminating", 0)
-            + "," + member("s-1", there.address(), "Ready", 0) + "]}\n";
+        String line =
+                "{\"revision\":8,\"complete\":false,\"members\":[" + member("s-0", gone.address(), "Terminating", 0)
+                        + "," + member("s-1", there.address(), "Ready", 0) + "]}\n";
         boolean timely = false;
         for (int i = 0; !timely; i++) {
             // The node's patience is 250 ms: a play in which this side took longer tells nothing.
@@ -221,7 +242,7 @@
             discovery = peer(m -> {
                 go.join();
                 m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
-                    + "\r\n" + line + "\r\n");
+                        + "\r\n" + line + "\r\n");
             });
             gone.seen.clear();
             long began = System.nanoTime();
@@ -253,8 +274,12 @@
             for (int i = 0; i < 2; i++) {
                 go.get(i).join();
                 String line = "{\"revision\":" + (8 + i) + ",\"complete\":false,\"members\":["
-                    + member("s-1", server.address(), i == 0 ? "Ready" : "Terminating",
-                        System.currentTimeMillis() - 60_000) + "]}\n";
+                        + member(
+                                "s-1",
+                                server.address(),
+                                i == 0 ? "Ready" : "Terminating",
+                                System.currentTimeMillis() - 60_000)
+                        + "]}\n";
                 m.answer(head + Integer.toHexString(line.length()) + "\r\n" + line + "\r\n");
                 head.setLength(0);
             }
@@ -291,13 +316,21 @@
     void aMalformedConfigurationNamesItsKey() throws Exception {
         String good = config();
         Map<String, String> broken = new TreeMap<>(Map.of(
-            good.replace("\"listen\"", "\"listenx\""), "listen is missing",
-            good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""), "listen is not host:port",
-            good.replace("\"my-number\": 0", "\"my-number\": \"x\""), "settings.my-number is not a number",
-            good.replace("\"aim-ns\"", "\"aim\""), "settings.classes.0.aim-ns is missing",
-            good.replace("\"tariffs\"", "\"plans\""), "tariffs is missing", "{", "the configuration is not JSON"));
+                good.replace("\"listen\"", "\"listenx\""),
+                "listen is missing",
+                good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""),
+                "listen is not host:port",
+                good.replace("\"my-number\": 0", "\"my-number\": \"x\""),
+                "settings.my-number is not a number",
+                good.replace("\"aim-ns\"", "\"aim\""),
+                "settings.classes.0.aim-ns is missing",
+                good.replace("\"tariffs\"", "\"plans\""),
+                "tariffs is missing",
+                "{",
+                "the configuration is not JSON"));
         for (Map.Entry<String, String> one : broken.entrySet()) {
-            String said = assertThrows(Config.Invalid.class, () -> Config.parse(one.getKey())).getMessage();
+            String said = assertThrows(Config.Invalid.class, () -> Config.parse(one.getKey()))
+                    .getMessage();
             assertTrue(said.startsWith(one.getValue()), said);
             assertFalse(said.contains("\n"), said);
         }
--- a/src/test/java/rushpin/node/Fellows.java
+++ b/src/test/java/rushpin/node/Fellows.java
@@ -46,6 +46,7 @@
         String zone;
         /** The platform's JSON. */
         String platform = config;
+
         boolean votes;
         final InetSocketAddress listen;
         Process process;
@@ -78,9 +79,19 @@
         void start() throws IOException {
             Path file = configure();
             Path json = Files.writeString(folder.resolve("config.json"), platform);
-            ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xmx96m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "rushpin.cli.Main", "serve", "--operator", file.toString()).redirectErrorStream(true);
+            ProcessBuilder builder = new ProcessBuilder(
+                            Path.of(System.getProperty("java.home"), "bin", "java")
+                                    .toString(),
+                            "-Xmx96m",
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "rushpin.cli.Main",
+                            "serve",
+                            "--operator",
+                            file.toString())
+                    .redirectErrorStream(true);
             builder.environment().put("GW_CONFIG", json.toString());
             builder.environment().remove("RUSHPIN_OPERATOR");
             // A folder that is not there: without a rehearsal, of which nothing is asked here.
@@ -95,8 +106,8 @@
         }
 
         private void read(Process of, Accords.Run by) {
-            try (BufferedReader lines = new BufferedReader(
-                new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8))) {
+            try (BufferedReader lines =
+                    new BufferedReader(new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8))) {
                 for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                     said(name, line, by);
                 }
@@ -106,7 +117,10 @@
         }
 
         void signal(String signal) throws Exception {
-            if (new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor() != 0) {
+            if (new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+                            .start()
+                            .waitFor()
+                    != 0) {
                 throw new AssertionError(name + " could not be sent " + signal);
             }
         }
@@ -114,7 +128,9 @@
         /** The size beyond which it can write no file, in bytes: what stands for a full disk. */
         void room(String bytes) throws Exception {
             if (new ProcessBuilder("prlimit", "--pid", Long.toString(process.pid()), "--fsize=" + bytes + ":unlimited")
-                .start().waitFor() != 0) {
+                            .start()
+                            .waitFor()
+                    != 0) {
                 throw new AssertionError(name + " could not be given a limit");
             }
         }
@@ -231,13 +247,13 @@
     }
 
     String operator(Fellow of, Map<String, InetSocketAddress> voters) {
-        StringBuilder text = new StringBuilder("[fleet]\nname = \"" + of.name + "\"\nzone = \"" + of.zone + "\"\nera = " + era
-            + "\nlease-ms = " + lease + "\neffect-ms = " + effect + "\n");
+        StringBuilder text = new StringBuilder("[fleet]\nname = \"" + of.name + "\"\nzone = \"" + of.zone + "\"\nera = "
+                + era + "\nlease-ms = " + lease + "\neffect-ms = " + effect + "\n");
         if (of.votes) {
             text.append("listen = \"" + at(of.listen) + "\"\nstate = \"fleet\"\n");
         }
         voters.forEach((name, address) ->
-            text.append("[[fleet.voter]]\nname = \"" + name + "\"\naddress = \"" + at(address) + "\"\n"));
+                text.append("[[fleet.voter]]\nname = \"" + name + "\"\naddress = \"" + at(address) + "\"\n"));
         return text + Daemon.operator("");
     }
 
@@ -299,7 +315,8 @@
         long end = System.nanoTime() + MOST;
         while (by.noted(id) < index) {
             if (System.nanoTime() > end) {
-                throw new AssertionError(by.name + " has not noted " + index + " of " + id + ", but " + by.noted(id) + " in\n" + all());
+                throw new AssertionError(
+                        by.name + " has not noted " + index + " of " + id + ", but " + by.noted(id) + " in\n" + all());
             }
             Thread.sleep(50);
         }
@@ -325,13 +342,23 @@
 
     /** Waits for a line that is not of the fleet, by any; the first one. */
     String awaitLine(String part) throws InterruptedException {
-        return await(part, () -> lines.stream().filter(line -> line.contains(part)).findFirst().orElse(null));
+        return await(
+                part,
+                () -> lines.stream()
+                        .filter(line -> line.contains(part))
+                        .findFirst()
+                        .orElse(null));
     }
 
     /** The first line of a kind since a moment that any of some said. */
     Said await(String kind, int since, List<Fellow> of) throws InterruptedException {
-        return await(kind, () -> since(since).stream().filter(line -> line.kind().equals(kind)
-            && of.stream().anyMatch(each -> each.name.equals(line.by()))).findFirst().orElse(null));
+        return await(
+                kind,
+                () -> since(since).stream()
+                        .filter(line ->
+                                line.kind().equals(kind) && of.stream().anyMatch(each -> each.name.equals(line.by())))
+                        .findFirst()
+                        .orElse(null));
     }
 
     /**
@@ -342,7 +369,8 @@
         Set<String> zones = of.stream().map(each -> each.zone).collect(Collectors.toCollection(TreeSet::new));
         return await("a plan above " + above + " of " + zones + " at all", () -> {
             Map<String, Long> last = plans();
-            long newest = last.values().stream().mapToLong(Long::longValue).max().orElse(0);
+            long newest =
+                    last.values().stream().mapToLong(Long::longValue).max().orElse(0);
             boolean all = of.stream().allMatch(each -> last.getOrDefault(each.name, 0L) == newest);
             if (newest <= above || !all || !zones.equals(zones(newest))) {
                 return null;
@@ -355,16 +383,21 @@
     /** Where clients enter by a plan, as whoever was told it last said. */
     private synchronized Set<String> zones(long number) {
         Set<String> zones = new TreeSet<>();
-        said.stream().filter(line -> line.kind().equals("agreed") && line.number("number") == number).reduce((before, last) -> last)
-            .ifPresent(line -> Stream.of(line.values().get("ways").split(";"))
-                .forEach(way -> zones.add(way.substring(0, way.indexOf('>')).split("/", 2)[0])));
+        said.stream()
+                .filter(line -> line.kind().equals("agreed") && line.number("number") == number)
+                .reduce((before, last) -> last)
+                .ifPresent(line -> Stream.of(line.values().get("ways").split(";"))
+                        .forEach(way ->
+                                zones.add(way.substring(0, way.indexOf('>')).split("/", 2)[0])));
         return zones;
     }
 
     /** The last plan that each has applied. */
     synchronized Map<String, Long> plans() {
         Map<String, Long> last = new HashMap<>();
-        said.stream().filter(line -> line.kind().equals("plan")).forEach(line -> last.put(line.by(), line.number("number")));
+        said.stream()
+                .filter(line -> line.kind().equals("plan"))
+                .forEach(line -> last.put(line.by(), line.number("number")));
         return last;
     }
 
@@ -383,25 +416,35 @@
      */
     Fellow leader(List<Fellow> among) throws InterruptedException {
         return named(await("a leader", () -> {
-            Said last = null;
-            for (Said line : since(0)) {
-                last = line.kind().equals("leads") ? line : last;
-            }
-            return last != null && among.contains(named(last.by())) ? last : null;
-        }).by());
+                    Said last = null;
+                    for (Said line : since(0)) {
+                        last = line.kind().equals("leads") ? line : last;
+                    }
+                    return last != null && among.contains(named(last.by())) ? last : null;
+                })
+                .by());
     }
 
     /** A voter beside one, without which nothing is decided but by that one's vote: of three voters, one of which is that. */
     Fellow voterBeside(Fellow one) throws InterruptedException {
         Fellow leads = leader(all);
-        return leads != one ? leads : all.stream().filter(each -> each.votes && each != one).findFirst().orElseThrow();
+        return leads != one
+                ? leads
+                : all.stream()
+                        .filter(each -> each.votes && each != one)
+                        .findFirst()
+                        .orElseThrow();
     }
 
     /** Waits until the last that one said of some kinds is of that one; since a moment. */
     Said awaitLast(String kind, int since, Fellow by, List<String> among) throws InterruptedException {
-        return await(kind + " of " + by.name, () -> since(since).stream()
-            .filter(line -> line.by().equals(by.name) && among.contains(line.kind())).reduce((before, last) -> last)
-            .filter(last -> last.kind().equals(kind)).orElse(null));
+        return await(
+                kind + " of " + by.name,
+                () -> since(since).stream()
+                        .filter(line -> line.by().equals(by.name) && among.contains(line.kind()))
+                        .reduce((before, last) -> last)
+                        .filter(last -> last.kind().equals(kind))
+                        .orElse(null));
     }
 
     /** Who holds a resource, by the last word of it. */
@@ -409,8 +452,13 @@
         return await("a holder of " + resource, () -> {
             Said last = null;
             for (Said line : since(0)) {
-                last = line.is("holds", "resource", resource) ? line
-                    : line.is("yields", "resource", resource) && last != null && line.by().equals(last.by()) ? null : last;
+                last = line.is("holds", "resource", resource)
+                        ? line
+                        : line.is("yields", "resource", resource)
+                                        && last != null
+                                        && line.by().equals(last.by())
+                                ? null
+                                : last;
             }
             return last;
         });
@@ -418,8 +466,10 @@
 
     /** What the judge found, in lines. */
     List<Breach<Accords.Rule>> breaches() {
-        return accords.judge(new Accords.Bounds(TimeUnit.MILLISECONDS.toNanos(lease), TimeUnit.MILLISECONDS.toNanos(effect)),
-            all.stream().filter(Fellow::isThere).map(each -> each.run).toList(), atEnd);
+        return accords.judge(
+                new Accords.Bounds(TimeUnit.MILLISECONDS.toNanos(lease), TimeUnit.MILLISECONDS.toNanos(effect)),
+                all.stream().filter(Fellow::isThere).map(each -> each.run).toList(),
+                atEnd);
     }
 
     @Override
--- a/src/test/java/rushpin/node/FleetProcessTest.java
+++ b/src/test/java/rushpin/node/FleetProcessTest.java
@@ -46,8 +46,12 @@
         second.await("cannot start");
         assertEquals(1, second.ended());
         assertTrue(first.process.isAlive());
-        assertEquals(1, second.said.stream().filter(line -> !line.startsWith("rehearsed") && !line.startsWith("server "))
-            .count(), second.said.toString());
+        assertEquals(
+                1,
+                second.said.stream()
+                        .filter(line -> !line.startsWith("rehearsed") && !line.startsWith("server "))
+                        .count(),
+                second.said.toString());
     }
 
     @Test
@@ -75,7 +79,8 @@
     private static void awaitHealth(Socket looking, String wanted) throws IOException {
         String health = "";
         while (!health.equals(wanted)) {
-            looking.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            looking.getOutputStream()
+                    .write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             health = status(Peer.read(looking));
         }
     }
@@ -86,7 +91,8 @@
         Peer server = peer(after(go));
         Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), null);
         int port = daemon.port();
-        try (Socket client = new Socket("127.0.0.1", port); Socket looking = new Socket("127.0.0.1", port)) {
+        try (Socket client = new Socket("127.0.0.1", port);
+                Socket looking = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(60_000);
             looking.setSoTimeout(60_000);
             order(client, "t-1");
@@ -109,7 +115,9 @@
     void useThatAKilledProcessHadNotToldIsToldByTheNext() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         String config = config(member("s-0", server.address(), "Ready", 0));
-        Daemon first = daemon(config.replace(counter.address(), "127.0.0.1:" + Daemon.free()), Daemon.operator("state = \"state\"\n"));
+        Daemon first = daemon(
+                config.replace(counter.address(), "127.0.0.1:" + Daemon.free()),
+                Daemon.operator("state = \"state\"\n"));
         int port = first.port();
         int served = 0;
         for (int i = 0; i < 5; i++) {
@@ -140,7 +148,8 @@
         String config = config(member("s-0", server.address(), "Ready", 0));
         Daemon first = daemon(config, Daemon.operator("listener = \"reuseport\"\n"));
         int port = first.port();
-        Daemon second = daemon(config.replace("127.0.0.1:0", "127.0.0.1:" + port), Daemon.operator("listener = \"reuseport\"\n"));
+        Daemon second = daemon(
+                config.replace("127.0.0.1:0", "127.0.0.1:" + port), Daemon.operator("listener = \"reuseport\"\n"));
         assertEquals(port, second.port());
         first.process.destroy();
         assertEquals(0, first.ended());
--- a/src/test/java/rushpin/node/FrozenProcessTest.java
+++ b/src/test/java/rushpin/node/FrozenProcessTest.java
@@ -24,6 +24,7 @@
     Path folder;
     /** All that there were: one that is not answered in time, as on a crowded machine, is followed by another. */
     private final List<Peer.Message> watches = new ArrayList<>();
+
     private String told = "";
 
     private Daemon daemon(String config) throws Exception {
@@ -77,7 +78,9 @@
         daemon.signal("STOP");
         // The signal takes effect when the kernel says so.
         Path stat = Path.of("/proc", Long.toString(daemon.process.pid()), "stat");
-        while (!java.nio.file.Files.readString(stat).replaceAll("(?s).*\\) ", "").startsWith("T")) {
+        while (!java.nio.file.Files.readString(stat)
+                .replaceAll("(?s).*\\) ", "")
+                .startsWith("T")) {
             Thread.onSpinWait();
         }
     }
@@ -117,7 +120,8 @@
         Peer there = peer(m -> m.answer(Peer.ok("", "new")));
         Daemon daemon = daemon(config(member("s-0", gone.address(), "Ready", 0)));
         int port = daemon.port();
-        try (Socket client = new Socket("127.0.0.1", port); Socket second = new Socket("127.0.0.1", port)) {
+        try (Socket client = new Socket("127.0.0.1", port);
+                Socket second = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(60_000);
             second.setSoTimeout(60_000);
             order(client, "t-1", 20_000);
@@ -128,8 +132,8 @@
             // Requests first and the list after them: whoever reads in this order sends by what it knew.
             order(client, "t-2", 20_000);
             order(second, "t-3", 20_000);
-            tell("{\"revision\":9,\"complete\":true,\"members\":["
-                + member("s-0", gone.address(), "Terminating", 0) + "," + member("s-1", there.address(), "Ready", 0) + "]}");
+            tell("{\"revision\":9,\"complete\":true,\"members\":[" + member("s-0", gone.address(), "Terminating", 0)
+                    + "," + member("s-1", there.address(), "Ready", 0) + "]}");
             TimeUnit.MILLISECONDS.sleep(1_500);
             daemon.signal("CONT");
             assertEquals("new", Peer.read(client).body());
@@ -137,7 +141,8 @@
             assertTrue(gone.seen.isEmpty(), "sent to a server that had drained: " + gone.seen);
         }
         daemon.signal("TERM");
-        assertTrue(daemon.rest().stream().anyMatch(line -> line.startsWith("stood still for ")), daemon.said.toString());
+        assertTrue(
+                daemon.rest().stream().anyMatch(line -> line.startsWith("stood still for ")), daemon.said.toString());
     }
 
     /** Its client has long given up; it is told at once that nothing was done. */
--- a/src/test/java/rushpin/node/HangupAtStartTest.java
+++ b/src/test/java/rushpin/node/HangupAtStartTest.java
@@ -33,7 +33,8 @@
             write(pipe, first);
             node.await("rehearsed with");
             try (OutputStream second = Files.newOutputStream(pipe)) {
-                Path next = Files.writeString(folder.resolve("next.json"), first.replace(discovery.address(), moved.address()));
+                Path next = Files.writeString(
+                        folder.resolve("next.json"), first.replace(discovery.address(), moved.address()));
                 Files.move(next, pipe, StandardCopyOption.REPLACE_EXISTING);
                 node.signal("HUP");
                 second.write(first.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/rushpin/node/HeldSocketProcessTest.java
+++ b/src/test/java/rushpin/node/HeldSocketProcessTest.java
@@ -62,13 +62,14 @@
         assertTrue(server.seen.isEmpty(), server.seen.size() + " were sent on after their time");
         Map<String, String> inTime = headers("in-time", "order", "20000");
         write(stay.get(0), "POST /api", inTime, "book");
-        assertEquals("200", status(Peer.read(stay.get(0))), "the same connection's next request came while somebody read");
+        assertEquals(
+                "200", status(Peer.read(stay.get(0))), "the same connection's next request came while somebody read");
     }
 
     /** Guards against an effect that happens twice (NO_EFFECT_TWICE of FleetTest): servers have forgotten the key by then. */
     @Test
     void aKeyedRequestThatRanBeforeAKillIsNotSentAgainAfterItsTime() throws Exception {
-        Peer server = peer(m -> { });
+        Peer server = peer(m -> {});
         SocketHolder holder = holder(server);
         ProcessHandle first = holder.serve();
         Socket before = write(holder, "order-1", "20000");
--- a/src/test/java/rushpin/node/KilledProcessTest.java
+++ b/src/test/java/rushpin/node/KilledProcessTest.java
@@ -12,7 +12,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -21,6 +20,7 @@
 @Tag("long")
 class KilledProcessTest extends Stage {
     private static final String STATE = Daemon.operator("state = \"state\"\n");
+
     @TempDir
     Path folder;
 
@@ -83,7 +83,8 @@
         try (Socket looking = client(port)) {
             String health = "";
             while (!health.equals("503")) {
-                looking.getOutputStream().write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                looking.getOutputStream()
+                        .write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 health = status(Peer.read(looking));
             }
         }
@@ -102,8 +103,9 @@
     void aDiskWithoutRoomIsOneLineAndServiceGoesOn() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         // 256 blocks of 512 or 1,024 bytes, below the record's mebibyte; the class archive and libraries are only read.
-        Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)),
-            List.of("sh", "-c", "ulimit -f 256; exec \"$@\"", "sh"));
+        Daemon daemon = daemon(
+                config(member("s-0", server.address(), "Ready", 0)),
+                List.of("sh", "-c", "ulimit -f 256; exec \"$@\"", "sh"));
         int port = daemon.port();
         for (int i = 0; i < 3; i++) {
             Socket client = client(port);
@@ -112,8 +114,12 @@
         }
         daemon.signal("TERM");
         assertEquals(0, daemon.ended());
-        assertEquals(1, daemon.rest().stream().filter(line -> line.contains("use is not kept over a hard kill")).count(),
-            daemon.said.toString());
+        assertEquals(
+                1,
+                daemon.rest().stream()
+                        .filter(line -> line.contains("use is not kept over a hard kill"))
+                        .count(),
+                daemon.said.toString());
         try (var files = Files.list(folder.resolve("state"))) {
             assertEquals(List.of(), files.toList(), "a record that was not begun whole leaves nothing");
         }
--- a/src/test/java/rushpin/node/LastAnswerTest.java
+++ b/src/test/java/rushpin/node/LastAnswerTest.java
@@ -18,6 +18,7 @@
     private static final int LONG = 60 * 1024;
     /** Less than an answer: the kernel of the node's side keeps the rest until the client reads. */
     private static final int RECEIVE_BUFFER = 16 * 1024;
+
     private static final int UNREAD = 256 * 1024;
     /** Each pass of the loop reads more than a connection holds ahead. */
     private static final int PASSES = 16;
@@ -62,7 +63,7 @@
         // More than the node reads ahead of an answer: what is behind that lies unread when the connection ends.
         client.getOutputStream().write(new byte[UNREAD]);
         for (int pass = 0; pass < PASSES; pass++) {
-            node.loop().schedule(() -> { }, 1, TimeUnit.NANOSECONDS).get(30, TimeUnit.SECONDS);
+            node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get(30, TimeUnit.SECONDS);
         }
         go.complete(null);
         // The answer is written, and whatever follows from that has been done, before its client reads on.
@@ -70,7 +71,7 @@
             Thread.sleep(1);
         }
         for (int pass = 0; pass < PASSES; pass++) {
-            node.loop().schedule(() -> { }, 1, TimeUnit.NANOSECONDS).get(30, TimeUnit.SECONDS);
+            node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get(30, TimeUnit.SECONDS);
         }
 
         String answer = all(client);
--- a/src/test/java/rushpin/node/LateConnectTest.java
+++ b/src/test/java/rushpin/node/LateConnectTest.java
@@ -57,7 +57,7 @@
     private EdgeNode nodeThatWaitsForConnects() throws Exception {
         String config = config(member("s-0", connectedTo, "Ready", 0));
         return start(config.replace("\"connect-timeout-ns\": 250000000", CONNECT_TIMEOUT)
-            .replace("\"keepalive-ns\": 30000000000", KEEP_ALIVE));
+                .replace("\"keepalive-ns\": 30000000000", KEEP_ALIVE));
     }
 
     /** Lets connections come up from now on; the heads of requests on them come in the order in which they are read. */
@@ -85,7 +85,9 @@
             Map<String, String> head = new TreeMap<>();
             for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
                 int colon = line.indexOf(':');
-                head.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
+                head.put(
+                        line.substring(0, colon).toLowerCase(Locale.ROOT),
+                        line.substring(colon + 1).trim());
             }
             in.skip(Long.parseLong(head.getOrDefault("content-length", "0")));
             heads.add(head);
@@ -157,8 +159,8 @@
 
     /** Told by the loop itself, behind its next look at the sockets: by then it knows that the connection is up. */
     private void tellDrain(Iterable<Peer.Message> watches) {
-        String drain = "{\"revision\":6,\"complete\":false,\"members\":["
-            + member("s-0", connectedTo, "Terminating", 0) + "]}\n";
+        String drain = "{\"revision\":6,\"complete\":false,\"members\":[" + member("s-0", connectedTo, "Terminating", 0)
+                + "]}\n";
         try {
             for (Peer.Message watch : watches) {
                 watch.answer(Integer.toHexString(drain.length()) + "\r\n" + drain + "\r\n");
@@ -182,10 +184,13 @@
         awaitConnectUnderWay();
 
         BlockingQueue<Map<String, String>> heads = new LinkedBlockingQueue<>();
-        whileLoopIsHeld(node, () -> {
-            takeConnections(heads);
-            awaitConnected();
-        }, () -> node.loop().schedule(() -> tellDrain(watches), 1, TimeUnit.NANOSECONDS));
+        whileLoopIsHeld(
+                node,
+                () -> {
+                    takeConnections(heads);
+                    awaitConnected();
+                },
+                () -> node.loop().schedule(() -> tellDrain(watches), 1, TimeUnit.NANOSECONDS));
 
         assertNotNull(ended.poll(30, TimeUnit.SECONDS), "the connection is kept");
         assertEquals(List.of(), List.copyOf(heads), "requests that the server saw");
--- a/src/test/java/rushpin/node/Leaks.java
+++ b/src/test/java/rushpin/node/Leaks.java
@@ -21,8 +21,7 @@
         });
     }
 
-    private Leaks() {
-    }
+    private Leaks() {}
 
     /** Must come before the first buffer of the process. */
     static void watch() {
--- a/src/test/java/rushpin/node/LongBodyTest.java
+++ b/src/test/java/rushpin/node/LongBodyTest.java
@@ -13,7 +13,6 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
@@ -44,13 +43,18 @@
     }
 
     /** Writes an answer in one of the framings that HTTP/1.1 knows. */
-    private static void answer(Socket to, String framing, byte[] all, int piece, long pause) throws IOException, InterruptedException {
+    private static void answer(Socket to, String framing, byte[] all, int piece, long pause)
+            throws IOException, InterruptedException {
         OutputStream out = to.getOutputStream();
-        text(to, "HTTP/1.1 200 OK\r\n" + switch (framing) {
-            case "length" -> "Content-Length: " + all.length;
-            case "chunked" -> "Transfer-Encoding: chunked";
-            default -> "Connection: close";
-        } + "\r\n\r\n");
+        text(
+                to,
+                "HTTP/1.1 200 OK\r\n"
+                        + switch (framing) {
+                            case "length" -> "Content-Length: " + all.length;
+                            case "chunked" -> "Transfer-Encoding: chunked";
+                            default -> "Connection: close";
+                        }
+                        + "\r\n\r\n");
         for (int at = 0; at < all.length; at += piece) {
             int size = Math.min(piece, all.length - at);
             if (framing.equals("chunked")) {
@@ -89,7 +93,9 @@
         boolean chunked = false;
         for (String header = line(in); !header.isEmpty(); header = line(in)) {
             String lower = header.toLowerCase(java.util.Locale.ROOT);
-            length = lower.startsWith("content-length:") ? Long.parseLong(lower.substring(15).trim()) : length;
+            length = lower.startsWith("content-length:")
+                    ? Long.parseLong(lower.substring(15).trim())
+                    : length;
             chunked |= lower.equals("transfer-encoding: chunked");
         }
         if (length >= 0) {
@@ -186,8 +192,11 @@
         AtomicInteger tries = new AtomicInteger();
         Peer server = peer(m -> {
             tries.incrementAndGet();
-            text(m.socket(), "HTTP/1.1 200 OK\r\n" + (framing.equals("length") ? "Content-Length: 400000"
-                : "Transfer-Encoding: chunked") + "\r\n\r\n");
+            text(
+                    m.socket(),
+                    "HTTP/1.1 200 OK\r\n"
+                            + (framing.equals("length") ? "Content-Length: 400000" : "Transfer-Encoding: chunked")
+                            + "\r\n\r\n");
             if (framing.equals("length")) {
                 m.socket().getOutputStream().write(all, 0, 300_000);
             } else {
@@ -268,7 +277,9 @@
 
     private static void head(Socket to, String id, String expires, String framing) throws IOException {
         StringBuilder head = new StringBuilder("POST /api?slot=4 HTTP/1.1\r\n");
-        headers(id, "order", expires).forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
+        headers(id, "order", expires)
+                .forEach((name, value) ->
+                        head.append(name).append(": ").append(value).append("\r\n"));
         text(to, head + framing + "\r\n\r\n");
     }
 
@@ -279,8 +290,11 @@
         BlockingQueue<byte[]> came = new LinkedBlockingQueue<>();
         Socket client = client(node(taking(came, 0)));
         for (String framing : new String[] {"length", "chunked", "length"}) {
-            head(client, "t-" + framing + came.size() + System.nanoTime(), "20000",
-                framing.equals("length") ? "Content-Length: " + size : "Transfer-Encoding: chunked");
+            head(
+                    client,
+                    "t-" + framing + came.size() + System.nanoTime(),
+                    "20000",
+                    framing.equals("length") ? "Content-Length: " + size : "Transfer-Encoding: chunked");
             OutputStream out = client.getOutputStream();
             if (framing.equals("length")) {
                 out.write(all);
@@ -335,7 +349,8 @@
         });
         writer.start();
         String status = status(Peer.read(client));
-        assertTrue(status.equals("503") || status.equals("429"), "it never had the last byte, so nothing ran: " + status);
+        assertTrue(
+                status.equals("503") || status.equals("429"), "it never had the last byte, so nothing ran: " + status);
         writer.join();
         assertEquals(1, tries.get(), "what is gone cannot be sent again");
     }
@@ -505,7 +520,9 @@
         String answer = new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         long tookMs = (System.nanoTime() - begin) / 1_000_000;
         done.countDown();
-        assertTrue(answer.startsWith("HTTP/1.1 200") && !answer.endsWith("0\r\n\r\n"), "the client can tell that it is not whole");
+        assertTrue(
+                answer.startsWith("HTTP/1.1 200") && !answer.endsWith("0\r\n\r\n"),
+                "the client can tell that it is not whole");
         // What goes through and does not move is let go after 10 s: far behind this client's two.
         assertTrue(tookMs < 8_000, "left hanging for " + tookMs + " ms");
     }
@@ -516,7 +533,9 @@
         CountDownLatch done = new CountDownLatch(1);
         Socket client = client(node(stopping(done)));
         StringBuilder text = new StringBuilder("POST /api HTTP/1.0\r\n");
-        headers("t-1", "order", "2000").forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
+        headers("t-1", "order", "2000")
+                .forEach((name, value) ->
+                        text.append(name).append(": ").append(value).append("\r\n"));
         text(client, text + "Content-Length: 4\r\n\r\nbook");
         assertThrows(IOException.class, () -> client.getInputStream().readAllBytes());
         done.countDown();
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -18,7 +18,8 @@
 @Tag("long")
 class OperatorProcessTest extends Stage {
     private static final String ONE = "[[pool]]\nname = \"%1$s\"\nsettings = \"platform\"\n[[route]]\npool = \"%1$s\"\n"
-        + "host = \"%1$s.example\"\n";
+            + "host = \"%1$s.example\"\n";
+
     @TempDir
     Path folder;
 
@@ -54,8 +55,10 @@
         Daemon daemon = daemon(config(), "[[pool]]\nnam = \"a\"\nsettings = \"platform\"\n");
         daemon.await(folder.resolve("rushpin.toml") + " cannot be used");
         assertEquals(1, daemon.ended());
-        assertTrue(daemon.said.stream().anyMatch(line -> line.contains("line 2: pool[1].nam: is no key here; did you mean name?")),
-            daemon.said.toString());
+        assertTrue(
+                daemon.said.stream()
+                        .anyMatch(line -> line.contains("line 2: pool[1].nam: is no key here; did you mean name?")),
+                daemon.said.toString());
     }
 
     @Test
@@ -95,8 +98,16 @@
         assertEquals(0, daemon.ended());
         List<String> loaded = loaded();
         assertTrue(loaded.stream().anyMatch(line -> line.contains("rushpin.node.PlatformService")));
-        for (String off : List.of("rushpin.route.", "rushpin.rig.", "rushpin.config.OperatorFile", "PooledServices",
-            "rushpin.budget.Lender", "rushpin.budget.Turns", "rushpin.membership.Claims", "org.tomlj", "picocli")) {
+        for (String off : List.of(
+                "rushpin.route.",
+                "rushpin.rig.",
+                "rushpin.config.OperatorFile",
+                "PooledServices",
+                "rushpin.budget.Lender",
+                "rushpin.budget.Turns",
+                "rushpin.membership.Claims",
+                "org.tomlj",
+                "picocli")) {
             assertFalse(loaded.stream().anyMatch(line -> line.contains(off)), off + " was loaded");
         }
     }
@@ -105,7 +116,8 @@
     @Test
     void withoutATableFleetNothingOfItIsLoaded() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
-        Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"), writesClasses());
+        Daemon daemon =
+                daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"), writesClasses());
         assertEquals("200", ask(daemon.port(), "a.example", "t-1"));
         daemon.signal("HUP");
         daemon.await("configuration read again");
@@ -113,10 +125,25 @@
         assertEquals(0, daemon.ended());
         List<String> loaded = loaded();
         assertTrue(loaded.stream().anyMatch(line -> line.contains("rushpin.node.PooledServices")));
-        for (String off : List.of("rushpin.accord.", "rushpin.peer.", "rushpin.failover.", "org.apache.ratis", "io.grpc.",
-            "rushpin.node.Together", "rushpin.node.Voter", "rushpin.node.Witness", "rushpin.node.Gathered",
-            "rushpin.config.FleetKeys", "rushpin.config.FleetPlan", "rushpin.pooling.", "rushpin.budget.Ration", "GroupGate",
-            "ServerPool$Turn", "GroupSide", "rushpin.config.GroupKeys", "rushpin.config.GroupPlan")) {
+        for (String off : List.of(
+                "rushpin.accord.",
+                "rushpin.peer.",
+                "rushpin.failover.",
+                "org.apache.ratis",
+                "io.grpc.",
+                "rushpin.node.Together",
+                "rushpin.node.Voter",
+                "rushpin.node.Witness",
+                "rushpin.node.Gathered",
+                "rushpin.config.FleetKeys",
+                "rushpin.config.FleetPlan",
+                "rushpin.pooling.",
+                "rushpin.budget.Ration",
+                "GroupGate",
+                "ServerPool$Turn",
+                "GroupSide",
+                "rushpin.config.GroupKeys",
+                "rushpin.config.GroupPlan")) {
             assertFalse(loaded.stream().anyMatch(line -> line.contains(off)), off + " was loaded");
         }
     }
--- a/src/test/java/rushpin/node/PausedLoopTest.java
+++ b/src/test/java/rushpin/node/PausedLoopTest.java
@@ -52,11 +52,14 @@
         order(client, "left");
         awaitAttempt(first, second);
 
-        whileLoopIsHeld(node, () -> {
-            go.complete(null);
-            broken.get(30, TimeUnit.SECONDS);
-            client.close();
-        }, PausedLoopTest::pause);
+        whileLoopIsHeld(
+                node,
+                () -> {
+                    go.complete(null);
+                    broken.get(30, TimeUnit.SECONDS);
+                    client.close();
+                },
+                PausedLoopTest::pause);
         while (node.connections() > 1) {
             Thread.sleep(1);
         }
@@ -82,16 +85,22 @@
     }
 
     private static void slowDown(EdgeNode node, AtomicBoolean over) {
-        node.loop().schedule(() -> {
-            pause();
-            if (!over.get()) {
-                slowDown(node, over);
-            }
-        }, 1, TimeUnit.NANOSECONDS);
+        node.loop()
+                .schedule(
+                        () -> {
+                            pause();
+                            if (!over.get()) {
+                                slowDown(node, over);
+                            }
+                        },
+                        1,
+                        TimeUnit.NANOSECONDS);
     }
 
     private static long countOf(String id, Peer at) {
-        return at.seen.stream().filter(m -> m.headers().get("x-trace-id").equals(id)).count();
+        return at.seen.stream()
+                .filter(m -> m.headers().get("x-trace-id").equals(id))
+                .count();
     }
 
     private static void awaitAttempt(Peer... servers) throws InterruptedException {
--- a/src/test/java/rushpin/node/Peer.java
+++ b/src/test/java/rushpin/node/Peer.java
@@ -90,7 +90,9 @@
         Map<String, String> headers = new TreeMap<>();
         for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
             int colon = header.indexOf(':');
-            headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
+            headers.put(
+                    header.substring(0, colon).toLowerCase(Locale.ROOT),
+                    header.substring(colon + 1).trim());
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         return new Message(first, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
--- a/src/test/java/rushpin/node/PlanProcessTest.java
+++ b/src/test/java/rushpin/node/PlanProcessTest.java
@@ -27,10 +27,12 @@
 class PlanProcessTest extends Stage {
     private static final int LEASE = 2_000, EFFECT = 500, SENDS = 200;
     private static final List<String> ZONES = List.of("a", "b", "c");
+
     @TempDir
     Path folder;
     /** Of each request the zones whose servers got it, by its trace. */
     private final Map<String, List<String>> got = new ConcurrentHashMap<>();
+
     private final Map<String, Integer> ports = new TreeMap<>();
     private volatile String ill = "";
     private volatile boolean over;
@@ -41,11 +43,12 @@
         for (String zone : ZONES) {
             for (int i = 0; i < 2; i++) {
                 Peer server = peer(m -> {
-                    got.computeIfAbsent(m.headers().get("x-trace-id"), id -> new ArrayList<>()).add(zone);
+                    got.computeIfAbsent(m.headers().get("x-trace-id"), id -> new ArrayList<>())
+                            .add(zone);
                     m.answer(zone.equals(ill) ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : Peer.ok("", "x"));
                 });
                 members.add(member("s-" + zone + i, server.address(), "Ready", 0)
-                    .replace("\"locality\":\"a\"", "\"locality\":\"" + zone + "\""));
+                        .replace("\"locality\":\"a\"", "\"locality\":\"" + zone + "\""));
             }
         }
         String config = config(members.toArray(String[]::new)).replace("\"b\"\n", "\"b\", \"c\"\n");
@@ -68,23 +71,29 @@
     /** One look-up after the other at each process, so that they have something to tell. */
     private void load(Fellows fleet) {
         for (Fellow each : fleet.all) {
-            Thread client = new Thread(() -> {
-                for (int i = 0; !over; i++) {
-                    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), ports.get(each.name))) {
-                        for (; !over; i++) {
-                            write(socket, "GET /api?slot=4", headers("load-" + each.name + "-" + i, "lookup", "5000"), "");
-                            if (Peer.read(socket) == null) {
-                                break;
+            Thread client = new Thread(
+                    () -> {
+                        for (int i = 0; !over; i++) {
+                            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), ports.get(each.name))) {
+                                for (; !over; i++) {
+                                    write(
+                                            socket,
+                                            "GET /api?slot=4",
+                                            headers("load-" + each.name + "-" + i, "lookup", "5000"),
+                                            "");
+                                    if (Peer.read(socket) == null) {
+                                        break;
+                                    }
+                                    TimeUnit.MILLISECONDS.sleep(10);
+                                }
+                            } catch (IOException e) {
+                                // It comes again while the test goes on.
+                            } catch (InterruptedException e) {
+                                return;
                             }
-                            TimeUnit.MILLISECONDS.sleep(10);
                         }
-                    } catch (IOException e) {
-                        // It comes again while the test goes on.
-                    } catch (InterruptedException e) {
-                        return;
-                    }
-                }
-            }, "client of " + each.name);
+                    },
+                    "client of " + each.name);
             client.setDaemon(true);
             client.start();
         }
@@ -119,10 +128,16 @@
             if (!said.by().equals(of.name)) {
                 continue;
             } else if (said.kind().equals("agreed")) {
-                agreed.put(number, ((AccordEvent.Agreed) AccordEvent.of("fleet agreed number=1 fence=1 at=1 ways="
-                    + said.values().get("ways"))).ways().stream()
-                    .filter(way -> way.from().equals(of.zone) && way.of().isEmpty())
-                    .map(AccordEvent.Way::parts).findFirst().orElse(null));
+                agreed.put(
+                        number,
+                        ((AccordEvent.Agreed) AccordEvent.of("fleet agreed number=1 fence=1 at=1 ways="
+                                        + said.values().get("ways")))
+                                .ways().stream()
+                                        .filter(way -> way.from().equals(of.zone)
+                                                && way.of().isEmpty())
+                                        .map(AccordEvent.Way::parts)
+                                        .findFirst()
+                                        .orElse(null));
                 continue;
             } else if (said.kind().equals("plan")) {
                 last = agreed.get(number);
@@ -150,7 +165,8 @@
             // A change of the plan may be said and not be read yet; by the end of another look it is.
             wrong = wrong.isEmpty() ? wrong : wrong(last(before), firsts(of));
             after = ways(fleet, of);
-        } while (last(before) == null || !after.subList(before.size() - 1, after.size()).stream().allMatch(last(before)::equals));
+        } while (last(before) == null
+                || !after.subList(before.size() - 1, after.size()).stream().allMatch(last(before)::equals));
         assertEquals("", wrong);
     }
 
@@ -159,10 +175,12 @@
         double sent = to.values().stream().mapToInt(Integer::intValue).sum();
         Map<String, Integer> parts = plan == null ? Map.of() : plan;
         double elsewhere = sent * parts.getOrDefault(ill, 0) / 1_000.0;
-        boolean keeps = parts.keySet().containsAll(to.keySet()) && parts.entrySet().stream().allMatch(part -> {
-            double p = part.getValue() / 1_000.0;
-            return Math.abs(to.getOrDefault(part.getKey(), 0) - p * sent) <= 5 * Math.sqrt(sent * p * (1 - p)) + 1 + elsewhere;
-        });
+        boolean keeps = parts.keySet().containsAll(to.keySet())
+                && parts.entrySet().stream().allMatch(part -> {
+                    double p = part.getValue() / 1_000.0;
+                    return Math.abs(to.getOrDefault(part.getKey(), 0) - p * sent)
+                            <= 5 * Math.sqrt(sent * p * (1 - p)) + 1 + elsewhere;
+                });
         return keeps ? "" : to + " by " + plan;
     }
 
@@ -187,8 +205,12 @@
     }
 
     private static void awaitRule(Fellows fleet, Fellow of, int since, String rule) throws Exception {
-        fleet.await("rule " + rule, () -> fleet.since(since).stream()
-            .filter(line -> line.by().equals(of.name) && line.is("rule", "rule", rule)).findFirst().orElse(null));
+        fleet.await(
+                "rule " + rule,
+                () -> fleet.since(since).stream()
+                        .filter(line -> line.by().equals(of.name) && line.is("rule", "rule", rule))
+                        .findFirst()
+                        .orElse(null));
     }
 
     /** Without a voter that is awake a process serves on by the local rule, near, and is back with the plan later. */
--- a/src/test/java/rushpin/node/PlanningTest.java
+++ b/src/test/java/rushpin/node/PlanningTest.java
@@ -36,8 +36,8 @@
 
     private Optional<Planning.Draft> look(Planning planning, Plan inForce, long fence, String... zones)
             throws InterruptedException {
-        planning.look(new Planning.Look(inForce, fence, regions(zones), 100 * SECOND,
-            new Geography(List.of()), Limits.USUAL));
+        planning.look(new Planning.Look(
+                inForce, fence, regions(zones), 100 * SECOND, new Geography(List.of()), Limits.USUAL));
         Optional<Planning.Draft> draft = drafts.poll(60, TimeUnit.SECONDS);
         assertNotNull(draft, "nothing came of a look");
         return draft;
@@ -51,8 +51,9 @@
             assertEquals(0, first.after());
             Plan inForce = new Plan(1, 7, first.ways(), first.marks());
             assertEquals(Optional.empty(), look(planning, inForce, 7, "a", "b"));
-            assertEquals(new Planning.Draft(1, 9, first.ways(), first.marks()),
-                look(planning, inForce, 9, "a", "b").orElseThrow());
+            assertEquals(
+                    new Planning.Draft(1, 9, first.ways(), first.marks()),
+                    look(planning, inForce, 9, "a", "b").orElseThrow());
         }
     }
 
@@ -63,7 +64,9 @@
             Plan left = new Plan(4, 7, List.of(way("a", "a"), way("b", "a")), List.of(LEFT));
             Planning.Draft anew = look(planning, left, 9, "a").orElseThrow();
             assertEquals(List.of(LEFT), anew.marks());
-            assertEquals(List.of(LEFT), look(planning, left, 11, "a", "b").orElseThrow().marks());
+            assertEquals(
+                    List.of(LEFT),
+                    look(planning, left, 11, "a", "b").orElseThrow().marks());
         }
     }
 
@@ -80,14 +83,26 @@
             planning.heard(failing("n1", "b", 1));
             planning.heard(failing("n2", "a", 1));
             planning.heard(failing("n3", "a", 1));
-            assertEquals(0, look(planning, inForce, 7, "a", "b").orElseThrow().marks().stream()
-                .filter(mark -> mark.zone().equals("b")).findFirst().orElseThrow().open());
+            assertEquals(
+                    0,
+                    look(planning, inForce, 7, "a", "b").orElseThrow().marks().stream()
+                            .filter(mark -> mark.zone().equals("b"))
+                            .findFirst()
+                            .orElseThrow()
+                            .open());
         }
     }
 
     private static Report failing(String process, String zone, long sequence) {
-        return new Report(5, sequence, process, zone, SECOND, 0, List.of(new Report.Seen("b", "p.x", 100, 0, 100, 0, 0),
-            new Report.Seen("a", "p.x", 100, 100, 0, 0, 0)), List.of(new Report.Stock("a", 2, 2_000),
-            new Report.Stock("b", 2, 2_000)), List.of(new Report.Entered("p.x", 100)));
+        return new Report(
+                5,
+                sequence,
+                process,
+                zone,
+                SECOND,
+                0,
+                List.of(new Report.Seen("b", "p.x", 100, 0, 100, 0, 0), new Report.Seen("a", "p.x", 100, 100, 0, 0, 0)),
+                List.of(new Report.Stock("a", 2, 2_000), new Report.Stock("b", 2, 2_000)),
+                List.of(new Report.Entered("p.x", 100)));
     }
 }
--- a/src/test/java/rushpin/node/PoolsTest.java
+++ b/src/test/java/rushpin/node/PoolsTest.java
@@ -28,6 +28,7 @@
 class PoolsTest extends Stage {
     @TempDir
     Path folder;
+
     private final StringBuilder file = new StringBuilder();
 
     String loop() {
@@ -46,8 +47,15 @@
     private Peer poolOf(String name, String keys, String... members) throws Exception {
         Peer own = peer(m -> m.answer(UNCHANGED));
         settings(name, own, members);
-        file.append("[[pool]]\nname = \"").append(name).append("\"\nsettings = \"").append(name)
-            .append(".json\"\nloop = \"").append(loop()).append("\"\n").append(keys).append('\n');
+        file.append("[[pool]]\nname = \"")
+                .append(name)
+                .append("\"\nsettings = \"")
+                .append(name)
+                .append(".json\"\nloop = \"")
+                .append(loop())
+                .append("\"\n")
+                .append(keys)
+                .append('\n');
         route(name, "host = \"" + name + ".example\"");
         return own;
     }
@@ -57,7 +65,11 @@
     }
 
     private void route(String pool, String keys) {
-        file.append("[[route]]\npool = \"").append(pool).append("\"\n").append(keys).append("\n\n");
+        file.append("[[route]]\npool = \"")
+                .append(pool)
+                .append("\"\n")
+                .append(keys)
+                .append("\n\n");
     }
 
     private EdgeNode startPools() throws Exception {
@@ -98,8 +110,10 @@
         pool("d", "", d);
         route("b", "host = \"*.example\"\nprefix = \"/b\"");
         route("c", "host = \"*.example\"\nprefix = \"/b\"\nmethod = \"GET\"\nclass = \"lookup\"");
-        route("d", "host = \"*.example\"\nprefix = \"/b\"\nmethod = \"GET\"\nclass = \"lookup\"\n[route.headers]\n"
-            + "X-Yard = \"east\"");
+        route(
+                "d",
+                "host = \"*.example\"\nprefix = \"/b\"\nmethod = \"GET\"\nclass = \"lookup\"\n[route.headers]\n"
+                        + "X-Yard = \"east\"");
         EdgeNode node = startPools();
         Socket client = client(node);
         Map<String, String> get = headers("t-1", "lookup", "20000");
@@ -130,8 +144,21 @@
         pool("b", "", b);
         route("b", "host = \"a.example\"\nprefix = \"/b\"");
         EdgeNode node = startPools();
-        List<String> targets = List.of("/b/../a", "/a/%2e%2e/b", "//b", "/a//b", "/b%2f..", "/b;x", "/%62", "/b\\..",
-            "http://b.example/b", "https://a.example/b", "http://a.example:81/b", "*", "b", "/b%00");
+        List<String> targets = List.of(
+                "/b/../a",
+                "/a/%2e%2e/b",
+                "//b",
+                "/a//b",
+                "/b%2f..",
+                "/b;x",
+                "/%62",
+                "/b\\..",
+                "http://b.example/b",
+                "https://a.example/b",
+                "http://a.example:81/b",
+                "*",
+                "b",
+                "/b%00");
         for (String target : targets) {
             Socket client = client(node);
             Map<String, String> headers = headers("t-1", "order", "20000");
@@ -139,15 +166,22 @@
             write(client, "POST " + target, headers, "book");
             assertEquals("400", status(Peer.read(client)), target);
         }
-        for (String hosts : List.of("Host: a.example\r\nHost: b.example\r\n", "Host: a.example\r\nHost: a.example\r\n", "",
-            "Host: a.example, b.example\r\n", "Host: a.example:\r\n", "Host: a..example\r\n", "Host: u@a.example\r\n")) {
+        for (String hosts : List.of(
+                "Host: a.example\r\nHost: b.example\r\n",
+                "Host: a.example\r\nHost: a.example\r\n",
+                "",
+                "Host: a.example, b.example\r\n",
+                "Host: a.example:\r\n",
+                "Host: a..example\r\n",
+                "Host: u@a.example\r\n")) {
             Socket client = client(node);
             Map<String, String> headers = headers("t-1", "order", "20000");
             headers.remove("Host");
             StringBuilder text = new StringBuilder("POST /api HTTP/1.1\r\n").append(hosts);
-            headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
-            client.getOutputStream().write(text.append("Content-Length: 0\r\n\r\n").toString()
-                .getBytes(StandardCharsets.US_ASCII));
+            headers.forEach((name, value) ->
+                    text.append(name).append(": ").append(value).append("\r\n"));
+            client.getOutputStream()
+                    .write(text.append("Content-Length: 0\r\n\r\n").toString().getBytes(StandardCharsets.US_ASCII));
             assertEquals("400", status(Peer.read(client)), hosts);
         }
         assertTrue(a.seen.isEmpty() && b.seen.isEmpty());
@@ -158,7 +192,9 @@
         pool("a", "", named("a"));
         Peer empty = peer(m -> m.answer(watched("{\"revision\":9,\"complete\":true,\"members\":[]}")));
         settings("none", empty);
-        file.append("[[pool]]\nname = \"none\"\nsettings = \"none.json\"\nloop = \"").append(loop()).append("\"\n\n");
+        file.append("[[pool]]\nname = \"none\"\nsettings = \"none.json\"\nloop = \"")
+                .append(loop())
+                .append("\"\n\n");
         route("none", "host = \"none.example\"");
         EdgeNode node = startPools();
         empty.next();
@@ -169,8 +205,8 @@
     }
 
     private static String watched(String line) {
-        return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1)
-            + "\r\n" + line + "\n\r\n";
+        return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1) + "\r\n"
+                + line + "\n\r\n";
     }
 
     @Test
@@ -219,8 +255,11 @@
         pool("b", "", named("b"));
         for (String name : List.of("a", "b")) {
             Path at = folder.resolve(name + ".json");
-            Files.writeString(at, Files.readString(at).replace("\"hard-rate\": 0", "\"hard-rate\": 4")
-                .replace("\"hard-burst\": 0", "\"hard-burst\": 4"));
+            Files.writeString(
+                    at,
+                    Files.readString(at)
+                            .replace("\"hard-rate\": 0", "\"hard-rate\": 4")
+                            .replace("\"hard-burst\": 0", "\"hard-burst\": 4"));
         }
         EdgeNode node = startPools();
         // A ceiling starts with nothing: the customer's first requests are refused until it has filled.
@@ -249,10 +288,12 @@
         Peer list = peer(m -> {
             drain.join();
             m.answer(watched("{\"revision\":9,\"complete\":false,\"members\":["
-                + member("s-0", shared.address(), "Terminating", 0) + "]}"));
+                    + member("s-0", shared.address(), "Terminating", 0) + "]}"));
         });
         settings("a", list, member("s-0", shared.address(), "Ready", 0));
-        file.append("[[pool]]\nname = \"a\"\nsettings = \"a.json\"\nloop = \"").append(loop()).append("\"\n\n");
+        file.append("[[pool]]\nname = \"a\"\nsettings = \"a.json\"\nloop = \"")
+                .append(loop())
+                .append("\"\n\n");
         route("a", "host = \"a.example\"");
         pool("b", "", shared);
         EdgeNode node = startPools();
@@ -291,7 +332,8 @@
         Map<String, String> headers = headers("t-1", "order", "20000");
         headers.put("Host", "a.example");
         StringBuilder text = new StringBuilder("POST /api HTTP/1.1\r\n");
-        headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
+        headers.forEach(
+                (name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
         for (byte one : text.append("Content-Length: 4\r\n\r\nbook").toString().getBytes(StandardCharsets.US_ASCII)) {
             slow.getOutputStream().write(one);
         }
@@ -300,8 +342,10 @@
         write(large, "POST /api", headers, "x".repeat(64 * 1024));
         assertEquals("200", status(Peer.read(large)), "64 KiB are allowed");
         Socket tooLarge = client(node);
-        tooLarge.getOutputStream().write(text.toString().replace("Content-Length: 4", "Content-Length: 40000001")
-            .getBytes(StandardCharsets.US_ASCII));
+        tooLarge.getOutputStream()
+                .write(text.toString()
+                        .replace("Content-Length: 4", "Content-Length: 40000001")
+                        .getBytes(StandardCharsets.US_ASCII));
         assertEquals("413", status(Peer.read(tooLarge)));
         Socket noise = client(node);
         noise.getOutputStream().write("\u0001\u0002 noise\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -479,7 +523,8 @@
             }
             order(client, "a", "a-" + i);
             assertEquals("200", status(Peer.read(client)));
-            assertEquals("200", status(ask(node, "b", "b-" + i)), "the pool that took the old one's place has its servers");
+            assertEquals(
+                    "200", status(ask(node, "b", "b-" + i)), "the pool that took the old one's place has its servers");
         }
     }
 }
--- a/src/test/java/rushpin/node/RecordsNodeTest.java
+++ b/src/test/java/rushpin/node/RecordsNodeTest.java
@@ -20,6 +20,7 @@
 /** What a node on sockets writes of the requests that it takes. */
 class RecordsNodeTest extends Stage {
     private static final String POOL = "[[pool]]\nname = \"p\"\nsettings = \"platform\"\n[[route]]\npool = \"p\"\n";
+
     @TempDir
     Path folder;
 
@@ -38,8 +39,10 @@
     @Test
     void eachRequestStandsThereOnceWithItsAttemptsAndItsEndAndNoSecret() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Peer server = peer(m -> m.answer(m.first().startsWith("GET") && calls.getAndIncrement() == 0
-            ? "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n" : Peer.ok("", "x")));
+        Peer server = peer(m -> m.answer(
+                m.first().startsWith("GET") && calls.getAndIncrement() == 0
+                        ? "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
+                        : Peer.ok("", "x")));
         EdgeNode node = start(records(), config(member("s-0", server.address(), "Ready", 0)));
         try {
             Socket client = client(node);
@@ -52,14 +55,23 @@
         }
         List<Entry> read = Recorded.read(folder.resolve("records")).entries();
         assertEquals(2, read.size(), read.toString());
-        Entry order = read.stream().filter(e -> e.requestClass().equals("order")).findFirst().orElseThrow();
-        Entry lookup = read.stream().filter(e -> e.requestClass().equals("lookup")).findFirst().orElseThrow();
+        Entry order = read.stream()
+                .filter(e -> e.requestClass().equals("order"))
+                .findFirst()
+                .orElseThrow();
+        Entry lookup = read.stream()
+                .filter(e -> e.requestClass().equals("lookup"))
+                .findFirst()
+                .orElseThrow();
         assertEquals(End.SERVED, order.end());
         assertEquals("p", order.pool());
         assertEquals("bulk", order.plan());
-        assertEquals(List.of("FULL", "OK"), lookup.tries().stream().map(Entry.Try::outcome).toList());
+        assertEquals(
+                List.of("FULL", "OK"),
+                lookup.tries().stream().map(Entry.Try::outcome).toList());
         assertEquals("s-0", lookup.tries().get(0).server());
-        assertTrue(lookup.tries().get(1).after() >= lookup.tries().get(0).after() + lookup.tries().get(0).took());
+        assertTrue(lookup.tries().get(1).after()
+                >= lookup.tries().get(0).after() + lookup.tries().get(0).took());
         assertTrue(lookup.took() >= lookup.tries().get(1).after());
         assertEquals(order.customer(), lookup.customer());
         assertTrue(Math.abs(order.at() / 1_000 - System.currentTimeMillis()) < 120_000, "Unix time: " + order.at());
@@ -84,7 +96,9 @@
         List<Entry> read = Recorded.read(folder.resolve("records")).entries();
         assertEquals(2, read.size(), read.toString());
         assertEquals(End.FAILED, read.get(0).end());
-        assertEquals(List.of("ERROR"), read.get(0).tries().stream().map(Entry.Try::outcome).toList());
+        assertEquals(
+                List.of("ERROR"),
+                read.get(0).tries().stream().map(Entry.Try::outcome).toList());
         assertTrue(read.get(1).end() == End.REFUSED || read.get(1).end() == End.FAILED, read.toString());
     }
 
@@ -94,7 +108,8 @@
         EdgeNode node = start(POOL, config(member("s-0", server.address(), "Ready", 0)));
         try {
             assertEquals("200", ask(client(node), "t-1"));
-            assertFalse(Thread.getAllStackTraces().keySet().stream().anyMatch(t -> t.getName().equals("records")));
+            assertFalse(Thread.getAllStackTraces().keySet().stream()
+                    .anyMatch(t -> t.getName().equals("records")));
         } finally {
             node.drain().get();
             node.close();
--- a/src/test/java/rushpin/node/RehearsalTest.java
+++ b/src/test/java/rushpin/node/RehearsalTest.java
@@ -52,14 +52,19 @@
         Peer server = peer(m -> m.answer(Peer.ok("", "real")));
         Path file = folder.resolve("config.json");
         Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-            "-cp", System.getProperty("java.class.path"), "rushpin.cli.Main", "serve").redirectErrorStream(true);
+        ProcessBuilder builder = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "rushpin.cli.Main",
+                        "serve")
+                .redirectErrorStream(true);
         builder.environment().put("GW_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
         Process process = builder.start();
         toClose.add(process::destroyForcibly);
-        BufferedReader said = new BufferedReader(
-            new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        BufferedReader said =
+                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         String line = said.readLine();
         while (line != null && !line.startsWith("rehearsed with")) {
             assertTrue(!line.startsWith("serving on"), "it serves unrehearsed");
--- a/src/test/java/rushpin/node/ReloadTest.java
+++ b/src/test/java/rushpin/node/ReloadTest.java
@@ -21,8 +21,8 @@
     Path folder;
 
     private static String watched(String line) {
-        return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1)
-            + "\r\n" + line + "\n\r\n";
+        return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1) + "\r\n"
+                + line + "\n\r\n";
     }
 
     @Test
@@ -35,7 +35,7 @@
         Peer elsewhere = peer(m -> {
             go.join();
             m.answer(watched("{\"revision\":9,\"complete\":true,\"members\":["
-                + member("s-1", fresh.address(), "Ready", 0) + "]}"));
+                    + member("s-1", fresh.address(), "Ready", 0) + "]}"));
         });
         discovery.next();
         node.reload(Config.parse(config.replace(discovery.address(), elsewhere.address())));
--- a/src/test/java/rushpin/node/RetuneNodeTest.java
+++ b/src/test/java/rushpin/node/RetuneNodeTest.java
@@ -36,7 +36,7 @@
         assertEquals("200", ask(client, "t-1", "strict"));
         String changed = before.replace("\"strict\"", "\"urgent\"");
         node.reload(Config.parse(changed));
-        node.loop().submit(() -> { }).sync();
+        node.loop().submit(() -> {}).sync();
         assertEquals("200", ask(client, "t-2", "urgent"));
         assertEquals("200", ask(client, "t-3", "strict"), "a client that has begun in it may still come again");
         assertEquals("200", ask(client, "t-4", "order"));
@@ -46,10 +46,11 @@
     void aDroppedClassEndsAfterItsDeadline() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         String before = config(member("s-0", server.address(), "Ready", 0))
-            .replace("\"deadline-ns\": 30000000000", "\"deadline-ns\": 300000000").replace("\"aim-ns\": 10000000000", "\"aim-ns\": 200000000");
+                .replace("\"deadline-ns\": 30000000000", "\"deadline-ns\": 300000000")
+                .replace("\"aim-ns\": 10000000000", "\"aim-ns\": 200000000");
         EdgeNode node = start(before);
         node.reload(Config.parse(before.replace("\"strict\"", "\"urgent\"")));
-        node.loop().submit(() -> { }).sync();
+        node.loop().submit(() -> {}).sync();
         Socket client = client(node);
         for (int i = 0; ; i++) {
             Map<String, String> headers = headers("t-" + i, "strict", "300");
@@ -67,14 +68,15 @@
     void reloadsInARowKeepNothingAlive() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         String before = config(member("s-0", server.address(), "Ready", 0))
-            .replace("\"deadline-ns\": 30000000000", "\"deadline-ns\": 600000000").replace("\"aim-ns\": 10000000000", "\"aim-ns\": 400000000");
+                .replace("\"deadline-ns\": 30000000000", "\"deadline-ns\": 600000000")
+                .replace("\"aim-ns\": 10000000000", "\"aim-ns\": 400000000");
         EdgeNode node = start(before);
         Socket client = client(node);
         String answer = "";
         for (int i = 0; !answer.equals("400"); i++) {
             assertTrue(i < 200, "still served: " + answer);
             node.reload(Config.parse(before.replace("\"strict\"", "\"class-" + i + "\"")));
-            node.loop().submit(() -> { }).sync();
+            node.loop().submit(() -> {}).sync();
             write(client, "POST /api", headers("t-" + i, "strict", "600"), "x");
             answer = status(Peer.read(client));
             Thread.sleep(50);
@@ -109,8 +111,9 @@
         Socket client = client(node);
         write(client, "POST /api", headers("held", "strict", "20000"), "x");
         assertTrue(out.await(60, TimeUnit.SECONDS));
-        node.reload(Config.parse(before.replace("\"fragile\"", "\"dedup\"").replace("\"key-ttl-ns\": 4000000000", "\"key-ttl-ns\": 30000000000")));
-        node.loop().submit(() -> { }).sync();
+        node.reload(Config.parse(before.replace("\"fragile\"", "\"dedup\"")
+                .replace("\"key-ttl-ns\": 4000000000", "\"key-ttl-ns\": 30000000000")));
+        node.loop().submit(() -> {}).sync();
         changed.countDown();
         assertEquals("502", status(Peer.read(client)), "it may have run, and came as one that may run once");
         assertEquals(1, tries.get());
@@ -127,8 +130,12 @@
             toClose.add(client);
             client.setSoTimeout(60_000);
             String urgent = with.replace("\"strict\"", "\"urgent\"");
-            for (String broken : new String[] {"", urgent.substring(0, urgent.length() / 2),
-                urgent.replace("\"max-attempts\": 6", "\"max-attempts\": 0"), urgent.replace("\"caps\"", "\"cups\"")}) {
+            for (String broken : new String[] {
+                "",
+                urgent.substring(0, urgent.length() / 2),
+                urgent.replace("\"max-attempts\": 6", "\"max-attempts\": 0"),
+                urgent.replace("\"caps\"", "\"cups\"")
+            }) {
                 Files.writeString(daemon.config, broken);
                 daemon.signal("HUP");
                 daemon.await("the configuration stays as it was");
@@ -137,12 +144,15 @@
             Files.writeString(daemon.config, urgent);
             daemon.signal("HUP");
             daemon.await("configuration read again");
-            Socket again = new Socket("127.0.0.1", ((java.net.InetSocketAddress) client.getRemoteSocketAddress()).getPort());
+            Socket again =
+                    new Socket("127.0.0.1", ((java.net.InetSocketAddress) client.getRemoteSocketAddress()).getPort());
             toClose.add(again);
             again.setSoTimeout(60_000);
             assertEquals("200", ask(again, "t-2", "urgent"));
             String figures = call(console, "STATS");
-            assertTrue(figures.contains("node.config_applied:1|c\n") && figures.contains("node.config_rejected:4|c\n"), figures);
+            assertTrue(
+                    figures.contains("node.config_applied:1|c\n") && figures.contains("node.config_rejected:4|c\n"),
+                    figures);
         }
     }
 }
--- a/src/test/java/rushpin/node/RudeClientTest.java
+++ b/src/test/java/rushpin/node/RudeClientTest.java
@@ -27,7 +27,8 @@
 
     private static String head(Map<String, String> headers, String first) {
         StringBuilder text = new StringBuilder(first).append(" HTTP/1.1\r\n");
-        headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
+        headers.forEach(
+                (name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
         return text.toString();
     }
 
@@ -50,19 +51,28 @@
         EdgeNode node = node(server);
         String good = head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 0\r\n\r\n";
         String head = head(headers("t-1", "order", "20000"), "POST /api");
-        for (String bad : List.of(head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-            head + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
-            head + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbook",
-            head + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbook", head + "Content-Length: 4, 4\r\n\r\nbook",
-            head + "Content-Length: -4\r\n\r\n", head + "Content-Length: four\r\n\r\n",
-            head + "Content-Length: 99999999999999999999\r\n\r\n", head + "Transfer-Encoding: gzip\r\n\r\n",
-            head + "X-Trace-Id: t-3\r\n\r\n", head + "X-Odd name: x\r\n\r\n",
-            head.replace("X-Qos: order", "X-Qos: odd") + "\r\n",
-            head.replace("units=1", "units=1d") + "\r\n", head.replace("units=1", "units=9") + "\r\n",
-            head.replace("units=1", "units=1,units=2") + "\r\n", head.replace("spread=1", "spread=0x1") + "\r\n",
-            head.replace("20000", "1e3") + "\r\n", head.replace("20000", "900000000") + "\r\n",
-            head.replace("customer=00000", "customer=+0000") + "\r\n",
-            "nonsense\r\n\r\n", "\u0000\u0001\u0002\r\n\r\n")) {
+        for (String bad : List.of(
+                head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                head + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
+                head + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbook",
+                head + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nbook",
+                head + "Content-Length: 4, 4\r\n\r\nbook",
+                head + "Content-Length: -4\r\n\r\n",
+                head + "Content-Length: four\r\n\r\n",
+                head + "Content-Length: 99999999999999999999\r\n\r\n",
+                head + "Transfer-Encoding: gzip\r\n\r\n",
+                head + "X-Trace-Id: t-3\r\n\r\n",
+                head + "X-Odd name: x\r\n\r\n",
+                head.replace("X-Qos: order", "X-Qos: odd") + "\r\n",
+                head.replace("units=1", "units=1d") + "\r\n",
+                head.replace("units=1", "units=9") + "\r\n",
+                head.replace("units=1", "units=1,units=2") + "\r\n",
+                head.replace("spread=1", "spread=0x1") + "\r\n",
+                head.replace("20000", "1e3") + "\r\n",
+                head.replace("20000", "900000000") + "\r\n",
+                head.replace("customer=00000", "customer=+0000") + "\r\n",
+                "nonsense\r\n\r\n",
+                "\u0000\u0001\u0002\r\n\r\n")) {
             Socket client = client(node);
             send(client, bad + good);
             assertRefused(client, "400", bad);
@@ -75,8 +85,8 @@
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         EdgeNode node = node(server);
         String head = head(headers("t-1", "order", "20000"), "POST /api");
-        for (String bad : List.of("Content-Length: 40000001\r\n\r\n",
-            "Content-Length: 60000000\r\n\r\n" + "x".repeat(9_000))) {
+        for (String bad :
+                List.of("Content-Length: 40000001\r\n\r\n", "Content-Length: 60000000\r\n\r\n" + "x".repeat(9_000))) {
             Socket client = client(node);
             send(client, head + bad);
             assertRefused(client, "413", bad.substring(0, 24));
@@ -178,7 +188,7 @@
         server.next();
         // Each pass of the loop reads more than a connection holds ahead: by now it is read from no more.
         for (int pass = 0; pass < 3; pass++) {
-            node.loop().schedule(() -> { }, 1, TimeUnit.NANOSECONDS).get();
+            node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get();
         }
         ahead.close();
         go.complete(null);
@@ -238,7 +248,8 @@
     @Test
     void ofManyIdleConnectionsNoMoreAreKept() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "done")));
-        EdgeNode node = start(config(member("s-0", server.address(), "Ready", 0)).replace("1024", "96"));
+        EdgeNode node =
+                start(config(member("s-0", server.address(), "Ready", 0)).replace("1024", "96"));
         Socket last = null;
         for (int i = 0; i < 30; i++) {
             last = client(node);
--- a/src/test/java/rushpin/node/SocketHolder.java
+++ b/src/test/java/rushpin/node/SocketHolder.java
@@ -25,7 +25,8 @@
     final int port;
 
     SocketHolder(Path folder, String config) throws Exception {
-        holder = new Daemon(folder, config, Daemon.operator("listener = \"inherited\"\n"), List.of("perl", "-e", SCRIPT));
+        holder = new Daemon(
+                folder, config, Daemon.operator("listener = \"inherited\"\n"), List.of("perl", "-e", SCRIPT));
         port = holder.port("holds port");
     }
 
--- a/src/test/java/rushpin/node/SpoiltAnswerTest.java
+++ b/src/test/java/rushpin/node/SpoiltAnswerTest.java
@@ -17,8 +17,12 @@
     /** What stood behind an answer was once taken for the next request's answer, because the pool had it by then. */
     @Test
     void whatStandsBehindAnAnswerIsNobodysAnswer() throws Exception {
-        for (String behind : List.of("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "HTTP/1.1 200 O", "\r\n",
-            "noise", "HTTP/1.1 100 Continue\r\n\r\n")) {
+        for (String behind : List.of(
+                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
+                "HTTP/1.1 200 O",
+                "\r\n",
+                "noise",
+                "HTTP/1.1 100 Continue\r\n\r\n")) {
             Peer server = peer(m -> m.answer(Peer.ok("", m.headers().get("x-trace-id")) + behind));
             Socket client = client(node(server));
             for (String id : List.of("t-1", "t-2", "t-3")) {
@@ -47,17 +51,23 @@
     /** The connection stays open: to wait for more would take all of the request's time. */
     @Test
     void aSpoiltAnswerIsAFailedAttemptAtOnce() throws Exception {
-        for (String spoilt : List.of("noise", "\u0001\u0002", "\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nhalf",
-            "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf",
-            "HTTP/1.1 200 OK\r\n\r\nno end told",
-            "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nhalf",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-            "HTTP/1.1 200 OK\r\nnoise\r\n\r\n", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nhalf",
-            "HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nX-Open: end",
-            "HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\n\r\n", "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
+        for (String spoilt : List.of(
+                "noise",
+                "\u0001\u0002",
+                "\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\n\r\nno end told",
+                "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\nnoise\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nhalf",
+                "HTTP/1.1 2x0 OK\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nX-Open: end",
+                "HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
             Peer[] server = new Peer[1];
             server[0] = peer(m -> m.answer(server[0].seen.size() == 1 ? spoilt : Peer.ok("", "good")));
             Socket client = client(node(server[0]));
@@ -79,7 +89,7 @@
     @Test
     void whatComesAheadOfAnAnswerIsPassedOver() throws Exception {
         Peer server = peer(m -> m.answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: </x>\r\n\r\n"
-            + Peer.ok("X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n", "good")));
+                + Peer.ok("X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n", "good")));
         Socket client = client(node(server));
         for (String id : List.of("t-1", "t-2")) {
             order(client, id);
