--- a/src/test/java/rushpin/node/Stage.java
+++ b/src/test/java/rushpin/node/Stage.java
@@ -55,13 +55,15 @@
 
     static String member(String id, String address, String phase, long since) {
         return "{\"id\":\"" + id + "\",\"host_port\":\"" + address + "\","
-            + "\"locality\":\"a\",\"flavor\":\"m\",\"cell\":1,"
-            + "\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":" + since + "}";
+                + "\"locality\":\"a\",\"flavor\":\"m\",\"cell\":1,"
+                + "\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":" + since + "}";
     }
 
     String config(String... members) throws IOException {
-        return Files.readString(Path.of("src/test/resources/node.json")).replace("DISCOVERY", discovery.address())
-            .replace("COUNTER", counter.address()).replace("MEMBERS", String.join(",", members));
+        return Files.readString(Path.of("src/test/resources/node.json"))
+                .replace("DISCOVERY", discovery.address())
+                .replace("COUNTER", counter.address())
+                .replace("MEMBERS", String.join(",", members));
     }
 
     EdgeNode node(Peer... servers) throws Exception {
@@ -88,9 +90,21 @@
     }
 
     static Map<String, String> headers(String id, String requestClass, String expires) {
-        Map<String, String> headers = new TreeMap<>(Map.of("Host", "app.svc", "X-Trace-Id", id, "X-Qos", requestClass,
-            "X-Plan", "bulk", "Cookie", "customer=0000000000000007", "X-Expires-In-Ms", expires,
-            "X-Quota", "units=1,spread=1,first=0"));
+        Map<String, String> headers = new TreeMap<>(Map.of(
+                "Host",
+                "app.svc",
+                "X-Trace-Id",
+                id,
+                "X-Qos",
+                requestClass,
+                "X-Plan",
+                "bulk",
+                "Cookie",
+                "customer=0000000000000007",
+                "X-Expires-In-Ms",
+                expires,
+                "X-Quota",
+                "units=1,spread=1,first=0"));
         if (requestClass.equals("order")) {
             headers.put("Idempotency-Key", "key-" + id);
         }
@@ -99,7 +113,8 @@
 
     static void write(Socket to, String first, Map<String, String> headers, String body) throws IOException {
         StringBuilder text = new StringBuilder(first).append(" HTTP/1.1\r\n");
-        headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
+        headers.forEach(
+                (name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
         text.append("Content-Length: ").append(body.length()).append("\r\n\r\n").append(body);
         to.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
     }
@@ -120,11 +135,13 @@
     static void whileLoopIsHeld(EdgeNode node, Happening happening, Runnable then) throws Exception {
         CompletableFuture<Void> held = new CompletableFuture<>();
         CompletableFuture<Void> happened = new CompletableFuture<>();
-        CompletableFuture<Void> over = CompletableFuture.runAsync(() -> {
-            held.complete(null);
-            happened.join();
-            then.run();
-        }, node.loop());
+        CompletableFuture<Void> over = CompletableFuture.runAsync(
+                () -> {
+                    held.complete(null);
+                    happened.join();
+                    then.run();
+                },
+                node.loop());
         held.join();
         try {
             happening.run();
--- a/src/test/java/rushpin/node/StandingTest.java
+++ b/src/test/java/rushpin/node/StandingTest.java
@@ -17,11 +17,15 @@
 /** A plan's names become the indexes of one pool, and an old plan becomes the local rule. */
 class StandingTest {
     private static final long LEASE = 1_000;
-    private static final Names NAMES = new Names(List.of("look up", "book"), List.of(), List.of("b", "a", "c"), List.of());
-    private static final Plan PLAN = new Plan(4, 9, List.of(
-        new Way("a", List.of(new Part("a", 600), new Part("b", 300), new Part("d", 100))),
-        new Way("a", "yard.look_up", List.of(new Part("c", 1_000))),
-        new Way("b", List.of(new Part("b", 1_000)))));
+    private static final Names NAMES =
+            new Names(List.of("look up", "book"), List.of(), List.of("b", "a", "c"), List.of());
+    private static final Plan PLAN = new Plan(
+            4,
+            9,
+            List.of(
+                    new Way("a", List.of(new Part("a", 600), new Part("b", 300), new Part("d", 100))),
+                    new Way("a", "yard.look_up", List.of(new Part("c", 1_000))),
+                    new Way("b", List.of(new Part("b", 1_000)))));
 
     private static BitSet listed(int... zones) {
         BitSet set = new BitSet();
@@ -39,15 +43,19 @@
     void namesBecomeIndexesAndAClassHasItsOwnWay() {
         Standing fresh = new Standing("a", LEASE, PLAN, false, 0);
         assertArrayEquals(new int[][] {{0, 0, 1_000}, {300, 600, 0}}, parts(fresh, 0, "yard", listed(0, 1, 2), ""));
-        assertArrayEquals(new int[][] {{300, 600, 0}, {300, 600, 0}}, parts(fresh, 0, "gate", listed(0, 1, 2), ""),
-            "the same class of another pool");
+        assertArrayEquals(
+                new int[][] {{300, 600, 0}, {300, 600, 0}},
+                parts(fresh, 0, "gate", listed(0, 1, 2), ""),
+                "the same class of another pool");
     }
 
     @Test
     void zonesThatThePoolHasNoServersInArePassedOver() {
         Standing fresh = new Standing("a", LEASE, PLAN, false, 0);
         assertArrayEquals(new int[][] {null, {0, 600, 0}}, parts(fresh, 0, "yard", listed(1), ""));
-        assertNull(parts(new Standing("c", LEASE, PLAN, false, 0), 0, "yard", listed(0, 1, 2), ""), "nothing is said of c");
+        assertNull(
+                parts(new Standing("c", LEASE, PLAN, false, 0), 0, "yard", listed(0, 1, 2), ""),
+                "nothing is said of c");
         assertNull(parts(new Standing("c", LEASE, PLAN, true, 0), 9 * LEASE, "yard", listed(0, 1, 2), ""));
     }
 
--- a/src/test/java/rushpin/node/TermPhasesTest.java
+++ b/src/test/java/rushpin/node/TermPhasesTest.java
@@ -28,8 +28,7 @@
     private EdgeNode node;
 
     /** How requests ended: with a whole answer that says the connection ends, or without any. */
-    private record Count(int answered, int unanswered) {
-    }
+    private record Count(int answered, int unanswered) {}
 
     @BeforeEach
     void serve() throws Exception {
@@ -117,12 +116,14 @@
     @Test
     void whoConnectsBehindTheLastAcceptIsAnswered() throws Exception {
         CompletableFuture<Void> ending = new CompletableFuture<>(), written = new CompletableFuture<>();
-        CompletableFuture<Void> ended = CompletableFuture.runAsync(() -> {
-            node.closeAfterAnswers();
-            node.stopAccepting(true);
-            ending.complete(null);
-            written.join();
-        }, node.loop());
+        CompletableFuture<Void> ended = CompletableFuture.runAsync(
+                () -> {
+                    node.closeAfterAnswers();
+                    node.stopAccepting(true);
+                    ending.complete(null);
+                    written.join();
+                },
+                node.loop());
         ending.join();
         List<Socket> clients = new ArrayList<>();
         try {
@@ -153,7 +154,8 @@
     /** Half of 16 descriptors are clients', and at the last place a newcomer would end another one. */
     @Test
     void noMoreIsTakenFromTheLineThanThereIsRoomFor() throws Exception {
-        node = start(config(member("s-0", server.address(), "Ready", 0)).replace("\"sockets\": 1024", "\"sockets\": 16"));
+        node = start(
+                config(member("s-0", server.address(), "Ready", 0)).replace("\"sockets\": 1024", "\"sockets\": 16"));
         List<Socket> clients = new ArrayList<>();
         endGraceBehind(() -> {
             for (int i = 0; i < 12; i++) {
@@ -176,7 +178,8 @@
                 StringBuilder text = new StringBuilder("POST /api HTTP/1.1\r\n");
                 headers.put("X-Trace-Id", "t-" + i);
                 headers.put("Idempotency-Key", "key-" + i);
-                headers.forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
+                headers.forEach((name, value) ->
+                        text.append(name).append(": ").append(value).append("\r\n"));
                 text.append("Content-Length: 4\r\n\r\nbook");
                 int cut = i % 2 == 0 ? 30 : text.length() - 2;
                 rest[i] = text.substring(cut);
@@ -189,7 +192,7 @@
         };
         begin.run();
         // What is in the kernel by now is read before a task that comes by way of the loop's timers.
-        node.loop().schedule(() -> { }, 1, TimeUnit.NANOSECONDS).get();
+        node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get();
         endGraceBehind(() -> {
             for (int i = 2; i < 4; i++) {
                 int cut = i % 2 == 0 ? 30 : rest[i].length() - 2;
@@ -213,7 +216,7 @@
         server.next();
         endGraceBehind(() -> order(clients.get(1), "t-2"));
         // Read, if it is to be read: else the end would be a reset.
-        node.loop().schedule(() -> { }, 1, TimeUnit.NANOSECONDS).get();
+        node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get();
         go.complete(null);
         assertEquals(new Count(2, 0), count(clients));
         assertNull(server.seen.poll());
@@ -224,8 +227,9 @@
     void whatCrossesTheNodesEndHasNoAnswerAndReachesNoServer() throws Exception {
         go.complete(null);
         List<Socket> clients = idle(1);
-        endGraceBehind(() -> { });
-        // The listening socket is let go of in one pass of the loop, and its queue and the idle ones are looked at in a later one.
+        endGraceBehind(() -> {});
+        // The listening socket is let go of in one pass of the loop, and its queue and the idle ones are looked at in a
+        // later one.
         while (node.connections() > 0) {
             Thread.onSpinWait();
         }
--- a/src/test/java/rushpin/node/TogetherProcessTest.java
+++ b/src/test/java/rushpin/node/TogetherProcessTest.java
@@ -23,6 +23,7 @@
     private static final int LEASE = 3_000, EFFECT = 500;
     /** Entries, of which some eight come a second. */
     private static final int MORE = 20;
+
     @TempDir
     Path folder;
 
@@ -78,8 +79,12 @@
         assertEquals(before.values().get("group"), after.values().get("group"));
         assertEquals("true", after.values().get("blank"));
         long with = fleet.awaitPlan(next, fleet.all);
-        fleet.await("its vote counts", () -> fleet.since(restarted).stream()
-            .filter(line -> line.is("counts", "id", after.values().get("id"))).findFirst().orElse(null));
+        fleet.await(
+                "its vote counts",
+                () -> fleet.since(restarted).stream()
+                        .filter(line -> line.is("counts", "id", after.values().get("id")))
+                        .findFirst()
+                        .orElse(null));
         itsVoteDecides(fleet, leader, with);
     }
 
@@ -111,10 +116,18 @@
         old.restore(copy);
         int restored = fleet.now();
         old.start();
-        assertTrue(fleet.await("steps-back", restored, List.of(old)).values().get("why").startsWith("the-folder-is-an-old-one"));
-        fleet.await("a new voter that counts", () -> fleet.since(restored).stream()
-            .filter(line -> line.kind().equals("counts") && line.by().equals(old.name) && !line.values().get("id").equals(id))
-            .findFirst().orElse(null));
+        assertTrue(fleet.await("steps-back", restored, List.of(old))
+                .values()
+                .get("why")
+                .startsWith("the-folder-is-an-old-one"));
+        fleet.await(
+                "a new voter that counts",
+                () -> fleet.since(restored).stream()
+                        .filter(line -> line.kind().equals("counts")
+                                && line.by().equals(old.name)
+                                && !line.values().get("id").equals(id))
+                        .findFirst()
+                        .orElse(null));
         itsVoteDecides(fleet, old, gone);
     }
 
@@ -136,10 +149,15 @@
         int woken = fleet.now();
         sleeper.wake(from);
         List<Said> lines = fleet.await("its session", () -> {
-            List<Said> own = fleet.since(woken).stream().filter(line -> line.by().equals(sleeper.name)).toList();
+            List<Said> own = fleet.since(woken).stream()
+                    .filter(line -> line.by().equals(sleeper.name))
+                    .toList();
             return own.stream().anyMatch(line -> line.kind().equals("session")) ? own : null;
         });
-        Said said = lines.stream().filter(line -> !line.kind().equals("follows")).findFirst().orElseThrow();
+        Said said = lines.stream()
+                .filter(line -> !line.kind().equals("follows"))
+                .findFirst()
+                .orElseThrow();
         assertTrue(said.is("yields", "resource", Command.PLANNER), lines.toString());
         assertEquals(holds.number("fence"), said.number("fence"));
         // Its zone is back, by whoever plans now.
@@ -149,7 +167,8 @@
         Fellow ends = fleet.named(last.by());
         int told = fleet.now();
         assertEquals(0, ends.end());
-        assertEquals(last.number("fence"), fleet.await("yields", told, List.of(ends)).number("fence"));
+        assertEquals(
+                last.number("fence"), fleet.await("yields", told, List.of(ends)).number("fence"));
         assertTrue(fleet.await("holds", told, fleet.but(ends)).number("fence") > last.number("fence"));
         fleet.awaitPlan(third, fleet.but(ends));
         judged(fleet);
@@ -169,7 +188,9 @@
         other.votes = true;
         goes.votes = false;
         fleet.all.get(0).configure();
-        fleet.all.get(0).hangUp("the configuration stays as it was: fleet.voter: changes from n0, n1, n2 to n0, n1, n3, n4");
+        fleet.all
+                .get(0)
+                .hangUp("the configuration stays as it was: fleet.voter: changes from n0, n1, n2 to n0, n1, n3, n4");
         other.votes = false;
         goes.votes = true;
         for (Fellow each : fleet.but(comes)) {
@@ -184,7 +205,8 @@
             each.configure();
             each.hangUp("configuration read again");
         }
-        fleet.awaitLine("voter " + fleet.await("voter", 0, List.of(goes)).values().get("id") + " is taken out");
+        fleet.awaitLine(
+                "voter " + fleet.await("voter", 0, List.of(goes)).values().get("id") + " is taken out");
         long second = fleet.awaitPlan(first, fleet.all);
 
         goes.kill();
@@ -207,7 +229,8 @@
         fleet.await("steps-back", limited, List.of(full));
         fleet.leader(fleet.but(full));
         full.room("unlimited");
-        // By its last word: it may have opened its log once or twice before there was room, and found that out with the next write.
+        // By its last word: it may have opened its log once or twice before there was room, and found that out with the
+        // next write.
         Said after = fleet.awaitLast("voter", limited, full, List.of("voter", "steps-back"));
         assertEquals(before.values().get("id"), after.values().get("id"));
         assertEquals("false", after.values().get("blank"));
@@ -231,16 +254,21 @@
         int lost = fleet.now();
         start(fleet.but(stays));
         for (Fellow each : fleet.all) {
-            fleet.await("a plan of the new founding at " + each.name, () -> fleet.since(lost).stream()
-                .filter(line -> line.kind().equals("plan") && line.by().equals(each.name) && line.number("fence") > fence)
-                .findFirst().orElse(null));
+            fleet.await(
+                    "a plan of the new founding at " + each.name,
+                    () -> fleet.since(lost).stream()
+                            .filter(line -> line.kind().equals("plan")
+                                    && line.by().equals(each.name)
+                                    && line.number("fence") > fence)
+                            .findFirst()
+                            .orElse(null));
         }
         fleet.era = 1;
         Fellow old = fleet.all.get(0);
         old.kill();
         old.start();
-        fleet.awaitLine("n0: cannot start: fleet.state " + old.folder.resolve("fleet")
-            + " has seen era 2, and fleet.era is 1");
+        fleet.awaitLine(
+                "n0: cannot start: fleet.state " + old.folder.resolve("fleet") + " has seen era 2, and fleet.era is 1");
         assertEquals(1, old.process.waitFor());
     }
 
--- a/src/test/java/rushpin/node/UpgradeTest.java
+++ b/src/test/java/rushpin/node/UpgradeTest.java
@@ -21,8 +21,12 @@
     Path folder;
 
     private Daemon process(String config, int listen) throws Exception {
-        Daemon daemon = new Daemon(folder, config.replaceFirst("\"listen\": *\"[^\"]*\"",
-            "\"listen\": \"127.0.0.1:" + listen + "\", \"console\": \"127.0.0.1:0\""), null);
+        Daemon daemon = new Daemon(
+                folder,
+                config.replaceFirst(
+                        "\"listen\": *\"[^\"]*\"",
+                        "\"listen\": \"127.0.0.1:" + listen + "\", \"console\": \"127.0.0.1:0\""),
+                null);
         toClose.add(daemon);
         return daemon;
     }
@@ -44,23 +48,25 @@
         AtomicBoolean over = new AtomicBoolean();
         List<String> wrong = new ArrayList<>();
         AtomicInteger answered = new AtomicInteger();
-        Thread clients = new Thread(() -> {
-            for (int i = 0; !over.get(); i++) {
-                // A connection for each request: none may be refused or reset.
-                try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listen)) {
-                    client.setSoTimeout(60_000);
-                    Map<String, String> headers = headers("t-" + i, "order", "20000");
-                    write(client, "POST /api", headers, "book");
-                    Peer.Message answer = Peer.read(client);
-                    if (answer == null) {
-                        wrong.add("t-" + i + ": no answer");
+        Thread clients = new Thread(
+                () -> {
+                    for (int i = 0; !over.get(); i++) {
+                        // A connection for each request: none may be refused or reset.
+                        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listen)) {
+                            client.setSoTimeout(60_000);
+                            Map<String, String> headers = headers("t-" + i, "order", "20000");
+                            write(client, "POST /api", headers, "book");
+                            Peer.Message answer = Peer.read(client);
+                            if (answer == null) {
+                                wrong.add("t-" + i + ": no answer");
+                            }
+                            answered.incrementAndGet();
+                        } catch (Exception e) {
+                            wrong.add("t-" + i + ": " + e);
+                        }
                     }
-                    answered.incrementAndGet();
-                } catch (Exception e) {
-                    wrong.add("t-" + i + ": " + e);
-                }
-            }
-        }, "clients");
+                },
+                "clients");
         clients.start();
         Daemon fresh = process(config, listen);
         int second = fresh.console();
@@ -72,7 +78,9 @@
         old.await("2 processes act as this node");
         old.signal("TERM");
         assertEquals(0, old.ended());
-        assertTrue(old.rest().stream().noneMatch(line -> line.startsWith("the listening socket")), "no trouble in it: " + old.said);
+        assertTrue(
+                old.rest().stream().noneMatch(line -> line.startsWith("the listening socket")),
+                "no trouble in it: " + old.said);
         fresh.await("alone again");
         over.set(true);
         clients.join();
--- a/src/test/java/rushpin/node/UseStoreTest.java
+++ b/src/test/java/rushpin/node/UseStoreTest.java
@@ -28,12 +28,15 @@
 /** The state folder: what a killed process leaves, what others leave, and what is no record at all. */
 class UseStoreTest {
     private static final long NOW = 1_700_000_000_000L;
+
     @TempDir
     Path folder;
+
     private final List<String> said = new ArrayList<>();
 
     /** What the wall's clock has been set forward by. */
     private long stepMs;
+
     private long nanos;
 
     private UseStore.Opened open(String node, long now) {
@@ -127,13 +130,21 @@
         Files.write(folder.resolve("version.use"), version);
         UseStore.Opened mine = open("n1", NOW + 1_000);
         assertEquals(Map.of(), units(mine));
-        assertTrue(said.stream().anyMatch(line -> line.contains("is node n2's record, this is n1: left alone")), said.toString());
-        assertEquals(2, said.stream().filter(line -> line.contains("no record of use of this version")).count());
+        assertTrue(
+                said.stream().anyMatch(line -> line.contains("is node n2's record, this is n1: left alone")),
+                said.toString());
+        assertEquals(
+                2,
+                said.stream()
+                        .filter(line -> line.contains("no record of use of this version"))
+                        .count());
         mine.store().book().took(7, 1, 5, NOW);
         mine.store().book().took(8, 1, 5, NOW);
         mine.store().close();
-        Path file = files().stream().filter(each -> each.getFileName().toString().contains(Long.toString(NOW + 1_000)))
-            .findFirst().orElseThrow();
+        Path file = files().stream()
+                .filter(each -> each.getFileName().toString().contains(Long.toString(NOW + 1_000)))
+                .findFirst()
+                .orElseThrow();
         byte[] bent = Files.readAllBytes(file);
         bent[UseRecord.HEADER + 20] ^= 1;
         Files.write(file, bent);
@@ -259,7 +270,9 @@
         assertEquals(UseStore.SIZE, Files.size(files().get(0)));
         leave(first);
         UseStore.Opened second = open("n1", NOW + 1_000);
-        assertEquals(entries + 100, units(second).values().stream().mapToDouble(x -> x).sum());
+        assertEquals(
+                entries + 100,
+                units(second).values().stream().mapToDouble(x -> x).sum());
         second.store().close();
     }
 
@@ -288,6 +301,7 @@
         final Set<String> failing = new HashSet<>();
         /** Names of files that alone fail; empty for all. */
         String only = "";
+
         boolean renamesThenFails;
 
         private void step(String name, Path of) throws IOException {
@@ -357,10 +371,18 @@
             assertEquals(List.of(), first.store().adopt(NOW + second * 1_000));
             first.store().book().took(8, 1, 1, NOW);
         }
-        assertEquals(1, said.stream().filter(line -> line.startsWith("use is not kept")).count(), said.toString());
+        assertEquals(
+                1,
+                said.stream().filter(line -> line.startsWith("use is not kept")).count(),
+                said.toString());
         disk.failing.clear();
         assertEquals(List.of(), first.store().adopt(NOW + 4_000));
-        assertEquals(1, said.stream().filter(line -> line.endsWith("use is kept over a hard kill")).count(), said.toString());
+        assertEquals(
+                1,
+                said.stream()
+                        .filter(line -> line.endsWith("use is kept over a hard kill"))
+                        .count(),
+                said.toString());
         first.store().book().took(9, 1, 1, NOW);
         first.store().close();
         UseStore.Opened second = open(NOW + 5_000, disk);
--- a/src/test/java/rushpin/node/WitnessTest.java
+++ b/src/test/java/rushpin/node/WitnessTest.java
@@ -28,8 +28,18 @@
 
     private Witness witness(String pool) {
         Names names = new Names(List.of("find", "book"), List.of(), List.of("a b", "c"), List.of());
-        Settings settings = new Settings(0, 1, 0, 10 * MS, true, List.of(), List.of(spec(), spec()), List.of(), null, null,
-            new Rules(0, 0.25, 100 * S, 2, S));
+        Settings settings = new Settings(
+                0,
+                1,
+                0,
+                10 * MS,
+                true,
+                List.of(),
+                List.of(spec(), spec()),
+                List.of(),
+                null,
+                null,
+                new Rules(0, 0.25, 100 * S, 2, S));
         return new Witness(pool, names, settings, () -> now, told::add);
     }
 
@@ -43,7 +53,7 @@
 
     /** Beats until an account comes, each after a span. */
     private Witness.Account account(Witness of, long span) {
-        for (int before = told.size(); told.size() == before;) {
+        for (int before = told.size(); told.size() == before; ) {
             now += span;
             of.beat(now);
         }
@@ -67,8 +77,11 @@
         witness.ended("find", "nobody", Outcome.ERROR, 0);
         witness.ended("book", "s1", Outcome.RESET, MS);
         Witness.Account first = account(witness, 100 * MS);
-        assertEquals(List.of(new Report.Seen("a_b", "w.find", 6, 2, 3, 3, 1), new Report.Seen("c", "w.book", 1, 0, 1, 0, 0)),
-            first.seen().stream().sorted((a, b) -> a.zone().compareTo(b.zone())).toList());
+        assertEquals(
+                List.of(new Report.Seen("a_b", "w.find", 6, 2, 3, 3, 1), new Report.Seen("c", "w.book", 1, 0, 1, 0, 0)),
+                first.seen().stream()
+                        .sorted((a, b) -> a.zone().compareTo(b.zone()))
+                        .toList());
         assertEquals(List.of(new Report.Entered("w.find", 1)), first.entered());
         Witness.Account next = account(witness, 100 * MS);
         assertEquals(List.of(), next.seen());
@@ -79,16 +92,24 @@
     void aStockIsWhatServersCanDoNow() {
         Witness witness = witness("w");
         now = 200 * S;
-        witness.listed(List.of(server("old", 2, 0, Readiness.READY, 0), server("new", 2, 0, Readiness.READY, now),
-            server("large", 8, 0, Readiness.READY, 1), server("drains", 2, 0, Readiness.DRAINING, 0),
-            server("c", 2, 1, Readiness.READY, 0)), true);
+        witness.listed(
+                List.of(
+                        server("old", 2, 0, Readiness.READY, 0),
+                        server("new", 2, 0, Readiness.READY, now),
+                        server("large", 8, 0, Readiness.READY, 1),
+                        server("drains", 2, 0, Readiness.DRAINING, 0),
+                        server("c", 2, 1, Readiness.READY, 0)),
+                true);
         // The usual one has size 2; one that has just started does a quarter.
-        assertEquals(List.of(new Report.Stock("a_b", 3, 5_250), new Report.Stock("c", 1, 1_000)),
-            account(witness, 0).stocks());
+        assertEquals(
+                List.of(new Report.Stock("a_b", 3, 5_250), new Report.Stock("c", 1, 1_000)),
+                account(witness, 0).stocks());
         witness.listed(List.of(server("large", 8, 0, Readiness.GONE, 1)), false);
         now += 100 * S;
         witness.holds("old"::equals);
-        assertEquals(new Report.Stock("a_b", 2, 2_000, 1), account(witness, 0).stocks().get(0));
+        assertEquals(
+                new Report.Stock("a_b", 2, 2_000, 1),
+                account(witness, 0).stocks().get(0));
         witness.retire();
         assertEquals(List.of(), account(witness, 0).stocks());
     }
@@ -118,8 +139,11 @@
         Report report = gathered.report(WHO, 5, 9, List.of());
         assertTrue(report.isSound());
         assertEquals(3 * S, report.span());
-        assertEquals(List.of(new Report.Seen("a_b", "one.find", 2, 2, 0, 0, 0),
-            new Report.Seen("a_b", "other.find", 1, 1, 0, 0, 0)), report.seen());
+        assertEquals(
+                List.of(
+                        new Report.Seen("a_b", "one.find", 2, 2, 0, 0, 0),
+                        new Report.Seen("a_b", "other.find", 1, 1, 0, 0, 0)),
+                report.seen());
         assertEquals(List.of(new Report.Stock("a_b", 2, 2_000)), report.stocks());
         assertEquals(List.of(), gathered.report(WHO, 5, 10, List.of()).seen());
 
@@ -137,9 +161,11 @@
         assertTrue(cut.isSound());
         assertEquals(399, cut.seen().get(0).sent());
         assertTrue(cut.seen().size() > 30, () -> "rows left: " + cut.seen().size());
-        int names = cut.seen().stream().mapToInt(row -> row.zone().length() + row.of().length()).sum()
-            + cut.stocks().stream().mapToInt(row -> row.zone().length()).sum()
-            + cut.entered().stream().mapToInt(row -> row.of().length()).sum();
+        int names = cut.seen().stream()
+                        .mapToInt(row -> row.zone().length() + row.of().length())
+                        .sum()
+                + cut.stocks().stream().mapToInt(row -> row.zone().length()).sum()
+                + cut.entered().stream().mapToInt(row -> row.of().length()).sum();
         assertTrue(names <= 16 << 10, () -> names + " bytes of names");
     }
 }
--- a/src/test/java/rushpin/node/XdsPoolTest.java
+++ b/src/test/java/rushpin/node/XdsPoolTest.java
@@ -56,8 +56,10 @@
 class XdsPoolTest extends Stage {
     private static final String CDS = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
     private static final String EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
+
     @TempDir
     Path folder;
+
     private ManagementServer server;
 
     private ManagementServer management() throws Exception {
@@ -68,8 +70,13 @@
 
     private EdgeNode node(String xds) throws Exception {
         Config config = Config.parse(config());
-        EdgeNode made = new EdgeNode(config, OperatorFile.parse("[process]\nstate = \"state\"\n[[pool]]\nname = \"a\"\n"
-            + "settings = \"platform\"\n[pool.xds]\n" + xds + "\n[[route]]\npool = \"a\"\n", folder, config));
+        EdgeNode made = new EdgeNode(
+                config,
+                OperatorFile.parse(
+                        "[process]\nstate = \"state\"\n[[pool]]\nname = \"a\"\n"
+                                + "settings = \"platform\"\n[pool.xds]\n" + xds + "\n[[route]]\npool = \"a\"\n",
+                        folder,
+                        config));
         toClose.add(made);
         made.start();
         return made;
@@ -80,28 +87,42 @@
     }
 
     static Cluster cluster(String name) {
-        return Cluster.newBuilder().setName(name).setType(Cluster.DiscoveryType.EDS).setEdsClusterConfig(
-            Cluster.EdsClusterConfig.newBuilder().setEdsConfig(ConfigSource.newBuilder().setAds(
-                AggregatedConfigSource.getDefaultInstance()))).build();
+        return Cluster.newBuilder()
+                .setName(name)
+                .setType(Cluster.DiscoveryType.EDS)
+                .setEdsClusterConfig(Cluster.EdsClusterConfig.newBuilder()
+                        .setEdsConfig(ConfigSource.newBuilder().setAds(AggregatedConfigSource.getDefaultInstance())))
+                .build();
     }
 
     private static LbEndpoint endpoint(Peer of, HealthStatus health) {
         String address = of.address();
         int colon = address.lastIndexOf(':');
         // Warm: a server that is new to the list is cold, and has hardly anything for its ramp's time.
-        Struct warm = Struct.newBuilder().putFields("started_ms", Value.newBuilder().setNumberValue(0).build()).build();
-        return LbEndpoint.newBuilder().setHealthStatus(health).setMetadata(Metadata.newBuilder()
-            .putFilterMetadata("rushpin", warm)).setEndpoint(Endpoint.newBuilder().setAddress(Address.newBuilder()
-            .setSocketAddress(SocketAddress.newBuilder().setAddress(address.substring(0, colon))
-                .setPortValue(Integer.parseInt(address.substring(colon + 1)))))).build();
+        Struct warm = Struct.newBuilder()
+                .putFields("started_ms", Value.newBuilder().setNumberValue(0).build())
+                .build();
+        return LbEndpoint.newBuilder()
+                .setHealthStatus(health)
+                .setMetadata(Metadata.newBuilder().putFilterMetadata("rushpin", warm))
+                .setEndpoint(Endpoint.newBuilder()
+                        .setAddress(Address.newBuilder()
+                                .setSocketAddress(SocketAddress.newBuilder()
+                                        .setAddress(address.substring(0, colon))
+                                        .setPortValue(Integer.parseInt(address.substring(colon + 1))))))
+                .build();
     }
 
     private static ClusterLoadAssignment at(LbEndpoint... of) {
-        LocalityLbEndpoints.Builder locality = LocalityLbEndpoints.newBuilder().setLocality(Locality.newBuilder().setZone("a"));
+        LocalityLbEndpoints.Builder locality = LocalityLbEndpoints.newBuilder()
+                .setLocality(Locality.newBuilder().setZone("a"));
         for (LbEndpoint each : of) {
             locality.addLbEndpoints(each);
         }
-        return ClusterLoadAssignment.newBuilder().setClusterName("a").addEndpoints(locality).build();
+        return ClusterLoadAssignment.newBuilder()
+                .setClusterName("a")
+                .addEndpoints(locality)
+                .build();
     }
 
     private ManagementServer.Reply reply(String type) throws InterruptedException {
@@ -143,12 +164,24 @@
         until(node, "old");
         assertNull(reply(CDS).error());
         assertNull(reply(EDS).error());
-        LbEndpoint bad = LbEndpoint.newBuilder().setEndpoint(Endpoint.newBuilder().setAddress(Address.newBuilder()
-            .setSocketAddress(SocketAddress.newBuilder().setAddress("127.0.0.1").setPortValue(0)))).build();
+        LbEndpoint bad = LbEndpoint.newBuilder()
+                .setEndpoint(Endpoint.newBuilder()
+                        .setAddress(Address.newBuilder()
+                                .setSocketAddress(SocketAddress.newBuilder()
+                                        .setAddress("127.0.0.1")
+                                        .setPortValue(0))))
+                .build();
         server.set("a", at(bad));
         ManagementServer.Reply refusal = reply(EDS);
         assertTrue(refusal.error().startsWith("a: port_value"), refusal.error());
-        server.say(EDS, Map.of("a", Any.newBuilder().setTypeUrl(EDS).setValue(ByteString.copyFromUtf8("\n\tx")).build()));
+        server.say(
+                EDS,
+                Map.of(
+                        "a",
+                        Any.newBuilder()
+                                .setTypeUrl(EDS)
+                                .setValue(ByteString.copyFromUtf8("\n\tx"))
+                                .build()));
         assertNotNull(reply(EDS).error());
         until(node, "old");
         server.set("a", at(endpoint(old, HealthStatus.DRAINING), endpoint(fresh, HealthStatus.HEALTHY)));
@@ -230,10 +263,21 @@
         Peer app = listed();
         EdgeNode node = node("delta", "most-message = 100000\n");
         until(node, "x");
-        server.say(EDS, Map.of("a", Any.newBuilder().setTypeUrl(EDS).setValue(ByteString.copyFrom(new byte[1 << 20])).build()));
+        server.say(
+                EDS,
+                Map.of(
+                        "a",
+                        Any.newBuilder()
+                                .setTypeUrl(EDS)
+                                .setValue(ByteString.copyFrom(new byte[1 << 20]))
+                                .build()));
         until(node, "x");
         // A new stream is opened, and says that all is had.
-        server.set("a", at(endpoint(app, HealthStatus.HEALTHY), endpoint(peer(m -> m.answer(Peer.ok("", "y"))), HealthStatus.HEALTHY)));
+        server.set(
+                "a",
+                at(
+                        endpoint(app, HealthStatus.HEALTHY),
+                        endpoint(peer(m -> m.answer(Peer.ok("", "y"))), HealthStatus.HEALTHY)));
         until(node, "y");
     }
 
@@ -274,28 +318,41 @@
 
     @Test
     void aServerThatProvesItselfIsTrustedAndOneThatDoesNotIsNot() throws Exception {
-        X509Bundle ca = new CertificateBuilder().subject("CN=yard").setIsCertificateAuthority(true).buildSelfSigned();
-        X509Bundle own = new CertificateBuilder().subject("CN=localhost").addSanIpAddress("127.0.0.1").buildIssuedBy(ca);
+        X509Bundle ca = new CertificateBuilder()
+                .subject("CN=yard")
+                .setIsCertificateAuthority(true)
+                .buildSelfSigned();
+        X509Bundle own = new CertificateBuilder()
+                .subject("CN=localhost")
+                .addSanIpAddress("127.0.0.1")
+                .buildIssuedBy(ca);
         X509Bundle node = new CertificateBuilder().subject("CN=node").buildIssuedBy(ca);
         Files.writeString(folder.resolve("ca.pem"), ca.getCertificatePEM());
         Files.writeString(folder.resolve("node.pem"), node.getCertificatePathPEM());
         Files.writeString(folder.resolve("node.key"), node.getPrivateKeyPEM());
-        X509Bundle stranger = new CertificateBuilder().subject("CN=localhost").addSanIpAddress("127.0.0.1")
-            .setIsCertificateAuthority(true).buildSelfSigned();
+        X509Bundle stranger = new CertificateBuilder()
+                .subject("CN=localhost")
+                .addSanIpAddress("127.0.0.1")
+                .setIsCertificateAuthority(true)
+                .buildSelfSigned();
         Peer app = peer(m -> m.answer(Peer.ok("", "x")));
         Peer lured = peer(m -> m.answer(Peer.ok("", "lured")));
-        ManagementServer imposter = new ManagementServer(GrpcSslContexts.configure(SslContextBuilder.forServer(
-            stranger.getKeyPair().getPrivate(), stranger.getCertificatePath())).build());
+        ManagementServer imposter = new ManagementServer(GrpcSslContexts.configure(
+                        SslContextBuilder.forServer(stranger.getKeyPair().getPrivate(), stranger.getCertificatePath()))
+                .build());
         toClose.add(imposter);
         imposter.set("a", cluster("a"));
         imposter.set("a", at(endpoint(lured, HealthStatus.HEALTHY)));
-        server = new ManagementServer(GrpcSslContexts.configure(SslContextBuilder.forServer(own.getKeyPair().getPrivate(),
-            own.getCertificatePath())).trustManager(ca.getCertificate()).clientAuth(ClientAuth.REQUIRE).build());
+        server = new ManagementServer(GrpcSslContexts.configure(
+                        SslContextBuilder.forServer(own.getKeyPair().getPrivate(), own.getCertificatePath()))
+                .trustManager(ca.getCertificate())
+                .clientAuth(ClientAuth.REQUIRE)
+                .build());
         toClose.add(server);
         server.set("a", cluster("a"));
         server.set("a", at(endpoint(app, HealthStatus.HEALTHY)));
-        EdgeNode edge = node("servers = [\"" + imposter.address() + "\", \"" + server.address() + "\"]\nca = \"ca.pem\"\n"
-            + "certificate = \"node.pem\"\nkey = \"node.key\"\n");
+        EdgeNode edge = node("servers = [\"" + imposter.address() + "\", \"" + server.address()
+                + "\"]\nca = \"ca.pem\"\n" + "certificate = \"node.pem\"\nkey = \"node.key\"\n");
         until(edge, "x");
         assertTrue(lured.seen.isEmpty());
     }
@@ -306,9 +363,15 @@
         EdgeNode node = node("delta", "");
         until(node, "x");
         reply(EDS);
-        server.set("a", at(endpoint(app, HealthStatus.HEALTHY)).toBuilder().setPolicy(ClusterLoadAssignment.Policy.newBuilder()
-            .addDropOverloads(ClusterLoadAssignment.Policy.DropOverload.newBuilder().setCategory("all").setDropPercentage(
-                FractionalPercent.newBuilder().setNumerator(25)))).build());
+        server.set(
+                "a",
+                at(endpoint(app, HealthStatus.HEALTHY)).toBuilder()
+                        .setPolicy(ClusterLoadAssignment.Policy.newBuilder()
+                                .addDropOverloads(ClusterLoadAssignment.Policy.DropOverload.newBuilder()
+                                        .setCategory("all")
+                                        .setDropPercentage(
+                                                FractionalPercent.newBuilder().setNumerator(25))))
+                        .build());
         reply(EDS);
         until(node, "429");
         int dropped = 0;
@@ -330,8 +393,13 @@
             }
             m.answer(Peer.ok("", "x"));
         });
-        server.set("a", cluster("a").toBuilder().setCircuitBreakers(CircuitBreakers.newBuilder().addThresholds(
-            CircuitBreakers.Thresholds.newBuilder().setMaxRequests(UInt32Value.of(1)))).build());
+        server.set(
+                "a",
+                cluster("a").toBuilder()
+                        .setCircuitBreakers(CircuitBreakers.newBuilder()
+                                .addThresholds(
+                                        CircuitBreakers.Thresholds.newBuilder().setMaxRequests(UInt32Value.of(1))))
+                        .build());
         server.set("a", at(endpoint(app, HealthStatus.HEALTHY)));
         EdgeNode node = node("delta", "");
         until(node, "x");
@@ -355,17 +423,26 @@
         server.set("a", cluster("a"));
         server.set("b", cluster("b"));
         server.set("a", at(endpoint(moving, HealthStatus.HEALTHY)));
-        server.set("b", at(endpoint(one, HealthStatus.HEALTHY)).toBuilder().setClusterName("b").build());
+        server.set(
+                "b",
+                at(endpoint(one, HealthStatus.HEALTHY)).toBuilder()
+                        .setClusterName("b")
+                        .build());
         Config config = Config.parse(config());
         String pool = "[[pool]]\nname = \"%s\"\nsettings = \"platform\"\n[pool.xds]\nservers = [\"" + server.address()
-            + "\"]\n[[route]]\npool = \"%s\"\nhost = \"%s.svc\"\n";
-        EdgeNode node = new EdgeNode(config, OperatorFile.parse(pool.formatted("a", "a", "a") + pool.formatted("b", "b", "b"),
-            folder, config));
+                + "\"]\n[[route]]\npool = \"%s\"\nhost = \"%s.svc\"\n";
+        EdgeNode node = new EdgeNode(
+                config,
+                OperatorFile.parse(pool.formatted("a", "a", "a") + pool.formatted("b", "b", "b"), folder, config));
         toClose.add(node);
         node.start();
         untilAt(node, "a.svc", "moving");
         untilAt(node, "b.svc", "one");
-        server.set("b", at(endpoint(moving, HealthStatus.HEALTHY)).toBuilder().setClusterName("b").build());
+        server.set(
+                "b",
+                at(endpoint(moving, HealthStatus.HEALTHY)).toBuilder()
+                        .setClusterName("b")
+                        .build());
         untilAt(node, "b.svc", "429");
         untilAt(node, "a.svc", "moving");
         server.set("a", at(endpoint(one, HealthStatus.HEALTHY)));
@@ -391,10 +468,17 @@
     /** A key that is being replaced is no reason to ask no more. */
     @Test
     void aFileThatHoldsNoCertificateIsReadAgainWithTheNextTry() throws Exception {
-        X509Bundle ca = new CertificateBuilder().subject("CN=yard").setIsCertificateAuthority(true).buildSelfSigned();
-        X509Bundle own = new CertificateBuilder().subject("CN=localhost").addSanIpAddress("127.0.0.1").buildIssuedBy(ca);
-        server = new ManagementServer(GrpcSslContexts.configure(SslContextBuilder.forServer(own.getKeyPair().getPrivate(),
-            own.getCertificatePath())).build());
+        X509Bundle ca = new CertificateBuilder()
+                .subject("CN=yard")
+                .setIsCertificateAuthority(true)
+                .buildSelfSigned();
+        X509Bundle own = new CertificateBuilder()
+                .subject("CN=localhost")
+                .addSanIpAddress("127.0.0.1")
+                .buildIssuedBy(ca);
+        server = new ManagementServer(GrpcSslContexts.configure(
+                        SslContextBuilder.forServer(own.getKeyPair().getPrivate(), own.getCertificatePath()))
+                .build());
         toClose.add(server);
         Peer app = peer(m -> m.answer(Peer.ok("", "x")));
         server.set("a", cluster("a"));
@@ -431,7 +515,9 @@
         until(node, "x");
         for (int i = 0; i < 300; i++) {
             server.say(EDS, Map.of("a", Any.pack(world)));
-            server.say("type.googleapis.com/no.such.Type", Map.of("a", Any.newBuilder().setTypeUrl("x/no.such.Type").build()));
+            server.say(
+                    "type.googleapis.com/no.such.Type",
+                    Map.of("a", Any.newBuilder().setTypeUrl("x/no.such.Type").build()));
         }
         for (int i = 0; i < 20; i++) {
             try (Socket client = client(node)) {
@@ -448,7 +534,8 @@
         LastGood kept = new LastGood(folder.resolve("state"), "a", names);
         assertEquals(List.of(), kept.read(said::add), "none yet");
         assertEquals(List.of(), said);
-        for (String torn : List.of("", "{\"revision\":0,\"members\":[{\"id\":\"s\"", "{}", "[1]", "{\"revision\":0,\"members\":[{}]}")) {
+        for (String torn : List.of(
+                "", "{\"revision\":0,\"members\":[{\"id\":\"s\"", "{}", "[1]", "{\"revision\":0,\"members\":[{}]}")) {
             said.clear();
             Files.writeString(folder.resolve("state/xds-a.json"), torn);
             assertEquals(List.of(), kept.read(said::add), torn);
@@ -458,12 +545,16 @@
 
     private static String text(String form, ClusterLoadAssignment of) throws Exception {
         if (form.equals("json")) {
-            JsonFormat.TypeRegistry types = JsonFormat.TypeRegistry.newBuilder().add(Cluster.getDescriptor())
-                .add(ClusterLoadAssignment.getDescriptor()).build();
+            JsonFormat.TypeRegistry types = JsonFormat.TypeRegistry.newBuilder()
+                    .add(Cluster.getDescriptor())
+                    .add(ClusterLoadAssignment.getDescriptor())
+                    .build();
             JsonFormat.Printer printer = JsonFormat.printer().usingTypeRegistry(types);
-            return "{\"version_info\":\"1\",\"resources\":[" + printer.print(Any.pack(of)) + "," + printer.print(Any.pack(cluster("a"))) + "]}";
+            return "{\"version_info\":\"1\",\"resources\":[" + printer.print(Any.pack(of)) + ","
+                    + printer.print(Any.pack(cluster("a"))) + "]}";
         }
-        SocketAddress address = of.getEndpoints(0).getLbEndpoints(0).getEndpoint().getAddress().getSocketAddress();
+        SocketAddress address =
+                of.getEndpoints(0).getLbEndpoints(0).getEndpoint().getAddress().getSocketAddress();
         return """
             version_info: "1"
             resources:
--- a/src/test/java/rushpin/peer/CodecTest.java
+++ b/src/test/java/rushpin/peer/CodecTest.java
@@ -43,23 +43,35 @@
     }
 
     private static Arbitrary<Terms> terms() {
-        return Combinators.combine(Arbitraries.longs().between(1, HOUR), Arbitraries.integers().between(0, 499_999),
-            Arbitraries.longs().between(0, HOUR), Arbitraries.integers().between(1, Integer.MAX_VALUE),
-            Arbitraries.integers().between(1, Integer.MAX_VALUE)).as(Terms::new);
+        return Combinators.combine(
+                        Arbitraries.longs().between(1, HOUR),
+                        Arbitraries.integers().between(0, 499_999),
+                        Arbitraries.longs().between(0, HOUR),
+                        Arbitraries.integers().between(1, Integer.MAX_VALUE),
+                        Arbitraries.integers().between(1, Integer.MAX_VALUE))
+                .as(Terms::new);
     }
 
     private static Arbitrary<Who> who() {
-        return Combinators.combine(name(), any(), name(), name(), Arbitraries.integers()).as(Who::new);
+        return Combinators.combine(name(), any(), name(), name(), Arbitraries.integers())
+                .as(Who::new);
     }
 
     private static Arbitrary<List<Plan.Way>> ways() {
-        Arbitrary<Plan.Part> part = Combinators.combine(name(), Arbitraries.integers()).as(Plan.Part::new);
-        return Combinators.combine(name(), name(), part.list().ofMaxSize(5)).as(Plan.Way::new).list().ofMaxSize(5);
+        Arbitrary<Plan.Part> part =
+                Combinators.combine(name(), Arbitraries.integers()).as(Plan.Part::new);
+        return Combinators.combine(name(), name(), part.list().ofMaxSize(5))
+                .as(Plan.Way::new)
+                .list()
+                .ofMaxSize(5);
     }
 
     private static Arbitrary<List<Plan.Mark>> marks() {
         Arbitrary<Integer> number = Arbitraries.integers();
-        return Combinators.combine(name(), name(), name(), number, any(), number).as(Plan.Mark::new).list().ofMaxSize(5);
+        return Combinators.combine(name(), name(), name(), number, any(), number)
+                .as(Plan.Mark::new)
+                .list()
+                .ofMaxSize(5);
     }
 
     private static Arbitrary<Plan> plan() {
@@ -68,15 +80,26 @@
 
     @Provide
     Arbitrary<Command> commands() {
-        return Arbitraries.oneOf(Combinators.combine(any(), terms()).as(Command.Found::new),
-            Arbitraries.just(new Command.Tick()), who().map(Command.Join::new), any().map(Command.Renew::new),
-            any().map(Command.Leave::new),
-            Combinators.combine(any(), name()).as(Command.Acquire::new),
-            Combinators.combine(any(), name(), any()).as(Command.Release::new),
-            Combinators.combine(any(), any(), any(), ways(), marks()).as(Command.Publish::new),
-            Combinators.combine(any(), any(), any(), name(), figures(), name().list().ofMaxSize(3), shares())
-                .as(Command.Divide::new),
-            Combinators.combine(any(), name(), any(), Arbitraries.integers()).as(Command.Cede::new));
+        return Arbitraries.oneOf(
+                Combinators.combine(any(), terms()).as(Command.Found::new),
+                Arbitraries.just(new Command.Tick()),
+                who().map(Command.Join::new),
+                any().map(Command.Renew::new),
+                any().map(Command.Leave::new),
+                Combinators.combine(any(), name()).as(Command.Acquire::new),
+                Combinators.combine(any(), name(), any()).as(Command.Release::new),
+                Combinators.combine(any(), any(), any(), ways(), marks()).as(Command.Publish::new),
+                Combinators.combine(
+                                any(),
+                                any(),
+                                any(),
+                                name(),
+                                figures(),
+                                name().list().ofMaxSize(3),
+                                shares())
+                        .as(Command.Divide::new),
+                Combinators.combine(any(), name(), any(), Arbitraries.integers())
+                        .as(Command.Cede::new));
     }
 
     private static Arbitrary<Budget.Figures> figures() {
@@ -85,39 +108,74 @@
     }
 
     private static Arbitrary<List<Budget.Share>> shares() {
-        return Combinators.combine(any(), Arbitraries.integers(), Arbitraries.integers().list().ofMaxSize(3))
-            .as(Budget.Share::new).list().ofMaxSize(4);
+        return Combinators.combine(
+                        any(),
+                        Arbitraries.integers(),
+                        Arbitraries.integers().list().ofMaxSize(3))
+                .as(Budget.Share::new)
+                .list()
+                .ofMaxSize(4);
     }
 
     private static Arbitrary<Budget> budget() {
         Arbitrary<Integer> number = Arbitraries.integers();
         Arbitrary<Budget.Grant> grant = Combinators.combine(any(), name(), any(), any(), number, number, number, number)
-            .as((session, name, incarnation, word, most, own, granted, floor) ->
-                new Budget.Grant(session, name, incarnation, word, most, own, granted, floor, word - 1));
-        return Combinators.combine(name(), figures(), any(), any(), any(), any(), shares(), grant.list().ofMaxSize(3))
-            .as((group, figures, of, fence, at, first, shares, grants) ->
-                new Budget(group, figures, of, fence, at, first, fence + 1, List.of(group), shares, grants));
+                .as((session, name, incarnation, word, most, own, granted, floor) ->
+                        new Budget.Grant(session, name, incarnation, word, most, own, granted, floor, word - 1));
+        return Combinators.combine(
+                        name(),
+                        figures(),
+                        any(),
+                        any(),
+                        any(),
+                        any(),
+                        shares(),
+                        grant.list().ofMaxSize(3))
+                .as((group, figures, of, fence, at, first, shares, grants) ->
+                        new Budget(group, figures, of, fence, at, first, fence + 1, List.of(group), shares, grants));
     }
 
     @Provide
     Arbitrary<Outcome> outcomes() {
-        return Arbitraries.oneOf(Arbitraries.just(new Outcome.Done()),
-            Combinators.combine(any(), terms()).as(Outcome.Joined::new),
-            Combinators.combine(name(), any()).as(Outcome.Granted::new),
-            Combinators.combine(name(), name()).as(Outcome.Held::new), any().map(Outcome.Published::new),
-            any().map(Outcome.Divided::new),
-            Combinators.combine(name(), any(), any(), any(), Arbitraries.integers()).as((group, session, word, forget, most) ->
-                new Outcome.Allotted(new Allotment(group, session, word, most, most / 2, most + 1, forget, word - 1,
-                    List.of(new Allotment.Quota(group, most))))),
-            Arbitraries.of(Outcome.Reason.class).map(Outcome.Refused::new));
+        return Arbitraries.oneOf(
+                Arbitraries.just(new Outcome.Done()),
+                Combinators.combine(any(), terms()).as(Outcome.Joined::new),
+                Combinators.combine(name(), any()).as(Outcome.Granted::new),
+                Combinators.combine(name(), name()).as(Outcome.Held::new),
+                any().map(Outcome.Published::new),
+                any().map(Outcome.Divided::new),
+                Combinators.combine(name(), any(), any(), any(), Arbitraries.integers())
+                        .as((group, session, word, forget, most) -> new Outcome.Allotted(new Allotment(
+                                group,
+                                session,
+                                word,
+                                most,
+                                most / 2,
+                                most + 1,
+                                forget,
+                                word - 1,
+                                List.of(new Allotment.Quota(group, most))))),
+                Arbitraries.of(Outcome.Reason.class).map(Outcome.Refused::new));
     }
 
     @Provide
     Arbitrary<State> states() {
-        return Combinators.combine(any(), terms().injectNull(0.2), any(), any(),
-            Combinators.combine(any(), who(), any()).as(State.Session::new).list().ofMaxSize(5),
-            Combinators.combine(name(), any(), any()).as(State.Holder::new).list().ofMaxSize(5), plan(),
-            budget().list().ofMaxSize(2)).as(State::new);
+        return Combinators.combine(
+                        any(),
+                        terms().injectNull(0.2),
+                        any(),
+                        any(),
+                        Combinators.combine(any(), who(), any())
+                                .as(State.Session::new)
+                                .list()
+                                .ofMaxSize(5),
+                        Combinators.combine(name(), any(), any())
+                                .as(State.Holder::new)
+                                .list()
+                                .ofMaxSize(5),
+                        plan(),
+                        budget().list().ofMaxSize(2))
+                .as(State::new);
     }
 
     @Property
@@ -137,8 +195,17 @@
 
     @Example
     void needsOfAReportComeBack() {
-        Report report = new Report(7, 1, "p", "z", 1, 0, List.of(), List.of(), List.of(),
-            List.of(new Report.Need("db", "t", 5, 3), new Report.Need("db", "", 0, 0)));
+        Report report = new Report(
+                7,
+                1,
+                "p",
+                "z",
+                1,
+                0,
+                List.of(),
+                List.of(),
+                List.of(),
+                List.of(new Report.Need("db", "t", 5, 3), new Report.Need("db", "", 0, 0)));
         assertEquals(report, Codec.report(Codec.wire(report)));
     }
 
@@ -156,8 +223,8 @@
     }
 
     @Property
-    void tornAndSpoiltBytesAreAtMostUnreadable(@ForAll("states") State state, @ForAll("commands") Command command,
-            @ForAll int cut, @ForAll byte spoilt) {
+    void tornAndSpoiltBytesAreAtMostUnreadable(
+            @ForAll("states") State state, @ForAll("commands") Command command, @ForAll int cut, @ForAll byte spoilt) {
         for (byte[] whole : List.of(codec.bytes(state), codec.bytes(command))) {
             if (whole.length > 0) {
                 readAll(Arrays.copyOf(whole, Math.floorMod(cut, whole.length)));
@@ -217,10 +284,12 @@
         assertThrows(Unreadable.class, () -> codec.command(field(6, new byte[Codec.MOST_COMMAND])));
         assertThrows(Unreadable.class, () -> codec.outcome(field(4, new byte[Codec.MOST_OUTCOME])));
         assertThrows(Unreadable.class, () -> codec.state(field(99, new byte[Codec.MOST_STATE])));
-        assertThrows(IllegalArgumentException.class,
-            () -> codec.bytes(new Command.Acquire(1, "x".repeat(Codec.MOST_COMMAND))));
-        assertThrows(IllegalArgumentException.class,
-            () -> codec.bytes(new Outcome.Held("x".repeat(Codec.MOST_OUTCOME), "y")));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> codec.bytes(new Command.Acquire(1, "x".repeat(Codec.MOST_COMMAND))));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> codec.bytes(new Outcome.Held("x".repeat(Codec.MOST_OUTCOME), "y")));
         // Groups in groups, which a reader that calls itself would follow into its stack's end.
         byte[] deep = new byte[100_000];
         Arrays.fill(deep, (byte) (99 << 3 | 3));
--- a/src/test/java/rushpin/peer/LinksTest.java
+++ b/src/test/java/rushpin/peer/LinksTest.java
@@ -35,13 +35,15 @@
     private static final Pace PACE = Pace.of(10_000 * MS);
 
     private static Throwable failure(CompletableFuture<?> of) {
-        return assertThrows(ExecutionException.class, () -> of.get(30, TimeUnit.SECONDS)).getCause();
+        return assertThrows(ExecutionException.class, () -> of.get(30, TimeUnit.SECONDS))
+                .getCause();
     }
 
     @Test
     void carriesEachKindAndPassesAProposalOnOnce() throws Exception {
-        try (Relay way = new Relay(); Voter b = new Voter("b", PACE, Map.of("c", way.address()));
-             Voter a = new Voter("a", PACE, Map.of("b", b.address()))) {
+        try (Relay way = new Relay();
+                Voter b = new Voter("b", PACE, Map.of("c", way.address()));
+                Voter a = new Voter("a", PACE, Map.of("b", b.address()))) {
             byte[] body = new byte[1 << 18];
             body[77] = 1;
             for (Kind kind : Kind.values()) {
@@ -49,18 +51,24 @@
                 assertEquals(kind.ordinal(), answer[0]);
                 assertEquals(1, answer[78]);
             }
-            Introduced heard = a.links.introduce("b", new Introduced("a", "id of a", false, 3, "g", List.of("x")), LONG)
-                .get(30, TimeUnit.SECONDS);
+            Introduced heard = a.links
+                    .introduce("b", new Introduced("a", "id of a", false, 3, "g", List.of("x")), LONG)
+                    .get(30, TimeUnit.SECONDS);
             assertEquals(new Introduced("b", "id of b", true, 3, null, List.of("id of a")), heard);
 
             Codec codec = new Codec();
             byte[] command = codec.bytes(new Command.Renew(5));
             // It knows who leads, and has a way there; what was passed on once stays here all the same.
             b.leader = "c";
-            assertEquals("c", assertInstanceOf(Elsewhere.class, failure(a.links.propose("b", command, LONG))).leader());
+            assertEquals(
+                    "c",
+                    assertInstanceOf(Elsewhere.class, failure(a.links.propose("b", command, LONG)))
+                            .leader());
             assertNull(way.came.poll());
             b.leader = "b";
-            assertEquals(new Outcome.Done(), codec.outcome(a.links.propose("b", command, LONG).get(30, TimeUnit.SECONDS)));
+            assertEquals(
+                    new Outcome.Done(),
+                    codec.outcome(a.links.propose("b", command, LONG).get(30, TimeUnit.SECONDS)));
             assertEquals(new Command.Renew(5), b.proposed.poll());
             assertInstanceOf(IOException.class, failure(a.links.carry("nobody", Kind.VOTE, body, LONG)));
         }
@@ -68,7 +76,8 @@
 
     @Test
     void whatIsOutIsBounded() throws Exception {
-        try (Voter b = new Voter("b", PACE, Map.of()); Voter a = new Voter("a", PACE, Map.of("b", b.address()))) {
+        try (Voter b = new Voter("b", PACE, Map.of());
+                Voter a = new Voter("a", PACE, Map.of("b", b.address()))) {
             b.holds = true;
             List<CompletableFuture<byte[]>> out = new ArrayList<>();
             for (int i = 0; i < Links.MOST_OUT; i++) {
@@ -86,11 +95,14 @@
             }
             // All have ended, so there is room again; but not for this many bytes.
             assertEquals(4, a.links.carry("b", Kind.VOTE, new byte[3], LONG).get(30, TimeUnit.SECONDS).length);
-            assertInstanceOf(Busy.class, failure(a.links.carry("b", Kind.APPEND, new byte[Calls.MOST_MESSAGE + 1], LONG)));
+            assertInstanceOf(
+                    Busy.class, failure(a.links.carry("b", Kind.APPEND, new byte[Calls.MOST_MESSAGE + 1], LONG)));
             // Of those that have ended nothing is counted any more.
             byte[] large = new byte[Calls.MOST_MESSAGE - 100];
             for (int i = 0; i < 8; i++) {
-                assertEquals(large.length + 1, a.links.carry("b", Kind.APPEND, large, LONG).get(30, TimeUnit.SECONDS).length);
+                assertEquals(
+                        large.length + 1,
+                        a.links.carry("b", Kind.APPEND, large, LONG).get(30, TimeUnit.SECONDS).length);
             }
             b.holds = true;
             out.clear();
@@ -109,8 +121,9 @@
     /** A call ends by its patience, a reset ends it, and a connection that was dumb for ever is made anew. */
     @Test
     void aWayThatWasCutIsFoundAgain() throws Exception {
-        try (Voter b = new Voter("b", PACE, Map.of()); Relay way = new Relay();
-             Voter a = new Voter("a", PACE, Map.of("b", way.address()))) {
+        try (Voter b = new Voter("b", PACE, Map.of());
+                Relay way = new Relay();
+                Voter a = new Voter("a", PACE, Map.of("b", way.address()))) {
             way.to(b.server.port());
             assertEquals(2, a.links.carry("b", Kind.VOTE, new byte[1], LONG).get(30, TimeUnit.SECONDS).length);
             b.holds = true;
@@ -122,7 +135,9 @@
             until(a, 500 * MS);
             way.came.clear();
             way.mode(Relay.Mode.DUMB);
-            assertTrue(failure(a.links.carry("b", Kind.VOTE, new byte[1], 100 * MS)).getMessage().contains("DEADLINE"));
+            assertTrue(failure(a.links.carry("b", Kind.VOTE, new byte[1], 100 * MS))
+                    .getMessage()
+                    .contains("DEADLINE"));
             way.mode(Relay.Mode.PASS);
             until(a, 500 * MS);
             assertNotNull(way.came.poll(), "by a new connection");
@@ -162,7 +177,8 @@
     /** Bytes of no such protocol, and connections beyond the bound, end; those that are open go on. */
     @Test
     void strangersAreTurnedAway() throws Exception {
-        try (Voter b = new Voter("b", PACE, Map.of(), 2, 2); Voter a = new Voter("a", PACE, Map.of("b", b.address()))) {
+        try (Voter b = new Voter("b", PACE, Map.of(), 2, 2);
+                Voter a = new Voter("a", PACE, Map.of("b", b.address()))) {
             until(a, LONG);
             try (Socket stranger = new Socket(InetAddress.getLoopbackAddress(), b.server.port())) {
                 assertTrue(stranger.getInputStream().read() >= 0, "the first byte of the server's first frame");
--- a/src/test/java/rushpin/peer/MailboxTest.java
+++ b/src/test/java/rushpin/peer/MailboxTest.java
@@ -31,7 +31,8 @@
 
     /** Step by step against a plain list: what is taken, replaced, refused, and the order. */
     @Property
-    void doesAsAPlainListDoes(@ForAll @Size(max = 200) List<@IntRange(min = -1, max = 50) Integer> steps,
+    void doesAsAPlainListDoes(
+            @ForAll @Size(max = 200) List<@IntRange(min = -1, max = 50) Integer> steps,
             @ForAll @IntRange(min = 1, max = 5) int most) {
         ArrayDeque<Runnable> turns = new ArrayDeque<>();
         List<Integer> read = new ArrayList<>(), unread = new ArrayList<>();
@@ -79,11 +80,16 @@
         List<Integer> read = new ArrayList<>();
         ConcurrentLinkedQueue<Integer> unread = new ConcurrentLinkedQueue<>(), refused = new ConcurrentLinkedQueue<>();
         AtomicInteger inside = new AtomicInteger(), most = new AtomicInteger();
-        Mailbox<Integer> mailbox = new Mailbox<>(8, MailboxTest::kind, reading, message -> {
-            most.accumulateAndGet(inside.incrementAndGet(), Math::max);
-            read.add(message);
-            inside.decrementAndGet();
-        }, unread::add);
+        Mailbox<Integer> mailbox = new Mailbox<>(
+                8,
+                MailboxTest::kind,
+                reading,
+                message -> {
+                    most.accumulateAndGet(inside.incrementAndGet(), Math::max);
+                    read.add(message);
+                    inside.decrementAndGet();
+                },
+                unread::add);
         CountDownLatch begin = new CountDownLatch(1);
         List<Thread> threads = new ArrayList<>();
         for (int s = 0; s < senders; s++) {
@@ -99,7 +105,7 @@
                     int message = sender * each + i;
                     switch (mailbox.offer(message)) {
                         case FULL, CLOSED -> refused.add(message);
-                        default -> { }
+                        default -> {}
                     }
                     if (sender == 0 && i == each / 2 && random.nextInt(4) == 0) {
                         mailbox.close();
@@ -142,10 +148,15 @@
     void aReaderThatFailsEndsThatMessageAlone() {
         ArrayDeque<Runnable> turns = new ArrayDeque<>();
         List<Integer> read = new ArrayList<>();
-        Mailbox<Integer> mailbox = new Mailbox<>(8, MailboxTest::kind, turns::add, message -> {
-            read.add(message);
-            throw new IllegalStateException("on purpose");
-        }, message -> { });
+        Mailbox<Integer> mailbox = new Mailbox<>(
+                8,
+                MailboxTest::kind,
+                turns::add,
+                message -> {
+                    read.add(message);
+                    throw new IllegalStateException("on purpose");
+                },
+                message -> {});
         mailbox.offer(2);
         mailbox.offer(4);
         turns.poll().run();
@@ -157,7 +168,7 @@
         ExecutorService over = Executors.newSingleThreadExecutor();
         over.shutdown();
         Set<Integer> unread = new HashSet<>();
-        Mailbox<Integer> mailbox = new Mailbox<>(8, MailboxTest::kind, over, message -> { }, unread::add);
+        Mailbox<Integer> mailbox = new Mailbox<>(8, MailboxTest::kind, over, message -> {}, unread::add);
         assertEquals(Mailbox.Offer.TAKEN, mailbox.offer(2));
         assertEquals(Set.of(2), unread);
         assertEquals(Mailbox.Offer.CLOSED, mailbox.offer(4));
--- a/src/test/java/rushpin/peer/Relay.java
+++ b/src/test/java/rushpin/peer/Relay.java
@@ -22,6 +22,7 @@
     private final List<Socket> open = new ArrayList<>();
     /** An element for each connection that has come. */
     final LinkedBlockingQueue<String> came = new LinkedBlockingQueue<>();
+
     private volatile int target;
     private Mode mode = Mode.PASS;
     private int generation;
@@ -84,8 +85,11 @@
 
     private void pump(Socket from, Socket to, int born) {
         byte[] bytes = new byte[16_384];
-        try (from; to) {
-            for (int read = from.getInputStream().read(bytes); read >= 0; read = from.getInputStream().read(bytes)) {
+        try (from;
+                to) {
+            for (int read = from.getInputStream().read(bytes);
+                    read >= 0;
+                    read = from.getInputStream().read(bytes)) {
                 if (passes(born)) {
                     to.getOutputStream().write(bytes, 0, read);
                 }
--- a/src/test/java/rushpin/peer/SessionTest.java
+++ b/src/test/java/rushpin/peer/SessionTest.java
@@ -43,7 +43,8 @@
     private static final long MS = Voter.MS;
     /** Nothing ends by time; and all does. */
     private static final Pace CALM = new Pace(50 * MS, 60_000 * MS, 60_000 * MS, 10 * MS, 100 * MS),
-        QUICK = new Pace(50 * MS, 700 * MS, 1_000 * MS, 10 * MS, 100 * MS);
+            QUICK = new Pace(50 * MS, 700 * MS, 1_000 * MS, 10 * MS, 100 * MS);
+
     private static final Who MEMBER = new Who("m", 11, "z1", "r1", 1);
 
     /** A member, and in order all that it heard. */
@@ -107,7 +108,8 @@
     /** By a voter that does not lead: commands go on to the one that does, once; plans come down, at once and newest. */
     @Test
     void aVoterThatDoesNotLeadPassesCommandsOn() throws Exception {
-        try (Voter a = new Voter("a", CALM, Map.of()); Voter b = new Voter("b", CALM, Map.of("a", a.address()))) {
+        try (Voter a = new Voter("a", CALM, Map.of());
+                Voter b = new Voter("b", CALM, Map.of("a", a.address()))) {
             a.leader = "a";
             b.leader = "a";
             // Who makes the plans need not lead.
@@ -136,8 +138,8 @@
                 List<Report.Stock> stocks = List.of(new Report.Stock("z2", 4, 3_500, 3));
                 List<Report.Entered> entered = List.of(new Report.Entered("a.x", 11));
                 m.client.report(new Report(9, 1, "another", "elsewhere", 7, 6, seen, stocks, entered));
-                assertEquals(new Report(9, 1, "m", "z1", 7, 6, seen, stocks, entered),
-                    a.reports.poll(60, TimeUnit.SECONDS));
+                assertEquals(
+                        new Report(9, 1, "m", "z1", 7, 6, seen, stocks, entered), a.reports.poll(60, TimeUnit.SECONDS));
                 // It believes that b leads, b that a does: that goes nowhere, at once; reports go where plans are made.
                 a.leader = "b";
                 m.client.report(new Report(9, 2, "m", "z1", seen));
@@ -165,9 +167,12 @@
                     Thread.onSpinWait();
                 }
                 // On a busy machine the first may be given up by now, and there is room for this one.
-                Object last = m.next(each -> each instanceof Map.Entry<?, ?> entry && entry.getKey().equals(99L));
-                assertTrue(List.of(Map.entry(99L, Failure.BUSY), Map.entry(99L, Failure.UNCERTAIN)).contains(last),
-                    "" + last);
+                Object last = m.next(each ->
+                        each instanceof Map.Entry<?, ?> entry && entry.getKey().equals(99L));
+                assertTrue(
+                        List.of(Map.entry(99L, Failure.BUSY), Map.entry(99L, Failure.UNCERTAIN))
+                                .contains(last),
+                        "" + last);
                 // None is answered in time: each ends, and two make this voter one to leave.
                 m.next(each -> each.toString().matches("ended a \\d+ requests found no voter that leads"));
                 for (CompletableFuture<Outcome> late : a.heldProposals) {
@@ -188,8 +193,10 @@
     /** A stopped voter keeps its connection open and says nothing; what was in hand there is not known. */
     @Test
     void aSilentVoterIsLeftForTheNext() throws Exception {
-        try (Voter a = new Voter("a", QUICK, Map.of()); Voter b = new Voter("b", QUICK, Map.of());
-             Relay toA = new Relay(); Relay toB = new Relay()) {
+        try (Voter a = new Voter("a", QUICK, Map.of());
+                Voter b = new Voter("b", QUICK, Map.of());
+                Relay toA = new Relay();
+                Relay toB = new Relay()) {
             a.leader = "a";
             b.leader = "b";
             a.holds = true;
@@ -216,12 +223,14 @@
 
     @Test
     void aVoterWithoutOneThatLeadsIsLeft() throws Exception {
-        try (Voter a = new Voter("a", CALM, Map.of()); Voter b = new Voter("b", CALM, Map.of())) {
+        try (Voter a = new Voter("a", CALM, Map.of());
+                Voter b = new Voter("b", CALM, Map.of())) {
             b.leader = "b";
             try (Member m = new Member(CALM, 2, Map.of("a", a.address(), "b", b.address()))) {
                 long request = 0;
                 Object heard = "";
-                while (!(heard instanceof Map.Entry<?, ?> entry && entry.getValue().equals(new Outcome.Done()))) {
+                while (!(heard instanceof Map.Entry<?, ?> entry
+                        && entry.getValue().equals(new Outcome.Done()))) {
                     if (m.client.ask(++request, new Command.Renew(1))) {
                         heard = m.next(each -> each instanceof Map.Entry<?, ?>);
                     }
@@ -263,17 +272,21 @@
     }
 
     private static Wire.Up hello() {
-        return Wire.Up.newBuilder().setHello(Wire.Hello.newBuilder().setWho(Codec.wire(MEMBER))).build();
+        return Wire.Up.newBuilder()
+                .setHello(Wire.Hello.newBuilder().setWho(Codec.wire(MEMBER)))
+                .build();
     }
 
     private static Wire.Up ask(long request, byte[] command) {
-        return Wire.Up.newBuilder().setAsk(Wire.Ask.newBuilder().setRequest(request)
-            .setCommand(ByteString.copyFrom(command))).build();
+        return Wire.Up.newBuilder()
+                .setAsk(Wire.Ask.newBuilder().setRequest(request).setCommand(ByteString.copyFrom(command)))
+                .build();
     }
 
     @Test
     void aReaderThatDoesNotReadIsEndedWithAReason() throws Exception {
-        try (Voter a = new Voter("a", CALM, Map.of()); Raw<Wire.Up> raw = new Raw<>(Calls.SESSION, a)) {
+        try (Voter a = new Voter("a", CALM, Map.of());
+                Raw<Wire.Up> raw = new Raw<>(Calls.SESSION, a)) {
             a.leader = "a";
             raw.call.sendMessage(hello());
             raw.call.request(1);
@@ -297,7 +310,8 @@
             Status end = raw.end.get(60, TimeUnit.SECONDS);
             assertEquals(Status.Code.RESOURCE_EXHAUSTED, end.getCode(), "" + end);
             assertTrue(end.getDescription().contains("not read"), end.getDescription());
-            // Of the plans those that were on their way, and of the others none: the newest took their place, and it ended.
+            // Of the plans those that were on their way, and of the others none: the newest took their place, and it
+            // ended.
             assertTrue(raw.heard.size() < plans, raw.heard.size() + " messages");
         }
     }
@@ -316,9 +330,13 @@
             }
         };
         MethodDescriptor<byte[], Wire.Down> method = MethodDescriptor.<byte[], Wire.Down>newBuilder()
-            .setType(MethodDescriptor.MethodType.BIDI_STREAMING).setFullMethodName(Calls.SESSION.getFullMethodName())
-            .setRequestMarshaller(plain).setResponseMarshaller(Calls.SESSION.getResponseMarshaller()).build();
-        try (Voter a = new Voter("a", CALM, Map.of(), 20, 1); Raw<byte[]> spoilt = new Raw<>(method, a)) {
+                .setType(MethodDescriptor.MethodType.BIDI_STREAMING)
+                .setFullMethodName(Calls.SESSION.getFullMethodName())
+                .setRequestMarshaller(plain)
+                .setResponseMarshaller(Calls.SESSION.getResponseMarshaller())
+                .build();
+        try (Voter a = new Voter("a", CALM, Map.of(), 20, 1);
+                Raw<byte[]> spoilt = new Raw<>(method, a)) {
             a.leader = "a";
             spoilt.call.sendMessage(new byte[] {(byte) 0xff, (byte) 0xff, 3});
             assertFalse(spoilt.end.get(30, TimeUnit.SECONDS).isOk());
@@ -331,15 +349,25 @@
                 raw.call.sendMessage(hello());
                 assertTrue(raw.heard.poll(30, TimeUnit.SECONDS).hasWelcome());
                 raw.call.sendMessage(ask(1, new byte[] {(byte) 0xff}));
-                assertEquals(Wire.Failure.Why.UNREADABLE,
-                    raw.heard.poll(30, TimeUnit.SECONDS).getAnswer().getVerdict().getFailure().getWhy());
+                assertEquals(
+                        Wire.Failure.Why.UNREADABLE,
+                        raw.heard
+                                .poll(30, TimeUnit.SECONDS)
+                                .getAnswer()
+                                .getVerdict()
+                                .getFailure()
+                                .getWhy());
                 // A message of a newer version, and the beat behind it.
                 raw.call.sendMessage(Wire.Up.getDefaultInstance());
-                raw.call.sendMessage(Wire.Up.newBuilder().setBeat(Wire.Beat.newBuilder().setNumber(5)).build());
+                raw.call.sendMessage(Wire.Up.newBuilder()
+                        .setBeat(Wire.Beat.newBuilder().setNumber(5))
+                        .build());
                 assertEquals(5, raw.heard.poll(30, TimeUnit.SECONDS).getBeat().getNumber());
                 // One more than there may be.
                 try (Raw<Wire.Up> second = new Raw<>(Calls.SESSION, a)) {
-                    assertEquals(Status.Code.RESOURCE_EXHAUSTED, second.end.get(30, TimeUnit.SECONDS).getCode());
+                    assertEquals(
+                            Status.Code.RESOURCE_EXHAUSTED,
+                            second.end.get(30, TimeUnit.SECONDS).getCode());
                 }
             }
         }
@@ -347,18 +375,21 @@
 
     @Test
     void aMemberThatIsSilentOrComesAgainLosesItsStream() throws Exception {
-        try (Voter a = new Voter("a", QUICK, Map.of()); Raw<Wire.Up> raw = new Raw<>(Calls.SESSION, a)) {
+        try (Voter a = new Voter("a", QUICK, Map.of());
+                Raw<Wire.Up> raw = new Raw<>(Calls.SESSION, a)) {
             raw.call.request(100);
             raw.call.sendMessage(hello());
             assertEquals("nothing was heard", raw.end.get(30, TimeUnit.SECONDS).getDescription());
         }
-        try (Voter a = new Voter("a", CALM, Map.of()); Raw<Wire.Up> raw = new Raw<>(Calls.SESSION, a)) {
+        try (Voter a = new Voter("a", CALM, Map.of());
+                Raw<Wire.Up> raw = new Raw<>(Calls.SESSION, a)) {
             raw.call.request(100);
             raw.call.sendMessage(hello());
             assertTrue(raw.heard.poll(30, TimeUnit.SECONDS).hasWelcome());
             try (Member m = new Member(CALM, 1, Map.of("a", a.address()))) {
                 m.next("opened a"::equals);
-                assertEquals("a newer stream of m", raw.end.get(30, TimeUnit.SECONDS).getDescription());
+                assertEquals(
+                        "a newer stream of m", raw.end.get(30, TimeUnit.SECONDS).getDescription());
             }
         }
     }
@@ -372,8 +403,8 @@
         List<Relay> ways = List.of(new Relay(), new Relay(), new Relay(), new Relay());
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         try (Voter a = new Voter("a", pace, Map.of());
-             Voter b = new Voter("b", pace, Map.of("a", ways.get(3).address()));
-             Voter c = new Voter("c", pace, Map.of("a", a.address()))) {
+                Voter b = new Voter("b", pace, Map.of("a", ways.get(3).address()));
+                Voter c = new Voter("c", pace, Map.of("a", a.address()))) {
             List<Voter> voters = List.of(a, b, c);
             for (int i = 0; i < voters.size(); i++) {
                 voters.get(i).leader = "a";
@@ -396,7 +427,11 @@
                             default -> {
                                 if (m.client.ask(++request, new Command.Renew(request))) {
                                     taken++;
-                                    count(ends, random.nextInt(3) > 0 ? m.heard.poll(60, TimeUnit.SECONDS) : m.heard.poll());
+                                    count(
+                                            ends,
+                                            random.nextInt(3) > 0
+                                                    ? m.heard.poll(60, TimeUnit.SECONDS)
+                                                    : m.heard.poll());
                                 }
                             }
                         }
@@ -404,7 +439,7 @@
                     // ... and an end of them, after which one is answered.
                     ways.forEach(way -> way.mode(Relay.Mode.PASS));
                     a.leader = "a";
-                    for (boolean answered = false; !answered;) {
+                    for (boolean answered = false; !answered; ) {
                         if (m.client.ask(++request, new Command.Renew(request))) {
                             taken++;
                             answered = count(ends, m.heard.poll(60, TimeUnit.SECONDS));
--- a/src/test/java/rushpin/peer/Voter.java
+++ b/src/test/java/rushpin/peer/Voter.java
@@ -27,6 +27,7 @@
     volatile String leader, planner;
     /** Whether proposals and requests wait until the test ends them. */
     volatile boolean holds;
+
     final LinkedBlockingQueue<CompletableFuture<Outcome>> heldProposals = new LinkedBlockingQueue<>();
 
     Voter(String name, Pace pace, Map<String, InetSocketAddress> others) throws IOException {
@@ -38,7 +39,8 @@
         this(name, pace, others, 50, 50, port);
     }
 
-    Voter(String name, Pace pace, Map<String, InetSocketAddress> others, int connections, int streams) throws IOException {
+    Voter(String name, Pace pace, Map<String, InetSocketAddress> others, int connections, int streams)
+            throws IOException {
         this(name, pace, others, connections, streams, 0);
     }
 
@@ -47,8 +49,8 @@
         this.name = name;
         links = new Links(others, sockets);
         desk = new SessionDesk(name, this, links, streams, pace, reports::add);
-        server = new PeerServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), connections, this, desk,
-            sockets);
+        server = new PeerServer(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port), connections, this, desk, sockets);
         server.start();
     }
 
@@ -67,8 +69,10 @@
             heldProposals.add(later);
             return later;
         }
-        return CompletableFuture.completedFuture(command instanceof Command.Acquire acquire
-            ? new Outcome.Granted(acquire.resource(), 7) : new Outcome.Done());
+        return CompletableFuture.completedFuture(
+                command instanceof Command.Acquire acquire
+                        ? new Outcome.Granted(acquire.resource(), 7)
+                        : new Outcome.Done());
     }
 
     /** Answers with the name of the kind and the bytes. */
--- a/src/test/java/rushpin/pooling/DividerTest.java
+++ b/src/test/java/rushpin/pooling/DividerTest.java
@@ -39,6 +39,7 @@
         final int[] wants;
         /** Requests by tenant and by how long they still take; connections that are closed, by when the group's side knows. */
         final int[][] out;
+
         final List<int[]> closed = new ArrayList<>();
         final List<Allotment> words = new ArrayList<>();
         final int[] peak, wanted;
@@ -96,7 +97,7 @@
                 }
             }
             idleUntil = Integer.MAX_VALUE;
-            for (boolean isGoing = true; isGoing;) {
+            for (boolean isGoing = true; isGoing; ) {
                 isGoing = false;
                 for (int t = 0; t < wants.length; t++) {
                     int quota = permit.tenants().getOrDefault(tenants.get(t).name(), 0);
@@ -140,14 +141,18 @@
         Applied applied = machine.apply(new Entry(now, command));
         for (Decision decision : applied.decisions()) {
             if (decision instanceof Decision.Allotted each) {
-                nodes.values().stream().filter(node -> !node.isCut && node.allowance.session() == each.word().session())
-                    .forEach(node -> node.words.add(each.word()));
+                nodes.values().stream()
+                        .filter(node -> !node.isCut
+                                && node.allowance.session() == each.word().session())
+                        .forEach(node -> node.words.add(each.word()));
             }
         }
         Optional<Budget> budget = machine.budget(GROUP);
         // Over a number that was lowered by what was granted before, until that is closed.
-        allowed = budget.isEmpty() ? rules.figures().most()
-            : Math.max(budget.get().figures().most(), Math.min(allowed, (int) budget.get().granted()));
+        allowed = budget.isEmpty()
+                ? rules.figures().most()
+                : Math.max(budget.get().figures().most(), Math.min(allowed, (int)
+                        budget.get().granted()));
         return applied.outcome();
     }
 
@@ -190,7 +195,8 @@
         if (now % SECOND == 0) {
             divide();
         }
-        int open = halfOpen.size() + nodes.values().stream().mapToInt(Node::open).sum();
+        int open =
+                halfOpen.size() + nodes.values().stream().mapToInt(Node::open).sum();
         assertTrue(open <= allowed, () -> what + " at " + now + ": " + open + " open, " + allowed + " may be");
     }
 
@@ -199,8 +205,9 @@
             return;
         }
         long own = (long) (now * node.rate);
-        if (node.allowance.session() == 0 || now % (2 * SECOND) == 0 && apply(new Command.Renew(node.allowance.session()))
-            instanceof Outcome.Refused) {
+        if (node.allowance.session() == 0
+                || now % (2 * SECOND) == 0
+                        && apply(new Command.Renew(node.allowance.session())) instanceof Outcome.Refused) {
             node.allowance = node.allowance.renewed(join(node.name), own, TERMS);
         } else if (now % (2 * SECOND) == 0) {
             node.allowance = node.allowance.renewed(node.allowance.session(), own, TERMS);
@@ -224,11 +231,14 @@
 
     private void divide() {
         Optional<Budget> budget = machine.budget(GROUP);
-        List<Long> live = machine.sessions().stream().map(State.Session::number).filter(each -> each != divider).toList();
+        List<Long> live = machine.sessions().stream()
+                .map(State.Session::number)
+                .filter(each -> each != divider)
+                .toList();
         told.keySet().retainAll(live);
         Divider.next(budget, Divider.Sight.of(live, budget, told), rules, now).ifPresent(draft -> {
-            Outcome outcome = apply(new Command.Divide(divider, fence, draft.after(), GROUP, rules.figures(), draft.tenants(),
-                draft.shares()));
+            Outcome outcome = apply(new Command.Divide(
+                    divider, fence, draft.after(), GROUP, rules.figures(), draft.tenants(), draft.shares()));
             assertTrue(outcome instanceof Outcome.Divided, () -> what + ": " + outcome + " of " + draft);
             divisions++;
         });
@@ -296,7 +306,9 @@
         Map<Long, Integer> five = shares();
         Node young = add("n9", 1, 20);
         steps(10 * SECOND);
-        int moved = five.entrySet().stream().mapToInt(each -> Math.max(0, each.getValue() - shares().get(each.getKey()))).sum();
+        int moved = five.entrySet().stream()
+                .mapToInt(each -> Math.max(0, each.getValue() - shares().get(each.getKey())))
+                .sum();
         assertEquals(shares().get(young.allowance.session()), moved);
         assertTrue(moved >= 9, "it has its part: " + moved);
     }
@@ -311,7 +323,8 @@
         }
         steps(20 * SECOND);
         Map<Long, Integer> before = shares();
-        int handshakes = nodes.values().stream().mapToInt(node -> node.handshakes).sum();
+        int handshakes =
+                nodes.values().stream().mapToInt(node -> node.handshakes).sum();
         for (int i = 0; i < 60; i++) {
             nodes.values().forEach(node -> Arrays.setAll(node.wants, t -> 2 + chance.nextInt(3)));
             steps(SECOND);
@@ -331,17 +344,29 @@
         Map<Long, List<Report.Need>> told = new TreeMap<>();
         SplittableRandom chance = new SplittableRandom(1);
         for (long session = Long.MAX_VALUE - 1_200; session < Long.MAX_VALUE; session++) {
-            told.put(session, tenants.stream().map(tenant -> new Report.Need(GROUP, tenant.name(), chance.nextInt(500), 0))
-                .toList());
+            told.put(
+                    session,
+                    tenants.stream()
+                            .map(tenant -> new Report.Need(GROUP, tenant.name(), chance.nextInt(500), 0))
+                            .toList());
         }
         Rules greatest = new Rules(new Budget.Figures(1 << 20, 9, 3, 1, 1), tenants, 9, 9);
         long start = System.nanoTime();
-        Divider.Draft draft = Divider.next(Optional.empty(), new Divider.Sight(told), greatest, 0).orElseThrow();
-        System.out.printf("divided among 1,000 processes and 36 tenants in %.0f ms%n", (System.nanoTime() - start) / 1e6);
+        Divider.Draft draft = Divider.next(Optional.empty(), new Divider.Sight(told), greatest, 0)
+                .orElseThrow();
+        System.out.printf(
+                "divided among 1,000 processes and 36 tenants in %.0f ms%n", (System.nanoTime() - start) / 1e6);
         assertEquals(1_000, draft.shares().size());
         assertTrue(draft.shares().stream().mapToLong(Budget.Share::connections).sum() <= 1 << 20);
-        byte[] bytes = new Codec().bytes(new Command.Divide(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, GROUP,
-            greatest.figures(), draft.tenants(), draft.shares()));
+        byte[] bytes = new Codec()
+                .bytes(new Command.Divide(
+                        Long.MAX_VALUE,
+                        Long.MAX_VALUE,
+                        Long.MAX_VALUE,
+                        GROUP,
+                        greatest.figures(),
+                        draft.tenants(),
+                        draft.shares()));
         assertTrue(bytes.length <= Codec.MOST_COMMAND);
     }
 
@@ -376,8 +401,7 @@
                     node.isCut = false;
                 }
                 case 5 -> rules = rules(20 + chance.nextInt(30), 2, 1, tenants);
-                default -> {
-                }
+                default -> {}
             }
             steps(1 + chance.nextInt(3 * SECOND));
         }
--- a/src/test/java/rushpin/pooling/FairTest.java
+++ b/src/test/java/rushpin/pooling/FairTest.java
@@ -34,7 +34,8 @@
                 one[t] = 1;
                 if (fixed[t] < 0) {
                     double alone = best(most, tenants, wanted, fixed, least, one);
-                    double at = Math.max(low(tenants, wanted, t), least * tenants.get(t).weight());
+                    double at = Math.max(
+                            low(tenants, wanted, t), least * tenants.get(t).weight());
                     if (alone <= at + NEAR) {
                         fixed[t] = alone;
                     }
@@ -48,7 +49,8 @@
         return Math.min(tenants.get(t).floor(), wanted[t]);
     }
 
-    private static double best(int most, List<Rules.Tenant> tenants, int[] wanted, double[] fixed, double least, double[] what) {
+    private static double best(
+            int most, List<Rules.Tenant> tenants, int[] wanted, double[] fixed, double least, double[] what) {
         int many = wanted.length;
         List<LinearConstraint> rows = new ArrayList<>();
         double[] all = new double[many + 1];
@@ -64,14 +66,20 @@
                 rows.add(new LinearConstraint(one, Relationship.EQ, fixed[t]));
                 continue;
             }
-            rows.add(new LinearConstraint(one, Relationship.LEQ, Math.min(wanted[t], tenants.get(t).cap())));
+            rows.add(new LinearConstraint(
+                    one, Relationship.LEQ, Math.min(wanted[t], tenants.get(t).cap())));
             rows.add(new LinearConstraint(one, Relationship.GEQ, low(tenants, wanted, t)));
             double[] by = one.clone();
             by[many] = -tenants.get(t).weight();
             rows.add(new LinearConstraint(by, Relationship.GEQ, 0));
         }
-        return new SimplexSolver(1e-9, 20, 1e-12).optimize(new LinearObjectiveFunction(what, 0), new LinearConstraintSet(rows),
-            GoalType.MAXIMIZE, new NonNegativeConstraint(true)).getValue();
+        return new SimplexSolver(1e-9, 20, 1e-12)
+                .optimize(
+                        new LinearObjectiveFunction(what, 0),
+                        new LinearConstraintSet(rows),
+                        GoalType.MAXIMIZE,
+                        new NonNegativeConstraint(true))
+                .getValue();
     }
 
     /** A level can be raised above all that a tenant wants only where that one is fixed: so each goes by its own bound. */
@@ -92,7 +100,7 @@
             }
             int[] got = Fair.divide(most, tenants, wanted);
             String what = "seed " + seed + ": " + most + " " + tenants + " " + Arrays.toString(wanted) + " -> "
-                + Arrays.toString(got);
+                    + Arrays.toString(got);
             double[] exact = exact(most, tenants, wanted);
             double sum = 0;
             for (int t = 0; t < many; t++) {
--- a/src/test/java/rushpin/quota/UseRecordTest.java
+++ b/src/test/java/rushpin/quota/UseRecordTest.java
@@ -104,18 +104,25 @@
             Contents contents = UseRecord.read(torn);
             if (cut < UseRecord.HEADER) {
                 int at = cut;
-                assertTrue(contents.origin() == null || Arrays.equals(torn, 0, UseRecord.HEADER, memory.bytes, 0,
-                    UseRecord.HEADER), () -> "cut at " + at);
+                assertTrue(
+                        contents.origin() == null
+                                || Arrays.equals(torn, 0, UseRecord.HEADER, memory.bytes, 0, UseRecord.HEADER),
+                        () -> "cut at " + at);
                 continue;
             }
             assertEquals(ORIGIN, contents.origin(), "cut at " + cut);
             int whole = contents.entries();
-            assertTrue(whole >= (cut - UseRecord.HEADER) / UseRecord.ENTRY && whole <= (cut - UseRecord.HEADER)
-                / UseRecord.ENTRY + 1, "cut at " + cut + ": " + whole);
+            assertTrue(
+                    whole >= (cut - UseRecord.HEADER) / UseRecord.ENTRY
+                            && whole <= (cut - UseRecord.HEADER) / UseRecord.ENTRY + 1,
+                    "cut at " + cut + ": " + whole);
             assertFalse(contents.damaged(), "cut at " + cut);
             assertEquals(after.get(whole), units(contents.balances()), "cut at " + cut);
-            assertEquals(whole, UseRecord.read(Arrays.copyOf(memory.bytes, cut)).entries()
-                + (whole > (cut - UseRecord.HEADER) / UseRecord.ENTRY ? 1 : 0), "a shorter file, cut at " + cut);
+            assertEquals(
+                    whole,
+                    UseRecord.read(Arrays.copyOf(memory.bytes, cut)).entries()
+                            + (whole > (cut - UseRecord.HEADER) / UseRecord.ENTRY ? 1 : 0),
+                    "a shorter file, cut at " + cut);
         }
     }
 
@@ -186,9 +193,11 @@
         memory.failing = false;
         memory.book.catchUp(8);
         assertFalse(memory.book.isBehind());
-        assertEquals(Map.of(1L, 10.0, 2L, 4.0), units(UseRecord.read(memory.bytes).balances()));
+        assertEquals(
+                Map.of(1L, 10.0, 2L, 4.0), units(UseRecord.read(memory.bytes).balances()));
         memory.book.told(1, 3, true, 9);
-        assertEquals(Map.of(1L, 7.0, 2L, 4.0), units(UseRecord.read(memory.bytes).balances()));
+        assertEquals(
+                Map.of(1L, 7.0, 2L, 4.0), units(UseRecord.read(memory.bytes).balances()));
     }
 
     @Test
@@ -201,7 +210,8 @@
         assertFalse(memory.book.isBehind(), "the present record still says all that is open");
         memory.failing = false;
         assertTrue(memory.book.absorb(List.of(99L), List.of(new Balance(1, 1, 2, 4), new Balance(2, 1, 3, 4)), 6));
-        assertEquals(Map.of(1L, 10.0, 2L, 3.0), units(UseRecord.read(memory.bytes).balances()));
+        assertEquals(
+                Map.of(1L, 10.0, 2L, 3.0), units(UseRecord.read(memory.bytes).balances()));
     }
 
     @Test
@@ -233,8 +243,10 @@
             } else {
                 memory.book.took(customer, 1, random.nextInt(-3, 9), step);
             }
-            assertEquals(units(memory.book.balances()), units(UseRecord.read(memory.bytes).balances()),
-                "seed " + seed + ", step " + step);
+            assertEquals(
+                    units(memory.book.balances()),
+                    units(UseRecord.read(memory.bytes).balances()),
+                    "seed " + seed + ", step " + step);
         }
         assertTrue(memory.renewed > 0, "seed " + seed + ": the record never filled");
     }
--- a/src/test/java/rushpin/rig/BudgetsProcessTest.java
+++ b/src/test/java/rushpin/rig/BudgetsProcessTest.java
@@ -35,14 +35,16 @@
     /** Under load, with requests in hand: they are answered, and then the others have what it had. */
     @Test
     void whoEndsGivesItsPartBackAtOnce() throws Exception {
-        try (BudgetSide side = new BudgetSide(4, MOST, RESERVE, LONG_EFFECT,
-            List.of(new Tenant("bulk", 3, 2), new Tenant("spot", 0, 1)), SEED)) {
+        try (BudgetSide side = new BudgetSide(
+                4, MOST, RESERVE, LONG_EFFECT, List.of(new Tenant("bulk", 3, 2), new Tenant("spot", 0, 1)), SEED)) {
             side.begin();
             side.load("bulk", 6);
             side.load("spot", 10);
             Member ends = side.fleet.members.get(3);
-            side.await("all parts are given", () -> side.parts(side.fleet.members) >= side.divided() - 1
-                && side.permit(ends).most() > 2);
+            side.await(
+                    "all parts are given",
+                    () -> side.parts(side.fleet.members) >= side.divided() - 1
+                            && side.permit(ends).most() > 2);
             side.awaitOpen(side.divided() - 2);
 
             long from = System.nanoTime();
@@ -50,11 +52,18 @@
             ends.end();
             List<Member> rest = side.fleet.members.subList(0, 3);
             side.await("its part is the others'", () -> side.parts(rest) >= side.divided() - 1);
-            long given = rest.stream().mapToLong(member -> side.permit(member).at()).max().orElseThrow();
+            long given = rest.stream()
+                    .mapToLong(member -> side.permit(member).at())
+                    .max()
+                    .orElseThrow();
             assertTrue(given - from < LONG_EFFECT.effect() * BudgetSide.MS, given - from + " ns, seed " + SEED);
             side.end();
-            assertEquals(List.of(), side.judged().stream().filter(breach -> breach.rule() != Connections.Rule.FLOOR_KEPT)
-                .toList(), "seed " + SEED);
+            assertEquals(
+                    List.of(),
+                    side.judged().stream()
+                            .filter(breach -> breach.rule() != Connections.Rule.FLOOR_KEPT)
+                            .toList(),
+                    "seed " + SEED);
             assertEquals(List.of(), side.accords(), "seed " + SEED);
         }
     }
@@ -62,15 +71,17 @@
     /** Its servers are within reach, and its clients, the one tenant's, ask for far more. */
     @Test
     void whoIsCutOffKeepsItsOwnPartAndNoMore() throws Exception {
-        try (BudgetSide side = new BudgetSide(4, MOST, RESERVE, LONG_OWN,
-            List.of(new Tenant("bulk", 0, 1), new Tenant("spot", 0, 1)), SEED)) {
+        try (BudgetSide side = new BudgetSide(
+                4, MOST, RESERVE, LONG_OWN, List.of(new Tenant("bulk", 0, 1), new Tenant("spot", 0, 1)), SEED)) {
             side.begin();
             Member cut = side.fleet.members.get(3);
             List<Member> rest = side.fleet.members.subList(0, 3);
             rest.forEach(member -> side.load("bulk", member, 16));
             side.load("spot", cut, 10);
-            side.await("all parts are given", () -> side.parts(side.fleet.members) >= side.divided() - 1
-                && side.permit(cut).most() > 2);
+            side.await(
+                    "all parts are given",
+                    () -> side.parts(side.fleet.members) >= side.divided() - 1
+                            && side.permit(cut).most() > 2);
             side.awaitOpen(side.divided() - 2);
 
             side.fleet.apart(cut, Way.SILENT);
@@ -84,27 +95,34 @@
             side.end();
 
             List<Connections.Open> own = side.carried().get("spot").stream()
-                .map(each -> new Connections.Open("", each.from(), each.until())).toList();
+                    .map(each -> new Connections.Open("", each.from(), each.until()))
+                    .toList();
             assertTrue(Connections.most(own, 0, at) > 1, "seed " + SEED);
             assertEquals(1, Connections.most(own, alone, end), "seed " + SEED);
             long forgotten = at + (LONG_OWN.forget() + BudgetSide.LONGEST_MS) * BudgetSide.MS;
             assertEquals(0, Connections.most(own, forgotten, end), "seed " + SEED);
-            assertEquals(List.of(), side.judged().stream().filter(breach -> breach.rule() == Connections.Rule.NEVER_OVER)
-                .toList(), "seed " + SEED);
+            assertEquals(
+                    List.of(),
+                    side.judged().stream()
+                            .filter(breach -> breach.rule() == Connections.Rule.NEVER_OVER)
+                            .toList(),
+                    "seed " + SEED);
         }
     }
 
     @Test
     void theServersNeverHaveMoreOpenThanTheNumber() throws Exception {
-        try (BudgetSide side = new BudgetSide(5, MOST, RESERVE, SPANS,
-            List.of(new Tenant("bulk", 3, 2), new Tenant("spot", 0, 1)), SEED)) {
+        try (BudgetSide side = new BudgetSide(
+                5, MOST, RESERVE, SPANS, List.of(new Tenant("bulk", 3, 2), new Tenant("spot", 0, 1)), SEED)) {
             side.begin();
             side.load("bulk", 6);
             side.load("spot", 10);
             List<Member> all = side.fleet.members;
             Member dies = all.get(3), cut = all.get(4);
-            Member stopped = all.stream().filter(member -> member.votes && side.fleet.holds(member, BudgetSide.PLANNER) == null)
-                .findFirst().orElseThrow();
+            Member stopped = all.stream()
+                    .filter(member -> member.votes && side.fleet.holds(member, BudgetSide.PLANNER) == null)
+                    .findFirst()
+                    .orElseThrow();
             side.await("all parts are given", () -> side.parts(all) >= side.divided() - 1);
             side.awaitOpen(side.divided() - 2);
 
@@ -124,16 +142,22 @@
             side.awaitOpen(side.divided() - 2);
 
             side.number(LOWERED);
-            side.await("all keep to the lower number", () -> side.parts(rest) <= side.divided()
-                && side.door.open() <= side.divided());
+            side.await(
+                    "all keep to the lower number",
+                    () -> side.parts(rest) <= side.divided() && side.door.open() <= side.divided());
             side.settled();
             dies.start();
             side.away(dies, false);
             side.await("it has a part again", () -> side.permit(dies).most() > 0);
             side.end();
-            // How much of its floor a tenant uses is a matter of the machine's speed, and so is when a server reads a request.
-            assertEquals(List.of(), side.judged().stream().filter(breach -> breach.rule() == Connections.Rule.NEVER_OVER)
-                .toList(), "seed " + SEED);
+            // How much of its floor a tenant uses is a matter of the machine's speed, and so is when a server reads a
+            // request.
+            assertEquals(
+                    List.of(),
+                    side.judged().stream()
+                            .filter(breach -> breach.rule() == Connections.Rule.NEVER_OVER)
+                            .toList(),
+                    "seed " + SEED);
             assertEquals(List.of(), side.accords(), "seed " + SEED);
             assertTrue(Connections.most(side.door.opens(), 0, Long.MAX_VALUE) > LOWERED, "seed " + SEED);
         }
--- a/src/test/java/rushpin/rig/DiscoveryTest.java
+++ b/src/test/java/rushpin/rig/DiscoveryTest.java
@@ -26,10 +26,12 @@
             Discovery discovery = yard.pool("one", 1, work, 1);
             AppServer server = yard.servers("one").get(0);
             List<Long> heard = new ArrayList<>();
-            try (Socket watch = new Socket(discovery.socket().getAddress(), discovery.socket().getPort())) {
-                watch.getOutputStream().write("GET /watch HTTP/1.1\r\nHost: d\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                BufferedReader lines = new BufferedReader(new InputStreamReader(watch.getInputStream(),
-                    StandardCharsets.US_ASCII));
+            try (Socket watch = new Socket(
+                    discovery.socket().getAddress(), discovery.socket().getPort())) {
+                watch.getOutputStream()
+                        .write("GET /watch HTTP/1.1\r\nHost: d\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                BufferedReader lines =
+                        new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.US_ASCII));
                 await(lines, "Ready");
                 for (int i = 0; i < DRAINS; i++) {
                     discovery.set(server, "Terminating", 0);
@@ -43,8 +45,9 @@
             List<Records.Told> told = List.copyOf(yard.records.told());
             assertEquals(DRAINS, told.size());
             for (int i = 0; i < DRAINS; i++) {
-                assertTrue(told.get(i).until() <= heard.get(i), "drain " + i + " ends "
-                    + (told.get(i).until() - heard.get(i)) + " ns after its end was heard");
+                assertTrue(
+                        told.get(i).until() <= heard.get(i),
+                        "drain " + i + " ends " + (told.get(i).until() - heard.get(i)) + " ns after its end was heard");
             }
         }
     }
--- a/src/test/java/rushpin/rig/FaultsTest.java
+++ b/src/test/java/rushpin/rig/FaultsTest.java
@@ -13,7 +13,9 @@
     @Test
     void theSameFaultsComeFromTheSameSeed() {
         List<Faults.Kind> kinds = List.of(Faults.Kind.STALL, Faults.Kind.RESET);
-        assertEquals(Faults.drawn(7, 60_000, kinds).all(), Faults.drawn(7, 60_000, kinds).all());
+        assertEquals(
+                Faults.drawn(7, 60_000, kinds).all(),
+                Faults.drawn(7, 60_000, kinds).all());
         assertTrue(Faults.drawn(7, 60_000, kinds).all().size() > 3);
         Faults one = new Faults(List.of(new Faults.Fault(Faults.Kind.LIE, 100, 50)));
         assertEquals(null, one.at(99));
--- a/src/test/java/rushpin/rig/HandOverTest.java
+++ b/src/test/java/rushpin/rig/HandOverTest.java
@@ -24,10 +24,23 @@
             Discovery discovery = yard.pool("one", 2, new AppServer.Work(8, 16, 1_000, 2_000, 4_000_000_000L), 1);
             FleetNode node = new FleetNode(0, FleetNode.Way.INHERITED, yard.folder);
             try (node) {
-                Path config = yard.write("n.json", RigConfig.json("n", "127.0.1.1:" + node.address.getPort(), 0, 512, 2,
-                    discovery, yard.counter, List.of(new RigConfig.Plan("bulk", 100_000, 100_000, 0, 0, 0))));
-                node.configure(config, yard.write("n.toml", "[process]\nlistener = \"inherited\"\n[[pool]]\nname = \"one\"\n"
-                    + "settings = \"platform\"\n[[route]]\npool = \"one\"\n"));
+                Path config = yard.write(
+                        "n.json",
+                        RigConfig.json(
+                                "n",
+                                "127.0.1.1:" + node.address.getPort(),
+                                0,
+                                512,
+                                2,
+                                discovery,
+                                yard.counter,
+                                List.of(new RigConfig.Plan("bulk", 100_000, 100_000, 0, 0, 0))));
+                node.configure(
+                        config,
+                        yard.write(
+                                "n.toml",
+                                "[process]\nlistener = \"inherited\"\n[[pool]]\nname = \"one\"\n"
+                                        + "settings = \"platform\"\n[[route]]\npool = \"one\"\n"));
                 node.start();
                 AtomicBoolean over = new AtomicBoolean();
                 AtomicInteger asked = new AtomicInteger(), answered = new AtomicInteger();
@@ -59,9 +72,11 @@
     private static boolean ask(FleetNode node, String id) {
         try (Socket socket = new Socket(node.address.getAddress(), node.address.getPort())) {
             socket.setSoTimeout(30_000);
-            socket.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + id + "\r\nX-Qos: lookup\r\n"
-                + "X-Plan: bulk\r\nCookie: customer=0000000000000001\r\nX-Expires-In-Ms: 4000\r\n"
-                + "X-Quota: units=1,spread=1,first=0\r\nConnection: close\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(("GET /api HTTP/1.1\r\nHost: h\r\nX-Trace-Id: " + id + "\r\nX-Qos: lookup\r\n"
+                                    + "X-Plan: bulk\r\nCookie: customer=0000000000000001\r\nX-Expires-In-Ms: 4000\r\n"
+                                    + "X-Quota: units=1,spread=1,first=0\r\nConnection: close\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
             String status = new String(in.readNBytes(12), StandardCharsets.US_ASCII);
             return status.matches("HTTP/1\\.1 (200|429|503)");
--- a/src/test/java/rushpin/rig/LinksTest.java
+++ b/src/test/java/rushpin/rig/LinksTest.java
@@ -264,23 +264,26 @@
     void aScriptIsTheSameFromTheSameSeedAndIsPlayedAndWrittenDownInOrder() throws Exception {
         links.open("b", "a", new InetSocketAddress("127.0.0.1", there.getLocalPort()));
         List<Link> all = links.all();
-        List<Way> ways = List.of(Way.SILENT, Way.REFUSE, Way.RESET, Way.delay(1, 9), Way.trickle(100), Way.FORTH, Way.BACK);
+        List<Way> ways =
+                List.of(Way.SILENT, Way.REFUSE, Way.RESET, Way.delay(1, 9), Way.trickle(100), Way.FORTH, Way.BACK);
         List<Fault> drawn = LinkFaults.drawn(SEED, 60_000, all, ways);
         assertEquals(drawn, LinkFaults.drawn(SEED, 60_000, all, ways));
         assertFalse(drawn.equals(LinkFaults.drawn(SEED + 1, 60_000, all, ways)));
         assertTrue(drawn.size() > 10);
         for (Link link : all) {
             long free = 0;
-            for (Fault fault : drawn.stream().filter(one -> one.link().equals(link)).toList()) {
+            for (Fault fault :
+                    drawn.stream().filter(one -> one.link().equals(link)).toList()) {
                 assertTrue(fault.fromMs() >= free && fault.fromMs() + fault.forMs() <= 60_000, "seed " + SEED);
                 free = fault.fromMs() + fault.forMs();
             }
         }
         links.play(List.of(new Fault(all.get(0), Way.REFUSE, 0, 40), new Fault(all.get(1), Way.SILENT, 10, 10)))
-            .get(LONG_MS, TimeUnit.MILLISECONDS);
+                .get(LONG_MS, TimeUnit.MILLISECONDS);
         List<Links.Switched> made = links.switched().subList(all.size(), all.size() + 4);
-        assertEquals(List.of(Way.REFUSE, Way.SILENT, Way.THROUGH, Way.THROUGH),
-            made.stream().map(Links.Switched::way).toList());
+        assertEquals(
+                List.of(Way.REFUSE, Way.SILENT, Way.THROUGH, Way.THROUGH),
+                made.stream().map(Links.Switched::way).toList());
         for (int i = 1; i < made.size(); i++) {
             assertTrue(made.get(i).at() >= made.get(i - 1).at());
         }
@@ -319,7 +322,9 @@
         Map<String, String> after = list(view);
         assertEquals(Set.of("s-1 a", "s-2 b", "s-3 b"), after.keySet());
         assertEquals(before.get("s-1 a"), after.get("s-1 a"));
-        assertThrows(ExecutionException.class, () -> yard.discovery("one").view(Map.of()).open());
+        assertThrows(
+                ExecutionException.class,
+                () -> yard.discovery("one").view(Map.of()).open());
     }
 
     /** Where each server of a list is, by its id and zone. */
@@ -333,8 +338,12 @@
                 line = lines.readLine();
             }
             Map<String, String> all = new TreeMap<>();
-            new ObjectMapper().readTree(line).get("members").forEach(each -> all.put(each.get("id").asText() + " "
-                + each.get("locality").asText(), each.get("host_port").asText()));
+            new ObjectMapper()
+                    .readTree(line)
+                    .get("members")
+                    .forEach(each -> all.put(
+                            each.get("id").asText() + " " + each.get("locality").asText(),
+                            each.get("host_port").asText()));
             return all;
         }
     }
--- a/src/test/java/rushpin/rig/LoadTest.java
+++ b/src/test/java/rushpin/rig/LoadTest.java
@@ -35,8 +35,12 @@
         Records records = new Records();
         try (StandIn refuses = new Refuses(loop, came, enough)) {
             refuses.open();
-            Load load = new Load(loop, new Load.Group("one", "one.example.org", "/", 0, 4, "bulk", 3_000, 100, true),
-                refuses.socket(), records, 7);
+            Load load = new Load(
+                    loop,
+                    new Load.Group("one", "one.example.org", "/", 0, 4, "bulk", 3_000, 100, true),
+                    refuses.socket(),
+                    records,
+                    7);
             load.rate(200);
             enough.await();
             load.rate(0);
@@ -44,8 +48,8 @@
             int settled = came.get();
             assertEquals(settled, records.exchanges().size(), "seed 7");
             // Behind all that the loop would have sent: each was told to come again after half a second.
-            loop.schedule(() -> { }, 1, TimeUnit.SECONDS).sync();
-            loop.submit(() -> { }).sync();
+            loop.schedule(() -> {}, 1, TimeUnit.SECONDS).sync();
+            loop.submit(() -> {}).sync();
             assertEquals(settled, came.get(), "seed 7");
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -60,8 +64,12 @@
         CountDownLatch enough = new CountDownLatch(TRIES);
         try (StandIn refuses = new Refuses(loop, new AtomicInteger(), enough)) {
             refuses.open();
-            Load load = new Load(loop, new Load.Group("one", "one.example.org", "/", 0, 4, "bulk", 3_000, 100, false),
-                refuses.socket(), new Records(), 7);
+            Load load = new Load(
+                    loop,
+                    new Load.Group("one", "one.example.org", "/", 0, 4, "bulk", 3_000, 100, false),
+                    refuses.socket(),
+                    new Records(),
+                    7);
             for (int i = 0; i < TRIES; i++) {
                 load.rate(0);
                 load.rate(20);
@@ -94,8 +102,8 @@
                     if (part instanceof HttpRequest) {
                         came.incrementAndGet();
                         enough.countDown();
-                        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.SERVICE_UNAVAILABLE);
+                        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(
+                                HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
                         answer.headers().set("Content-Length", 0).set("Retry-After", "0.5");
                         context.writeAndFlush(answer);
                     }
--- a/src/test/java/rushpin/rig/ManagementServerTest.java
+++ b/src/test/java/rushpin/rig/ManagementServerTest.java
@@ -73,17 +73,24 @@
         }
     };
     private static final MethodDescriptor<String, String> WHO = MethodDescriptor.<String, String>newBuilder()
-        .setType(MethodDescriptor.MethodType.UNARY).setFullMethodName("yard.Gate/Who").setRequestMarshaller(TEXT)
-        .setResponseMarshaller(TEXT).build();
+            .setType(MethodDescriptor.MethodType.UNARY)
+            .setFullMethodName("yard.Gate/Who")
+            .setRequestMarshaller(TEXT)
+            .setResponseMarshaller(TEXT)
+            .build();
 
     private final List<Server> backends = new ArrayList<>();
 
     private Server backend(String name) throws IOException {
         Server made = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
-            .addService(ServerServiceDefinition.builder("yard.Gate").addMethod(WHO, ServerCalls.asyncUnaryCall((request, to) -> {
-                to.onNext(name);
-                to.onCompleted();
-            })).build()).build().start();
+                .addService(ServerServiceDefinition.builder("yard.Gate")
+                        .addMethod(WHO, ServerCalls.asyncUnaryCall((request, to) -> {
+                            to.onNext(name);
+                            to.onCompleted();
+                        }))
+                        .build())
+                .build()
+                .start();
         backends.add(made);
         return made;
     }
@@ -94,34 +101,59 @@
     }
 
     private static ClusterLoadAssignment at(Server... of) {
-        LocalityLbEndpoints.Builder locality = LocalityLbEndpoints.newBuilder().setLocality(Locality.newBuilder().setZone("a"))
-            .setLoadBalancingWeight(com.google.protobuf.UInt32Value.of(1));
+        LocalityLbEndpoints.Builder locality = LocalityLbEndpoints.newBuilder()
+                .setLocality(Locality.newBuilder().setZone("a"))
+                .setLoadBalancingWeight(com.google.protobuf.UInt32Value.of(1));
         for (Server each : of) {
-            locality.addLbEndpoints(LbEndpoint.newBuilder().setHealthStatus(HealthStatus.HEALTHY).setEndpoint(Endpoint.newBuilder()
-                .setAddress(Address.newBuilder().setSocketAddress(SocketAddress.newBuilder().setAddress("127.0.0.1")
-                    .setPortValue(each.getPort())))));
+            locality.addLbEndpoints(LbEndpoint.newBuilder()
+                    .setHealthStatus(HealthStatus.HEALTHY)
+                    .setEndpoint(Endpoint.newBuilder()
+                            .setAddress(Address.newBuilder()
+                                    .setSocketAddress(SocketAddress.newBuilder()
+                                            .setAddress("127.0.0.1")
+                                            .setPortValue(each.getPort())))));
         }
-        return ClusterLoadAssignment.newBuilder().setClusterName("yard").addEndpoints(locality).build();
+        return ClusterLoadAssignment.newBuilder()
+                .setClusterName("yard")
+                .addEndpoints(locality)
+                .build();
     }
 
     private static Listener listener() {
-        RouteConfiguration routes = RouteConfiguration.newBuilder().setName("r").addVirtualHosts(VirtualHost.newBuilder()
-            .setName("v").addDomains("*").addRoutes(Route.newBuilder().setMatch(RouteMatch.newBuilder().setPrefix(""))
-                .setRoute(RouteAction.newBuilder().setCluster("yard")))).build();
-        return Listener.newBuilder().setName("gate").setApiListener(ApiListener.newBuilder().setApiListener(Any.pack(
-            HttpConnectionManager.newBuilder().setRouteConfig(routes).addHttpFilters(HttpFilter.newBuilder().setName("router")
-                .setTypedConfig(Any.pack(Router.getDefaultInstance()))).build()))).build();
+        RouteConfiguration routes = RouteConfiguration.newBuilder()
+                .setName("r")
+                .addVirtualHosts(VirtualHost.newBuilder()
+                        .setName("v")
+                        .addDomains("*")
+                        .addRoutes(Route.newBuilder()
+                                .setMatch(RouteMatch.newBuilder().setPrefix(""))
+                                .setRoute(RouteAction.newBuilder().setCluster("yard"))))
+                .build();
+        return Listener.newBuilder()
+                .setName("gate")
+                .setApiListener(ApiListener.newBuilder()
+                        .setApiListener(Any.pack(HttpConnectionManager.newBuilder()
+                                .setRouteConfig(routes)
+                                .addHttpFilters(HttpFilter.newBuilder()
+                                        .setName("router")
+                                        .setTypedConfig(Any.pack(Router.getDefaultInstance())))
+                                .build())))
+                .build();
     }
 
     private static Cluster cluster() {
-        return Cluster.newBuilder().setName("yard").setType(Cluster.DiscoveryType.EDS).setEdsClusterConfig(
-            Cluster.EdsClusterConfig.newBuilder().setEdsConfig(ConfigSource.newBuilder().setAds(
-                AggregatedConfigSource.getDefaultInstance()))).setConnectTimeout(Duration.newBuilder().setSeconds(5)).build();
+        return Cluster.newBuilder()
+                .setName("yard")
+                .setType(Cluster.DiscoveryType.EDS)
+                .setEdsClusterConfig(Cluster.EdsClusterConfig.newBuilder()
+                        .setEdsConfig(ConfigSource.newBuilder().setAds(AggregatedConfigSource.getDefaultInstance())))
+                .setConnectTimeout(Duration.newBuilder().setSeconds(5))
+                .build();
     }
 
     private static String ask(ManagedChannel channel) {
-        return ClientCalls.blockingUnaryCall(channel, WHO, CallOptions.DEFAULT.withWaitForReady()
-            .withDeadlineAfter(60, TimeUnit.SECONDS), "?");
+        return ClientCalls.blockingUnaryCall(
+                channel, WHO, CallOptions.DEFAULT.withWaitForReady().withDeadlineAfter(60, TimeUnit.SECONDS), "?");
     }
 
     @Test
@@ -131,13 +163,23 @@
             server.set("gate", listener());
             server.set("yard", cluster());
             server.set("yard", at(first));
-            Map<String, ?> bootstrap = Map.of("node", Map.of("id", "judge"), "xds_servers", List.of(Map.of(
-                "server_uri", server.address(), "channel_creds", List.of(Map.of("type", "insecure")),
-                "server_features", List.of("xds_v3"))));
+            Map<String, ?> bootstrap = Map.of(
+                    "node",
+                    Map.of("id", "judge"),
+                    "xds_servers",
+                    List.of(Map.of(
+                            "server_uri",
+                            server.address(),
+                            "channel_creds",
+                            List.of(Map.of("type", "insecure")),
+                            "server_features",
+                            List.of("xds_v3"))));
             // A registration of its own: the bootstrap is this test's alone.
             XdsNameResolverProvider provider = XdsNameResolverProvider.createForTest("judge-xds", bootstrap);
             io.grpc.NameResolverRegistry.getDefaultRegistry().register(provider);
-            ManagedChannel channel = NettyChannelBuilder.forTarget("judge-xds:///gate").usePlaintext().build();
+            ManagedChannel channel = NettyChannelBuilder.forTarget("judge-xds:///gate")
+                    .usePlaintext()
+                    .build();
             try {
                 assertEquals("first", ask(channel));
                 server.set("yard", at(second));
@@ -154,7 +196,9 @@
                     who = ask(channel);
                 }
                 assertEquals("first", who);
-                for (ManagementServer.Reply reply = server.replies().poll(); reply != null; reply = server.replies().poll()) {
+                for (ManagementServer.Reply reply = server.replies().poll();
+                        reply != null;
+                        reply = server.replies().poll()) {
                     assertEquals(null, reply.error(), "nothing was refused: " + reply);
                     assertNotNull(reply.nonce());
                 }
--- a/src/test/java/rushpin/rig/ZonesProcessTest.java
+++ b/src/test/java/rushpin/rig/ZonesProcessTest.java
@@ -30,12 +30,17 @@
         assertEquals(List.of(), side.judged(), "seed " + SEED);
         assertEquals(List.of(), side.accords(), "seed " + SEED);
         // Whether answers come within the clients' patience is a matter of the machine's speed.
-        assertEquals(List.of(), side.rules().stream().filter(breach -> breach.rule() != Judge.Rule.NO_REQUEST_LOST).toList(),
-            "seed " + SEED);
+        assertEquals(
+                List.of(),
+                side.rules().stream()
+                        .filter(breach -> breach.rule() != Judge.Rule.NO_REQUEST_LOST)
+                        .toList(),
+                "seed " + SEED);
     }
 
     private static Predicate<Agreed> nearBut(String... zones) {
-        return plan -> TogetherFleet.ZONES.stream().allMatch(zone -> List.of(zones).contains(zone) || near(zone).test(plan));
+        return plan -> TogetherFleet.ZONES.stream()
+                .allMatch(zone -> List.of(zones).contains(zone) || near(zone).test(plan));
     }
 
     /**
@@ -58,8 +63,9 @@
             planner.start();
             side.away(planner, false);
             side.awaitNow(zone + " left by all", left(zone).and(nearBut(zone)));
-            assertTrue(side.agreed().stream().filter(plan -> plan.at() > from).allMatch(nearBut(zone)),
-                () -> "seed " + SEED + " " + side.agreed());
+            assertTrue(
+                    side.agreed().stream().filter(plan -> plan.at() > from).allMatch(nearBut(zone)),
+                    () -> "seed " + SEED + " " + side.agreed());
             judged(side);
         }
     }
@@ -74,8 +80,9 @@
             side.fails("b", "order");
             long at = side.await("orders of b left", from, plan -> ZoneSide.part(plan, "b", "yard.order", "b") <= 50);
             System.out.printf("orders of b left after %.1f s%n", (at - from) / 1e9);
-            assertTrue(side.agreed().stream().filter(plan -> plan.at() > from).allMatch(nearBut()),
-                () -> "seed " + SEED + " " + side.agreed());
+            assertTrue(
+                    side.agreed().stream().filter(plan -> plan.at() > from).allMatch(nearBut()),
+                    () -> "seed " + SEED + " " + side.agreed());
             side.fails("b", null);
             judged(side);
         }
@@ -91,7 +98,8 @@
             side.way(side.in("a").get(0), "a", Way.RESET);
             side.way(side.in("b").get(0), "b", Way.delay(200, 500));
             // A new planner looks at all anew: its first plan and those after it are made with the trouble in sight.
-            side.fleet.await("requests there", () -> side.seen(from, System.nanoTime()).asked() > 400);
+            side.fleet.await(
+                    "requests there", () -> side.seen(from, System.nanoTime()).asked() > 400);
             Member planner = side.planner();
             planner.kill();
             side.away(planner, true);
@@ -99,8 +107,9 @@
             planner.start();
             side.away(planner, false);
             side.fleet.await("all well", () -> side.fleet.isWell(ZoneSide.PLANNER));
-            assertTrue(side.agreed().stream().filter(plan -> plan.at() > from).allMatch(nearBut()),
-                () -> "seed " + SEED + " " + side.agreed());
+            assertTrue(
+                    side.agreed().stream().filter(plan -> plan.at() > from).allMatch(nearBut()),
+                    () -> "seed " + SEED + " " + side.agreed());
             judged(side);
         }
     }
--- a/src/test/java/rushpin/route/RoutePropertiesTest.java
+++ b/src/test/java/rushpin/route/RoutePropertiesTest.java
@@ -31,16 +31,24 @@
 
     @Provide
     Arbitrary<List<Route>> routes() {
-        Arbitrary<String> host = Arbitraries.of("a.example", "*.a.example", "*.example", "b.example").injectNull(0.3);
+        Arbitrary<String> host = Arbitraries.of("a.example", "*.a.example", "*.example", "b.example")
+                .injectNull(0.3);
         Arbitrary<String> path = Arbitraries.of("/a", "/a/b", "/b").injectNull(0.7);
         Arbitrary<String> prefix = Arbitraries.of("/", "/a", "/a/b").injectNull(0.4);
         Arbitrary<String> method = Arbitraries.of("GET", "POST").injectNull(0.6);
         Arbitrary<String> kind = Arbitraries.of("lookup", "order").injectNull(0.6);
-        Arbitrary<Map<String, String>> headers = Arbitraries.maps(Arbitraries.of("X-One", "X-Two"),
-            Arbitraries.of("1", "2")).ofMaxSize(2);
-        Arbitrary<Route> route = Combinators.combine(Arbitraries.strings().withCharRange('p', 'z').ofLength(3), host, path,
-            prefix, method, kind, headers).as((pool, h, p, x, m, k, hs) -> new Route(pool, h, p, p == null ? x : null, m, k,
-                hs));
+        Arbitrary<Map<String, String>> headers = Arbitraries.maps(
+                        Arbitraries.of("X-One", "X-Two"), Arbitraries.of("1", "2"))
+                .ofMaxSize(2);
+        Arbitrary<Route> route = Combinators.combine(
+                        Arbitraries.strings().withCharRange('p', 'z').ofLength(3),
+                        host,
+                        path,
+                        prefix,
+                        method,
+                        kind,
+                        headers)
+                .as((pool, h, p, x, m, k, hs) -> new Route(pool, h, p, p == null ? x : null, m, k, hs));
         return route.list().ofMaxSize(12).map(RoutePropertiesTest::withoutTies);
     }
 
@@ -57,14 +65,19 @@
 
     @Provide
     Arbitrary<Asked> asked() {
-        return Combinators.combine(Arbitraries.of(HOSTS), Arbitraries.of("/", "/a", "/a/b", "/a/b/c", "/ab", "/b"),
-            Arbitraries.of("GET", "POST"), Arbitraries.of("lookup", "order"),
-            Arbitraries.maps(Arbitraries.of("x-one", "x-two"), Arbitraries.of("1", "2")).ofMaxSize(2)).as(Asked::new);
+        return Combinators.combine(
+                        Arbitraries.of(HOSTS),
+                        Arbitraries.of("/", "/a", "/a/b", "/a/b/c", "/ab", "/b"),
+                        Arbitraries.of("GET", "POST"),
+                        Arbitraries.of("lookup", "order"),
+                        Arbitraries.maps(Arbitraries.of("x-one", "x-two"), Arbitraries.of("1", "2"))
+                                .ofMaxSize(2))
+                .as(Asked::new);
     }
 
     @Property
-    void theOrderOfTheFileMeansNothing(@ForAll("routes") List<Route> routes, @ForAll("asked") Asked asked,
-                                       @ForAll long seed) throws Exception {
+    void theOrderOfTheFileMeansNothing(
+            @ForAll("routes") List<Route> routes, @ForAll("asked") Asked asked, @ForAll long seed) throws Exception {
         List<Route> shuffled = new ArrayList<>(routes);
         Collections.shuffle(shuffled, new Random(seed));
         assertEquals(asked.of(new RouteTable(routes)), asked.of(new RouteTable(shuffled)));
@@ -73,22 +86,33 @@
     /** Held against another wording of the order: the best of all that match, found by scoring each part alone. */
     @Property
     void theMostSpecificOfTheMatchingRoutesWins(@ForAll("routes") List<Route> routes, @ForAll("asked") Asked asked)
-        throws Exception {
+            throws Exception {
         String best = null;
         String bestScore = "";
         for (Route r : routes) {
-            boolean host = r.host() == null || r.host().equals(asked.host)
-                || r.host().startsWith("*") && asked.host.endsWith(r.host().substring(1));
-            boolean path = r.path() != null ? asked.path.equals(r.path())
-                : r.prefix() == null || (asked.path + "/").startsWith(r.prefix().equals("/") ? "/" : r.prefix() + "/");
+            boolean host = r.host() == null
+                    || r.host().equals(asked.host)
+                    || r.host().startsWith("*") && asked.host.endsWith(r.host().substring(1));
+            boolean path = r.path() != null
+                    ? asked.path.equals(r.path())
+                    : r.prefix() == null
+                            || (asked.path + "/").startsWith(r.prefix().equals("/") ? "/" : r.prefix() + "/");
             boolean rest = (r.method() == null || r.method().equals(asked.method))
-                && (r.requestClass() == null || r.requestClass().equals(asked.kind))
-                && r.headers().entrySet().stream().allMatch(e -> e.getValue().equals(asked.headers.get(e.getKey())));
+                    && (r.requestClass() == null || r.requestClass().equals(asked.kind))
+                    && r.headers().entrySet().stream()
+                            .allMatch(e -> e.getValue().equals(asked.headers.get(e.getKey())));
             if (host && path && rest) {
-                String score = String.format("%04d%04d%d%d%d",
-                    r.host() == null ? 0 : r.host().startsWith("*") ? r.host().length() : 9999,
-                    r.path() != null ? 9999 : r.prefix() == null ? 0 : r.prefix().length(), r.method() == null ? 0 : 1,
-                    r.requestClass() == null ? 0 : 1, r.headers().size());
+                String score = String.format(
+                        "%04d%04d%d%d%d",
+                        r.host() == null
+                                ? 0
+                                : r.host().startsWith("*") ? r.host().length() : 9999,
+                        r.path() != null
+                                ? 9999
+                                : r.prefix() == null ? 0 : r.prefix().length(),
+                        r.method() == null ? 0 : 1,
+                        r.requestClass() == null ? 0 : 1,
+                        r.headers().size());
                 if (score.compareTo(bestScore) > 0) {
                     bestScore = score;
                     best = r.pool();
@@ -101,8 +125,20 @@
     @Test
     void aPrefixIsWholeSegments() throws Exception {
         RouteTable table = new RouteTable(List.of(new Route("p", null, null, "/orders", null, null, Map.of())));
-        for (Map.Entry<String, Boolean> one : new TreeMap<>(Map.of("/orders", true, "/orders/", true, "/orders/7", true,
-            "/ordersx", false, "/order", false, "/Orders", false)).entrySet()) {
+        for (Map.Entry<String, Boolean> one : new TreeMap<>(Map.of(
+                        "/orders",
+                        true,
+                        "/orders/",
+                        true,
+                        "/orders/7",
+                        true,
+                        "/ordersx",
+                        false,
+                        "/order",
+                        false,
+                        "/Orders",
+                        false))
+                .entrySet()) {
             String pool = table.find(Reading.of(one.getKey(), "h", true), "GET", null, name -> null);
             if (one.getValue()) {
                 assertEquals("p", pool, one.getKey());
@@ -127,7 +163,7 @@
         Route other = new Route("q", "h", null, "/a", null, null, Map.of("x-one", "2"));
         assertTrue(one.ties(two), "a request may have both headers");
         assertFalse(one.ties(other), "no request has both values");
-        assertEquals(List.of(new RouteTable.Tie(0, 1), new RouteTable.Tie(1, 2)),
-            RouteTable.ties(List.of(one, two, other)));
+        assertEquals(
+                List.of(new RouteTable.Tie(0, 1), new RouteTable.Tie(1, 2)), RouteTable.ties(List.of(one, two, other)));
     }
 }
--- a/src/test/java/rushpin/study/StudyTest.java
+++ b/src/test/java/rushpin/study/StudyTest.java
@@ -27,6 +27,7 @@
 @Tag("long")
 class StudyTest {
     private static final Path SETTINGS = Path.of("deploy/pools/lookups.json");
+
     @TempDir
     Path folder;
 
@@ -44,35 +45,56 @@
 
     private static Comparison compare(String a, String b, int seeds, int threads) throws Exception {
         try (Runner runner = new Runner(threads, 60)) {
-            return new Study(runner, day(), null, options(seeds)).compare(Choice.of(a, SETTINGS), Choice.of(b, SETTINGS));
+            return new Study(runner, day(), null, options(seeds))
+                    .compare(Choice.of(a, SETTINGS), Choice.of(b, SETTINGS));
         }
     }
 
     /** A build whose gateway is the running one's, or one of this body. */
     private String jar(String name, String body) throws Exception {
         Path classes = Files.createDirectories(folder.resolve(name));
-        Path own = Path.of(Gateway.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path own = Path.of(Gateway.class
+                .getProtectionDomain()
+                .getCodeSource()
+                .getLocation()
+                .toURI());
         if (body != null) {
             Path source = Files.createDirectories(folder.resolve(name + "-src")).resolve("Gateway.java");
-            Files.writeString(source, "package rushpin.gateway; public final class Gateway implements Ports.Events {\n"
-                + "public Gateway(Ports.Settings s, long seed, long now, Ports.Actions a) { " + body + " }\n"
-                + "public void list(long n, Ports.ListKind k, java.util.List<Ports.Server> e) { }\n"
-                + "public void request(long n, Ports.Request r) { throw new IllegalStateException(\"made to\"); }\n"
-                + "public void attemptEnded(long n, Ports.Result r) { }\npublic void streamStarted(long n, String i) { }\n"
-                + "public void bodyGone(long n, String i) { }\npublic void clientGone(long n, String i) { }\n"
-                + "public void counted(long n, long m, Ports.Outcome o, double t) { }\n"
-                + "public void probed(long n, String s, Ports.Outcome o, long t, java.util.List<Double> r) { }\n"
-                + "public void timer(long n, long t) { }\npublic void restore(long n, long c, int p, int s, double u) { }\n"
-                + "public void give(long n, double p) { }\npublic void inherit(long n, long c, int p, int s, double u) { }\n"
-                + "public void processes(long n, int c) { }\npublic void settings(long n, Ports.Settings s, int[] w) { }\n"
-                + "public void zones(long n, int[][] p) { }\npublic void clock(long n, long a) { }\n}\n");
-            assertEquals(0, ToolProvider.getSystemJavaCompiler().run(null, null, null, "-d", classes.toString(), "-cp",
-                System.getProperty("java.class.path"), source.toString()));
+            Files.writeString(
+                    source,
+                    "package rushpin.gateway; public final class Gateway implements Ports.Events {\n"
+                            + "public Gateway(Ports.Settings s, long seed, long now, Ports.Actions a) { " + body
+                            + " }\n"
+                            + "public void list(long n, Ports.ListKind k, java.util.List<Ports.Server> e) { }\n"
+                            + "public void request(long n, Ports.Request r) { throw new IllegalStateException(\"made to\"); }\n"
+                            + "public void attemptEnded(long n, Ports.Result r) { }\npublic void streamStarted(long n, String i) { }\n"
+                            + "public void bodyGone(long n, String i) { }\npublic void clientGone(long n, String i) { }\n"
+                            + "public void counted(long n, long m, Ports.Outcome o, double t) { }\n"
+                            + "public void probed(long n, String s, Ports.Outcome o, long t, java.util.List<Double> r) { }\n"
+                            + "public void timer(long n, long t) { }\npublic void restore(long n, long c, int p, int s, double u) { }\n"
+                            + "public void give(long n, double p) { }\npublic void inherit(long n, long c, int p, int s, double u) { }\n"
+                            + "public void processes(long n, int c) { }\npublic void settings(long n, Ports.Settings s, int[] w) { }\n"
+                            + "public void zones(long n, int[][] p) { }\npublic void clock(long n, long a) { }\n}\n");
+            assertEquals(
+                    0,
+                    ToolProvider.getSystemJavaCompiler()
+                            .run(
+                                    null,
+                                    null,
+                                    null,
+                                    "-d",
+                                    classes.toString(),
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    source.toString()));
         }
         Path jar = folder.resolve(name + ".jar");
-        try (OutputStream out = Files.newOutputStream(jar); JarOutputStream to = new JarOutputStream(out);
-             Stream<Path> files = Files.list(own.resolve("rushpin/gateway"))) {
-            for (Path file : files.filter(f -> body == null || !f.getFileName().toString().startsWith("Gateway")).toList()) {
+        try (OutputStream out = Files.newOutputStream(jar);
+                JarOutputStream to = new JarOutputStream(out);
+                Stream<Path> files = Files.list(own.resolve("rushpin/gateway"))) {
+            for (Path file : files.filter(
+                            f -> body == null || !f.getFileName().toString().startsWith("Gateway"))
+                    .toList()) {
                 to.putNextEntry(new JarEntry("rushpin/gateway/" + file.getFileName()));
                 to.write(Files.readAllBytes(file));
             }
@@ -86,10 +108,12 @@
 
     @Test
     void theNumberOfThreadsChangesNoFigure() throws Exception {
-        Comparison one = compare("as-is", "caps.max-attempts=1", 4, 1), many = compare("as-is", "caps.max-attempts=1", 4, 4);
+        Comparison one = compare("as-is", "caps.max-attempts=1", 4, 1),
+                many = compare("as-is", "caps.max-attempts=1", 4, 4);
         for (int i = 0; i < 4; i++) {
             for (String name : one.runs(true).get(i).keySet()) {
-                Object a = one.runs(false).get(i).get(name), b = many.runs(false).get(i).get(name);
+                Object a = one.runs(false).get(i).get(name),
+                        b = many.runs(false).get(i).get(name);
                 if (a instanceof double[] series) {
                     assertArrayEquals(series, (double[]) b, name);
                 } else {
@@ -110,39 +134,55 @@
         Comparison found = compare("as-is", jar("same", null), 6, 4);
         assertEquals(Verdict.CANNOT_TELL, found.verdict());
         assertEquals(0, found.figures().get(0).difference().high());
-        assertEquals(found.runs(true).get(0).get("events"), found.runs(false).get(0).get("events"));
+        assertEquals(
+                found.runs(true).get(0).get("events"), found.runs(false).get(0).get("events"));
     }
 
     @Test
     void aBuildThatThrowsLosesAndSoDoesOneThatGoesRound() throws Exception {
         Comparison thrown = compare("as-is", jar("throws", "a.timer(0, 1000000);"), 6, 4);
         assertEquals(Verdict.A, thrown.verdict());
-        assertTrue(thrown.reasons().get(0).contains("B failed at seed 1: java.lang.IllegalStateException: made to"),
-            thrown.reasons().toString());
+        assertTrue(
+                thrown.reasons().get(0).contains("B failed at seed 1: java.lang.IllegalStateException: made to"),
+                thrown.reasons().toString());
         try (Runner runner = new Runner(2, 3)) {
-            Comparison round = new Study(runner, day(), null, options(6)).compare(
-                Choice.of(jar("round", "while (s != null) { Thread.onSpinWait(); }"), SETTINGS), Choice.of("as-is", SETTINGS));
+            Comparison round = new Study(runner, day(), null, options(6))
+                    .compare(
+                            Choice.of(jar("round", "while (s != null) { Thread.onSpinWait(); }"), SETTINGS),
+                            Choice.of("as-is", SETTINGS));
             assertEquals(Verdict.B, round.verdict());
-            assertTrue(round.reasons().get(0).contains("A failed at seed 1: it came to no end within 3 s"), round.reasons().toString());
+            assertTrue(
+                    round.reasons().get(0).contains("A failed at seed 1: it came to no end within 3 s"),
+                    round.reasons().toString());
         }
     }
 
     @Test
     void wordsThatAreNoChoiceAreNamed() throws Exception {
-        assertTrue(assertThrows(Unusable.class, () -> Choice.of("fast", SETTINGS)).getMessage().contains("\"fast\" is none of"));
-        assertTrue(assertThrows(Unusable.class, () -> Choice.of("as-is", null)).getMessage().contains("names no settings"));
-        assertTrue(assertThrows(Unusable.class, () -> Choice.of("caps.colour=1", SETTINGS)).getMessage().contains("has no key caps.colour"));
-        assertTrue(assertThrows(Unusable.class, () -> Choice.of("nowhere.json", null)).getMessage().contains("nowhere.json"));
+        assertTrue(assertThrows(Unusable.class, () -> Choice.of("fast", SETTINGS))
+                .getMessage()
+                .contains("\"fast\" is none of"));
+        assertTrue(assertThrows(Unusable.class, () -> Choice.of("as-is", null))
+                .getMessage()
+                .contains("names no settings"));
+        assertTrue(assertThrows(Unusable.class, () -> Choice.of("caps.colour=1", SETTINGS))
+                .getMessage()
+                .contains("has no key caps.colour"));
+        assertTrue(assertThrows(Unusable.class, () -> Choice.of("nowhere.json", null))
+                .getMessage()
+                .contains("nowhere.json"));
         Files.writeString(folder.resolve("empty.jar"), "no jar");
         String no = folder.resolve("empty.jar").toString();
-        assertTrue(assertThrows(Unusable.class, () -> compare("as-is", no, 6, 1)).getMessage().contains("cannot be read"));
+        assertTrue(assertThrows(Unusable.class, () -> compare("as-is", no, 6, 1))
+                .getMessage()
+                .contains("cannot be read"));
     }
 
     @Test
     void aSweepHoldsEachValueAgainstTheChoiceAsItStands() throws Exception {
         try (Runner runner = new Runner(4, 60)) {
-            List<Comparison> all = new Study(runner, day(), null, options(10)).sweep(Choice.of("as-is", SETTINGS),
-                "caps.max-attempts", List.of("1", "6"));
+            List<Comparison> all = new Study(runner, day(), null, options(10))
+                    .sweep(Choice.of("as-is", SETTINGS), "caps.max-attempts", List.of("1", "6"));
             assertEquals(Verdict.A, all.get(0).verdict(), all.get(0).reasons().toString());
             assertEquals(Verdict.CANNOT_TELL, all.get(1).verdict(), "6 is what stands there");
         }
@@ -155,7 +195,9 @@
         day.put("class.window-lookup.work", "quantiles 1 2 3");
         assertEquals(day, DayFile.parse(DayFile.text(day, List.of("a note")), "written"));
         Day.of(day);
-        assertTrue(assertThrows(Unusable.class, () -> DayFile.parse("a = ", "x.toml")).getMessage().contains("x.toml, line 1"));
+        assertTrue(assertThrows(Unusable.class, () -> DayFile.parse("a = ", "x.toml"))
+                .getMessage()
+                .contains("x.toml, line 1"));
         Map<String, String> given = DayFile.read(Path.of("deploy/model/given.toml"));
         assertEquals("4", given.get("servers.cores"));
     }
@@ -166,10 +208,17 @@
         List<String> table = Reports.table(found, "as-is", "caps.max-attempts=1");
         assertEquals("verdict: A", table.get(table.size() - 1));
         String json = Reports.json(found, "as-is", "b", new TreeMap<>(day()));
-        assertEquals("A", new com.fasterxml.jackson.databind.ObjectMapper().readTree(json).get("verdict").asText());
+        assertEquals(
+                "A",
+                new com.fasterxml.jackson.databind.ObjectMapper()
+                        .readTree(json)
+                        .get("verdict")
+                        .asText());
         String page = Reports.page(found, "as-is", "<b>");
         assertEquals(3, page.split("data:image/svg", -1).length - 1);
-        assertTrue(page.contains("&lt;b&gt;") && !page.contains("http://") && !page.contains("src=\"/"), "one page, nothing from elsewhere");
+        assertTrue(
+                page.contains("&lt;b&gt;") && !page.contains("http://") && !page.contains("src=\"/"),
+                "one page, nothing from elsewhere");
     }
 
     @Test
--- a/src/test/java/rushpin/traffic/RecorderTest.java
+++ b/src/test/java/rushpin/traffic/RecorderTest.java
@@ -30,6 +30,7 @@
 class RecorderTest {
     @TempDir
     Path folder;
+
     private final ConcurrentLinkedQueue<String> said = new ConcurrentLinkedQueue<>();
     private Path key;
 
@@ -39,8 +40,23 @@
     }
 
     private static Entry entry(String node, long at, long customer) {
-        return new Entry(node, "p", at, "lookup", "bulk", customer, 2, 3, 900_000, false, 3, 1, Entry.End.SERVED, 41_000,
-            List.of(new Entry.Try("s-1", 5, 9_000, "ERROR"), new Entry.Try("s-2", 9_100, 30_000, "OK")), 0);
+        return new Entry(
+                node,
+                "p",
+                at,
+                "lookup",
+                "bulk",
+                customer,
+                2,
+                3,
+                900_000,
+                false,
+                3,
+                1,
+                Entry.End.SERVED,
+                41_000,
+                List.of(new Entry.Try("s-1", 5, 9_000, "ERROR"), new Entry.Try("s-2", 9_100, 30_000, "OK")),
+                0);
     }
 
     private Keeping keeping(long fileBytes, long mostBytes) {
@@ -87,8 +103,11 @@
         byte[] all = Files.readAllBytes(file);
         Files.write(file, java.util.Arrays.copyOf(all, all.length - 7));
         Recorded read = Recorded.read(folder.resolve("records"));
-        assertTrue(read.entries().size() > 0 && read.entries().size() < 3_000, "read " + read.entries().size());
-        assertTrue(read.notes().get(0).contains("last whole block"), read.notes().toString());
+        assertTrue(
+                read.entries().size() > 0 && read.entries().size() < 3_000,
+                "read " + read.entries().size());
+        assertTrue(
+                read.notes().get(0).contains("last whole block"), read.notes().toString());
     }
 
     @Test
@@ -98,18 +117,24 @@
             writer.setMeta(Form.VERSION_KEY, 2).create(Form.REQUEST, file.toFile());
             writer.append(Form.of(entry("n1", 1, 1)));
         }
-        String why = assertThrows(Recorded.Unreadable.class, () -> Recorded.read(folder.resolve("records"))).getMessage();
+        String why = assertThrows(Recorded.Unreadable.class, () -> Recorded.read(folder.resolve("records")))
+                .getMessage();
         assertTrue(why.contains("version 2") && why.contains("reads 1"), why);
     }
 
     @Test
     void anEmptyFolderAFileOfNoiseAndAnOddRequestAreSaid() throws Exception {
         Path records = Files.createDirectories(folder.resolve("records"));
-        assertTrue(assertThrows(Recorded.Unreadable.class, () -> Recorded.read(records)).getMessage().contains("no file"));
+        assertTrue(assertThrows(Recorded.Unreadable.class, () -> Recorded.read(records))
+                .getMessage()
+                .contains("no file"));
         Files.writeString(records.resolve("n0-0.avro"), "noise");
-        assertTrue(assertThrows(Recorded.Unreadable.class, () -> Recorded.read(records)).getMessage().contains("no request"));
+        assertTrue(assertThrows(Recorded.Unreadable.class, () -> Recorded.read(records))
+                .getMessage()
+                .contains("no request"));
         try (DataFileWriter<GenericRecord> writer = new DataFileWriter<>(new GenericDatumWriter<>(Form.REQUEST))) {
-            writer.setMeta(Form.VERSION_KEY, 1).create(Form.REQUEST, records.resolve("n1-1.avro").toFile());
+            writer.setMeta(Form.VERSION_KEY, 1)
+                    .create(Form.REQUEST, records.resolve("n1-1.avro").toFile());
             writer.append(Form.of(entry("n1", 1, 1)));
             GenericRecord odd = Form.of(entry("n1", 2, 1));
             odd.put("end", "VANISHED");
@@ -117,8 +142,10 @@
         }
         Recorded read = Recorded.read(records);
         assertEquals(1, read.entries().size());
-        assertTrue(read.notes().stream().anyMatch(note -> note.contains("1 requests left out") && note.contains("VANISHED")),
-            read.notes().toString());
+        assertTrue(
+                read.notes().stream()
+                        .anyMatch(note -> note.contains("1 requests left out") && note.contains("VANISHED")),
+                read.notes().toString());
     }
 
     @Test
@@ -143,8 +170,12 @@
         Keeping small = keeping(100, 125 + bytes * 3 / 2);
         record(small, after);
         record(small, after + 1);
-        assertEquals(List.of(1_000 * after, 1_000 * (after + 1)),
-            Recorded.read(folder.resolve("records")).entries().stream().map(Entry::at).sorted().toList());
+        assertEquals(
+                List.of(1_000 * after, 1_000 * (after + 1)),
+                Recorded.read(folder.resolve("records")).entries().stream()
+                        .map(Entry::at)
+                        .sorted()
+                        .toList());
     }
 
     private void record(Keeping keeping, long atMs) throws Exception {
@@ -171,8 +202,8 @@
     void onlyTheNewestBytesOfANodeStayAndOthersAreLeftAlone() throws Exception {
         Keeping small = keeping(100, 1_000);
         assertTrue(Retention.isFull(100, small) && !Retention.isFull(99, small));
-        List<Retention.Kept> kept = List.of(new Retention.Kept("n1-2", 400), new Retention.Kept("n1-1", 400),
-            new Retention.Kept("n1-3", 400));
+        List<Retention.Kept> kept = List.of(
+                new Retention.Kept("n1-2", 400), new Retention.Kept("n1-1", 400), new Retention.Kept("n1-3", 400));
         assertEquals(List.of("n1-1"), Retention.surplus(kept, small));
         assertEquals(List.of(), Retention.surplus(kept.subList(0, 2), small));
         Path records = Files.createDirectories(folder.resolve("records"));
