--- a/src/main/java/rushpin/config/Config.java
+++ b/src/main/java/rushpin/config/Config.java
@@ -18,8 +18,8 @@
 import rushpin.gateway.SettingsReader;
 import rushpin.membership.Json;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
-import rushpin.membership.discovery.RollReader;
+import rushpin.membership.ServerListUpdate;
+import rushpin.membership.discovery.ServerListReader;
 import rushpin.net.Upstream;
 
 /**
@@ -44,7 +44,7 @@
         long seed,
         int sockets,
         long memory,
-        Roll known,
+        ServerListUpdate known,
         long connectTimeout,
         long keepAlive,
         Names names,
@@ -61,7 +61,7 @@
             long seed,
             int sockets,
             long memory,
-            Roll known,
+            ServerListUpdate known,
             long connectTimeout,
             long keepAlive,
             Names names,
@@ -168,15 +168,15 @@
                     "the configuration is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
         } catch (IOException e) {
             throw new Invalid("the configuration cannot be read: " + e.getMessage());
-        } catch (RollReader.Malformed e) {
+        } catch (ServerListReader.Malformed e) {
             throw new Invalid(e.getMessage());
         }
     }
 
-    private static Config parse(JsonNode root, boolean pool) throws Invalid, RollReader.Malformed {
+    private static Config parse(JsonNode root, boolean pool) throws Invalid, ServerListReader.Malformed {
         Map<String, String> pairs = new HashMap<>();
         List<String> faults = new ArrayList<>();
-        flatten("settings", RollReader.present(root, "settings"), pairs);
+        flatten("settings", ServerListReader.present(root, "settings"), pairs);
         List<String> required = new ArrayList<>(List.of(
                 "my-number",
                 "siblings",
@@ -264,10 +264,10 @@
                 addressOf(root, "listen", pool),
                 addressOf(root, "discovery", pool),
                 counted ? addressOf(root, "counter", pool) : null,
-                pool && !root.hasNonNull("seed") ? 0 : seed(RollReader.present(root, "seed")),
+                pool && !root.hasNonNull("seed") ? 0 : seed(ServerListReader.present(root, "seed")),
                 root.path("limits").path("sockets").asInt(256),
                 root.path("limits").path("memory_mb").asLong(64) << 20,
-                root.hasNonNull("known") ? RollReader.read(root.get("known"), names) : new Roll(0, true, List.of()),
+                root.hasNonNull("known") ? ServerListReader.read(root.get("known"), names) : new ServerListUpdate(0, true, List.of()),
                 (long) number(pairs, "caps.connect-timeout-ns"),
                 (long) number(pairs, "caps.keepalive-ns"),
                 names,
@@ -308,15 +308,15 @@
             return file.console();
         }
         try {
-            return RollReader.address(
+            return ServerListReader.address(
                     JsonNodeFactory.instance.objectNode().put("GW_CONSOLE", environment), "GW_CONSOLE");
-        } catch (RollReader.Malformed e) {
+        } catch (ServerListReader.Malformed e) {
             throw new Invalid(e.getMessage());
         }
     }
 
-    private static SocketAddress addressOf(JsonNode root, String key, boolean mayLack) throws RollReader.Malformed {
-        return mayLack && !root.hasNonNull(key) ? null : RollReader.address(root, key);
+    private static SocketAddress addressOf(JsonNode root, String key, boolean mayLack) throws ServerListReader.Malformed {
+        return mayLack && !root.hasNonNull(key) ? null : ServerListReader.address(root, key);
     }
 
     /** What the sockets towards app servers, counter and discovery need of this. */
@@ -367,10 +367,10 @@
         throw new Invalid("settings." + key + " is not a number from 0: " + pairs.get(key));
     }
 
-    private static List<String> namesOf(JsonNode settings, String list) throws Invalid, RollReader.Malformed {
+    private static List<String> namesOf(JsonNode settings, String list) throws Invalid, ServerListReader.Malformed {
         List<String> names = new ArrayList<>();
-        for (JsonNode item : RollReader.present(settings, list)) {
-            names.add(RollReader.present(item, "name").asText());
+        for (JsonNode item : ServerListReader.present(settings, list)) {
+            names.add(ServerListReader.present(item, "name").asText());
         }
         if (names.isEmpty()) {
             throw new Invalid("settings." + list + " is empty");
--- a/src/main/java/rushpin/config/FleetKeys.java
+++ b/src/main/java/rushpin/config/FleetKeys.java
@@ -9,7 +9,7 @@
 import rushpin.accord.Plan;
 import rushpin.failover.Geography;
 import rushpin.failover.Limits;
-import rushpin.membership.discovery.RollReader;
+import rushpin.membership.discovery.ServerListReader;
 
 /** The table {@code [fleet]} of the operator's file. */
 final class FleetKeys {
@@ -206,7 +206,7 @@
             return null;
         }
         try {
-            InetSocketAddress address = RollReader.address(text, key);
+            InetSocketAddress address = ServerListReader.address(text, key);
             String host = address.getHostString();
             if (address.getPort() > 0) {
                 // A name is looked up by who connects, as often as it has to.
@@ -214,7 +214,7 @@
                         ? address
                         : InetSocketAddress.createUnresolved(host, address.getPort());
             }
-        } catch (RollReader.Malformed e) {
+        } catch (ServerListReader.Malformed e) {
             // Said below.
         }
         at.fault(key, "found \"" + text + "\"", "host:port with a port from 1 to 65535");
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -19,8 +19,8 @@
 import rushpin.gateway.Ports.Counter;
 import rushpin.gateway.Ports.Settings;
 import rushpin.membership.Member;
-import rushpin.membership.Roll;
-import rushpin.membership.discovery.RollReader;
+import rushpin.membership.ServerListUpdate;
+import rushpin.membership.discovery.ServerListReader;
 import rushpin.net.ByteBudget;
 import rushpin.net.Descriptors;
 import rushpin.net.Upstream;
@@ -306,8 +306,8 @@
             return null;
         }
         try {
-            return RollReader.address(text, key);
-        } catch (RollReader.Malformed e) {
+            return ServerListReader.address(text, key);
+        } catch (ServerListReader.Malformed e) {
             pool.fault(key, "found \"" + text + "\"", "host:port with a port from 1 to 65535, or \"" + NONE + "\"");
             return null;
         }
@@ -517,7 +517,7 @@
                                 "another pool counts under the same names at " + upstream.counter(),
                                 "a counter-space of its own for each pool");
             }
-            Roll known = upstream.discovery() == null ? plan.known() : new Roll(0, true, List.of());
+            ServerListUpdate known = upstream.discovery() == null ? plan.known() : new ServerListUpdate(0, true, List.of());
             for (Member member : known.members()) {
                 String other = servers.putIfAbsent(member.address(), plan.name());
                 if (other != null && !other.equals(plan.name())) {
--- a/src/main/java/rushpin/config/PoolPlan.java
+++ b/src/main/java/rushpin/config/PoolPlan.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import rushpin.gateway.Ports.Settings;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 import rushpin.net.Upstream;
 import rushpin.net.xds.XdsPlan;
 
@@ -20,7 +20,7 @@
         Upstream upstream,
         Settings settings,
         long seed,
-        Roll known,
+        ServerListUpdate known,
         boolean ownLoop,
         Grants guaranteed,
         XdsPlan xds,
@@ -31,7 +31,7 @@
             Upstream upstream,
             Settings settings,
             long seed,
-            Roll known,
+            ServerListUpdate known,
             boolean ownLoop,
             Grants guaranteed) {
         this(name, upstream, settings, seed, known, ownLoop, guaranteed, null, null);
--- a/src/main/java/rushpin/config/XdsKeys.java
+++ b/src/main/java/rushpin/config/XdsKeys.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import rushpin.membership.discovery.RollReader;
+import rushpin.membership.discovery.ServerListReader;
 import rushpin.membership.xds.ClusterView;
 import rushpin.membership.xds.Form;
 import rushpin.net.xds.XdsPlan;
@@ -25,8 +25,8 @@
         List<InetSocketAddress> servers = new ArrayList<>();
         for (String each : xds.texts("servers", MOST_SERVERS)) {
             try {
-                servers.add(RollReader.address(each, "servers"));
-            } catch (RollReader.Malformed e) {
+                servers.add(ServerListReader.address(each, "servers"));
+            } catch (ServerListReader.Malformed e) {
                 xds.fault("servers", "found \"" + each + "\"", "host:port with a port from 1 to 65535");
             }
         }
--- a/src/main/java/rushpin/membership/Claims.java
+++ b/src/main/java/rushpin/membership/Claims.java
@@ -19,7 +19,7 @@
  */
 public final class Claims {
     /** A list for a pool, in place of the one that its source told or on top of it. */
-    public record Told(String pool, Roll roll, ListKind kind) {}
+    public record Told(String pool, ServerListUpdate roll, ListKind kind) {}
 
     /** What comes of one list. */
     public record Outcome(List<Told> told, List<String> conflicts) {}
@@ -33,7 +33,7 @@
     private final Map<SocketAddress, Map<String, Member>> waiting = new HashMap<>();
 
     /** Takes a pool's list and says what that pool, and others, are told; the pool's own comes first. */
-    public Outcome admit(String pool, Roll roll, ListKind kind) {
+    public Outcome admit(String pool, ServerListUpdate roll, ListKind kind) {
         List<String> conflicts = new ArrayList<>();
         List<Member> own = new ArrayList<>();
         Set<SocketAddress> freed = new LinkedHashSet<>();
@@ -61,7 +61,7 @@
             }
         }
         List<Told> told = new ArrayList<>();
-        told.add(new Told(pool, new Roll(roll.revision(), roll.complete(), own), kind));
+        told.add(new Told(pool, new ServerListUpdate(roll.revision(), roll.complete(), own), kind));
         passOn(freed, told);
         return new Outcome(told, conflicts);
     }
@@ -124,7 +124,7 @@
                 waiting.remove(address);
             }
             hold(address, new Holder(next.getKey(), next.getValue().server().id()));
-            told.add(new Told(next.getKey(), new Roll(0, false, List.of(next.getValue())), ListKind.DELTA));
+            told.add(new Told(next.getKey(), new ServerListUpdate(0, false, List.of(next.getValue())), ListKind.DELTA));
         }
     }
 }
--- a/src/main/java/rushpin/membership/Roll.java
+++ b/src/main/java/rushpin/membership/ServerListUpdate.java
@@ -3,4 +3,4 @@
 import java.util.List;
 
 /** A message of a source of servers: the whole list if {@code complete}, else changed entries. */
-public record Roll(long revision, boolean complete, List<Member> members) {}
+public record ServerListUpdate(long revision, boolean complete, List<Member> members) {}
--- a/src/main/java/rushpin/membership/Starts.java
+++ b/src/main/java/rushpin/membership/Starts.java
@@ -35,7 +35,7 @@
      * @param now this node's time, Unix nanoseconds as those of the list
      * @param ahead how far this machine's clock was set ahead of this node's since its start; below 0 for back
      */
-    public Roll carry(Roll roll, boolean whole, long now, long ahead) {
+    public ServerListUpdate carry(ServerListUpdate roll, boolean whole, long now, long ahead) {
         List<Member> members = new ArrayList<>(roll.members().size());
         Set<String> named = new HashSet<>();
         boolean changed = false;
@@ -58,7 +58,7 @@
         if (whole) {
             starts.keySet().retainAll(named);
         }
-        return changed ? new Roll(roll.revision(), roll.complete(), members) : roll;
+        return changed ? new ServerListUpdate(roll.revision(), roll.complete(), members) : roll;
     }
 
     private static long here(long told, long now, long ahead) {
--- a/src/main/java/rushpin/membership/Withheld.java
+++ b/src/main/java/rushpin/membership/Withheld.java
@@ -32,7 +32,7 @@
     private Set<String> out = Set.of();
 
     /** A list, or changes to it, as the pool is to have them. */
-    public Roll follow(Roll roll, boolean whole) {
+    public ServerListUpdate follow(ServerListUpdate roll, boolean whole) {
         if (whole) {
             listed.clear();
         }
@@ -50,11 +50,11 @@
             changed |= held;
             told.add(held ? member.draining() : member);
         }
-        return changed ? new Roll(roll.revision(), roll.complete(), told) : roll;
+        return changed ? new ServerListUpdate(roll.revision(), roll.complete(), told) : roll;
     }
 
     /** From now on just these are out. Returns the changes that follow from it, which may be none. */
-    public Roll set(Set<String> now) {
+    public ServerListUpdate set(Set<String> now) {
         Set<String> differ = new HashSet<>(now);
         differ.addAll(out);
         differ.removeIf(id -> now.contains(id) == out.contains(id));
@@ -66,7 +66,7 @@
                 told.add(out.contains(id) ? member.draining() : member);
             }
         }
-        return new Roll(0, false, told);
+        return new ServerListUpdate(0, false, told);
     }
 
     /** Whether a list has ever named it, or an operator has taken it out. */
--- a/src/main/java/rushpin/membership/discovery/RollReader.java
+++ b/src/main/java/rushpin/membership/discovery/ServerListReader.java
@@ -11,10 +11,10 @@
 import rushpin.membership.Json;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 
 /** Reads the messages of the platform's discovery. No sockets: text in, values out. */
-public final class RollReader {
+public final class ServerListReader {
     /** A message that cannot be used; the text is one plain line that names the key. */
     public static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
@@ -25,10 +25,10 @@
         }
     }
 
-    private RollReader() {}
+    private ServerListReader() {}
 
     /** Reads one line of discovery. */
-    public static Roll read(String line, Names names) throws Malformed {
+    public static ServerListUpdate read(String line, Names names) throws Malformed {
         try {
             return read(Json.read(line), names);
         } catch (JsonProcessingException e) {
@@ -40,7 +40,7 @@
     }
 
     /** Reads a list that stands inside another document. */
-    public static Roll read(JsonNode node, Names names) throws Malformed {
+    public static ServerListUpdate read(JsonNode node, Names names) throws Malformed {
         if (!present(node, "members").isArray() || !present(node, "revision").isIntegralNumber()) {
             throw new Malformed("a list of app servers without revision or members");
         }
@@ -66,7 +66,7 @@
                             started),
                     address(entry, "host_port")));
         }
-        return new Roll(node.get("revision").asLong(), node.path("complete").asBoolean(false), members);
+        return new ServerListUpdate(node.get("revision").asLong(), node.path("complete").asBoolean(false), members);
     }
 
     /** The value of a key that must be there. */
--- a/src/main/java/rushpin/membership/discovery/RollStream.java
+++ b/src/main/java/rushpin/membership/discovery/ServerListStream.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import rushpin.membership.Json;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 
 /**
  * The messages of one watch, from bytes that come in any pieces. Messages may lie on a line each or be indented over
@@ -17,7 +17,7 @@
  *
  * <p>Bounds: {@link #MOST_BYTES} of one message. After a fault the rest cannot be told from it: the stream is over.
  */
-public final class RollStream {
+public final class ServerListStream {
     /** What one message may have, in bytes. */
     public static final int MOST_BYTES = 1 << 20;
 
@@ -28,7 +28,7 @@
     private long fed, done;
 
     /** Has read nothing yet. */
-    public RollStream(Names names) {
+    public ServerListStream(Names names) {
         this.names = names;
         try {
             parser = Json.fed();
@@ -38,7 +38,7 @@
     }
 
     /** Reads on; tells each message that is whole with these bytes, in their order. */
-    public void feed(byte[] bytes, int length, Consumer<Roll> heard) throws RollReader.Malformed {
+    public void feed(byte[] bytes, int length, Consumer<ServerListUpdate> heard) throws ServerListReader.Malformed {
         try {
             ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, 0, length);
             fed += length;
@@ -48,20 +48,20 @@
                 JsonNode whole = tree.grow(parser);
                 if (whole != null) {
                     done = parser.currentLocation().getByteOffset();
-                    heard.accept(RollReader.read(whole, names));
+                    heard.accept(ServerListReader.read(whole, names));
                 }
             }
         } catch (JsonProcessingException e) {
-            throw new RollReader.Malformed(
+            throw new ServerListReader.Malformed(
                     "discovery's message is not JSON: " + e.getOriginalMessage().replace('\n', ' '));
         } catch (IOException e) {
-            throw new RollReader.Malformed("discovery's message cannot be read: " + e.getMessage());
+            throw new ServerListReader.Malformed("discovery's message cannot be read: " + e.getMessage());
         }
         if (!tree.isOpen()) {
             done = fed;
         }
         if (fed - done > MOST_BYTES) {
-            throw new RollReader.Malformed("discovery's message is too long");
+            throw new ServerListReader.Malformed("discovery's message is too long");
         }
     }
 
--- a/src/main/java/rushpin/membership/xds/ClusterView.java
+++ b/src/main/java/rushpin/membership/xds/ClusterView.java
@@ -11,7 +11,7 @@
 import rushpin.gateway.Ports.Server;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 
 /**
  * A cluster and its endpoints as the one list that the pool knows: ready, draining or gone, with size, zone and start.
@@ -34,7 +34,7 @@
     /** What is to be told to the pool. */
     public interface Port {
         /** Changes to the list, or the whole list. */
-        void list(Roll roll, boolean whole);
+        void list(ServerListUpdate roll, boolean whole);
 
         /** A line for the operators. */
         void log(String text);
@@ -146,7 +146,7 @@
             }
         }
         if (!changed.isEmpty()) {
-            port.list(new Roll(++revision, false, changed), false);
+            port.list(new ServerListUpdate(++revision, false, changed), false);
         }
     }
 
@@ -217,11 +217,11 @@
         boolean first = !heard;
         heard = true;
         if (first) {
-            port.list(new Roll(++revision, true, List.copyOf(next.values())), true);
+            port.list(new ServerListUpdate(++revision, true, List.copyOf(next.values())), true);
         } else if (!changed.isEmpty() || !gone.isEmpty()) {
             // What goes comes first: its address may be another's in the same update.
             gone.addAll(changed);
-            port.list(new Roll(++revision, false, gone), false);
+            port.list(new ServerListUpdate(++revision, false, gone), false);
         }
     }
 
--- a/src/main/java/rushpin/net/DiscoveryClient.java
+++ b/src/main/java/rushpin/net/DiscoveryClient.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.TimeUnit;
 import rushpin.gateway.Ports.ListKind;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
-import rushpin.membership.discovery.RollStream;
+import rushpin.membership.ServerListUpdate;
+import rushpin.membership.discovery.ServerListStream;
 
 /**
  * Watches the list of app servers, from the last revision heard on, and again whenever a watch ends or falls silent.
@@ -57,7 +57,7 @@
     /** Hears the list. */
     public interface Listener {
         /** The whole list, or changes to it. */
-        void list(Roll roll, ListKind kind);
+        void list(ServerListUpdate roll, ListKind kind);
 
         /** Bounds that the source of the list gives: nanoseconds to connect, connections, requests; 0 for none. */
         default void bounds(long connectTimeout, int mostConnections, int mostRequests) {
@@ -228,7 +228,7 @@
 
     /** One watch: a chunked answer that holds JSON objects, and empty lines while nothing changes. */
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> implements Transport.ConnectListener {
-        private final RollStream messages = new RollStream(names);
+        private final ServerListStream messages = new ServerListStream(names);
         /** What is kept of each span, so that nodes that were left together do not come back in step. */
         private final double chance = ThreadLocalRandom.current().nextDouble(LEAST_PART, MOST_PART);
         /** Null where no socket could be had. */
@@ -298,7 +298,7 @@
             }
         }
 
-        private void take(Roll roll) {
+        private void take(ServerListUpdate roll) {
             node.list(roll, roll.complete() ? ListKind.FULL : ListKind.DELTA);
             revision = roll.revision();
             heard = true;
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -36,7 +36,7 @@
 import rushpin.gateway.Ports.Request;
 import rushpin.gateway.Ports.Server;
 import rushpin.membership.Member;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 
 /** Connections to app servers, one request on each at a time, and the attempts on them with their outcomes. */
 public final class ServerPool {
@@ -188,7 +188,7 @@
      * last has it, and the one before is gone, whether or not discovery has told so yet. Under the old id the
      * new one would be reached unknown, with neither its cold start nor its drain.
      */
-    public List<Server> update(Roll roll, boolean whole) {
+    public List<Server> update(ServerListUpdate roll, boolean whole) {
         List<Server> told = new ArrayList<>();
         Set<String> named = new HashSet<>();
         for (Member member : roll.members()) {
--- a/src/main/java/rushpin/net/xds/LastGood.java
+++ b/src/main/java/rushpin/net/xds/LastGood.java
@@ -17,8 +17,8 @@
 import rushpin.gateway.Ports.Server;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
-import rushpin.membership.discovery.RollReader;
+import rushpin.membership.ServerListUpdate;
+import rushpin.membership.discovery.ServerListReader;
 
 /**
  * The list as last told, in the state folder, in the form of the platform's discovery: the next start takes it as
@@ -57,11 +57,11 @@
             return List.of();
         }
         try {
-            Roll roll = RollReader.read(Files.readString(file), names);
+            ServerListUpdate roll = ServerListReader.read(Files.readString(file), names);
             return roll.members().stream()
                     .filter(member -> member.server().readiness() != Readiness.GONE)
                     .toList();
-        } catch (IOException | RollReader.Malformed e) {
+        } catch (IOException | ServerListReader.Malformed e) {
             log.accept("the list as last had, " + file + ", cannot be used: " + e.getMessage());
             return List.of();
         }
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -15,7 +15,7 @@
 import rushpin.gateway.Ports.ListKind;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 import rushpin.membership.xds.ClusterSpec;
 import rushpin.membership.xds.ClusterView;
 import rushpin.membership.xds.Endpoints;
@@ -247,7 +247,7 @@
     }
 
     @Override
-    public void list(Roll roll, boolean whole) {
+    public void list(ServerListUpdate roll, boolean whole) {
         heard = true;
         loop.execute(() -> pool.list(roll, whole ? ListKind.FULL : ListKind.DELTA));
         if (lastGood != null && !saving) {
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -31,7 +31,7 @@
 import rushpin.lifecycle.Stalls;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 import rushpin.membership.Starts;
 import rushpin.membership.Withheld;
 import rushpin.net.CounterClient;
@@ -264,7 +264,7 @@
     }
 
     private void followOut() throws IOException {
-        Roll changes = withheld.set(desk.out().read());
+        ServerListUpdate changes = withheld.set(desk.out().read());
         if (!changes.members().isEmpty()) {
             changes.members()
                     .forEach(m -> log((m.isReady() ? "put back by hand: " : "taken out by hand: ")
@@ -297,12 +297,12 @@
     }
 
     /** Begins with the list as last known; called on the loop. */
-    void start(Roll known) {
+    void start(ServerListUpdate known) {
         start(known, null, "");
     }
 
-    /** As {@link #start(Roll)}, with use kept in a state folder; null for none. */
-    void start(Roll known, Path state, String node) {
+    /** As {@link #start(ServerListUpdate)}, with use kept in a state folder; null for none. */
+    void start(ServerListUpdate known, Path state, String node) {
         gateway = new Gateway(plan.settings(), plan.seed(), now(), this);
         UseStore.Opened opened =
                 state == null ? null : UseStore.open(state, node, plan.name(), clock.wallMs(), this::log);
@@ -326,13 +326,13 @@
         }
     }
 
-    private void startXds(Roll known, Path state) {
+    private void startXds(ServerListUpdate known, Path state) {
         List<Member> members = known.members();
         List<Member> kept = state == null ? List.of() : new LastGood(state, plan.name(), names()).read(this::log);
         members = kept.isEmpty() ? members : kept;
         xds = new XdsSource(plan.xds(), plan.name(), names(), members, state, plan.seed(), loop, this, clock::wallMs);
         // The first of all lists goes the way of all others: another pool may have a word in it.
-        list(new Roll(0, true, members), ListKind.CACHED);
+        list(new ServerListUpdate(0, true, members), ListKind.CACHED);
         xds.start(!members.isEmpty());
     }
 
@@ -607,7 +607,7 @@
     }
 
     @Override
-    public void list(Roll roll, ListKind kind) {
+    public void list(ServerListUpdate roll, ListKind kind) {
         if (claims == null) {
             apply(roll, kind);
         } else {
@@ -616,15 +616,15 @@
     }
 
     /** The list, or changes to it, as this pool is to have them. */
-    void apply(Roll roll, ListKind kind) {
+    void apply(ServerListUpdate roll, ListKind kind) {
         if (!closed) {
             followClock();
-            Roll carried = starts.carry(roll, kind != ListKind.DELTA, clock.now(), ahead);
+            ServerListUpdate carried = starts.carry(roll, kind != ListKind.DELTA, clock.now(), ahead);
             tell(withheld == null ? carried : withheld.follow(carried, kind != ListKind.DELTA), kind);
         }
     }
 
-    private void tell(Roll roll, ListKind kind) {
+    private void tell(ServerListUpdate roll, ListKind kind) {
         List<Server> told = servers.update(roll, kind != ListKind.DELTA);
         event(null, now -> gateway.list(now, kind, told));
         if (witness != null) {
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -25,7 +25,7 @@
 import rushpin.config.PoolPlan;
 import rushpin.gateway.Ports.ListKind;
 import rushpin.membership.Claims;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 import rushpin.net.Front;
 import rushpin.net.Refusal;
 import rushpin.net.WatchedLoopGroup;
@@ -304,7 +304,7 @@
         permits.values().forEach(this::leftAlone);
     }
 
-    private void admit(String key, Roll roll, ListKind kind) {
+    private void admit(String key, ServerListUpdate roll, ListKind kind) {
         Running of = byKey.get(key);
         if (of == null) {
             return;
--- a/src/main/java/rushpin/node/Rehearsal.java
+++ b/src/main/java/rushpin/node/Rehearsal.java
@@ -45,7 +45,7 @@
 import rushpin.gateway.Ports.Server;
 import rushpin.gateway.Ports.Settings;
 import rushpin.membership.Member;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 import rushpin.net.AnswerDecoder;
 import rushpin.net.AnswerHandler;
 import rushpin.net.ServerPool;
@@ -156,7 +156,7 @@
                 config.seed(),
                 Math.min(DESCRIPTORS, config.sockets()),
                 config.memory(),
-                new Roll(1, true, members),
+                new ServerListUpdate(1, true, members),
                 config.connectTimeout(),
                 config.keepAlive(),
                 config.names(),
--- a/src/test/java/rushpin/membership/ClaimsTest.java
+++ b/src/test/java/rushpin/membership/ClaimsTest.java
@@ -24,8 +24,8 @@
         return new Member(new Server(id, 1, 0, 0, 0, readiness, 0), InetSocketAddress.createUnresolved("h", port));
     }
 
-    private static Roll roll(Member... members) {
-        return new Roll(1, false, List.of(members));
+    private static ServerListUpdate roll(Member... members) {
+        return new ServerListUpdate(1, false, List.of(members));
     }
 
     private static Readiness of(Claims.Told told, int at) {
@@ -94,7 +94,7 @@
                                 Readiness.values()[random.nextInt(Readiness.values().length)]));
             }
             Claims.Outcome outcome =
-                    all.admit(pool, new Roll(step, kind == ListKind.FULL, List.copyOf(members.values())), kind);
+                    all.admit(pool, new ServerListUpdate(step, kind == ListKind.FULL, List.copyOf(members.values())), kind);
             for (Claims.Told one : outcome.told()) {
                 Map<String, Integer> ready = told.computeIfAbsent(one.pool(), p -> new TreeMap<>());
                 if (one.kind() == ListKind.FULL) {
--- a/src/test/java/rushpin/membership/StartsTest.java
+++ b/src/test/java/rushpin/membership/StartsTest.java
@@ -16,21 +16,21 @@
 class StartsTest {
     private static final long SECOND = 1_000_000_000L, HOUR = 3_600 * SECOND, NOW = 5 * HOUR;
 
-    private static Roll roll(Readiness readiness, String id, long started) {
-        return new Roll(
+    private static ServerListUpdate roll(Readiness readiness, String id, long started) {
+        return new ServerListUpdate(
                 1,
                 true,
                 List.of(new Member(
                         new Server(id, 1, 0, 0, 0, readiness, started), new InetSocketAddress("127.0.0.1", 80))));
     }
 
-    private static long start(Roll of) {
+    private static long start(ServerListUpdate of) {
         return of.members().get(0).server().startedAt();
     }
 
     @Test
     void withoutAJumpTheListStaysTheVeryList() {
-        Roll roll = roll(Readiness.READY, "a", 5 * HOUR);
+        ServerListUpdate roll = roll(Readiness.READY, "a", 5 * HOUR);
         assertSame(roll, new Starts().carry(roll, true, NOW, 0));
     }
 
@@ -75,7 +75,7 @@
     @ValueSource(longs = {SECOND, -SECOND, 10 * SECOND, -10 * SECOND, HOUR, -HOUR, 0})
     void aStartThatLiesInTheFutureIsAsOfNowAndStaysSo(long set) {
         Starts starts = new Starts();
-        Roll ahead = roll(Readiness.READY, "a", NOW + 2 * HOUR);
+        ServerListUpdate ahead = roll(Readiness.READY, "a", NOW + 2 * HOUR);
         assertEquals(NOW, start(starts.carry(ahead, true, NOW, set)));
         assertEquals(NOW, start(starts.carry(ahead, true, NOW + 3 * HOUR, set)), "told again, it is no other start");
         assertEquals(
@@ -96,7 +96,7 @@
         starts.carry(roll(Readiness.GONE, "a", 5 * HOUR), false, NOW, 0);
         assertEquals(0, starts.size());
         starts.carry(roll(Readiness.READY, "a", 5 * HOUR), false, NOW, 0);
-        starts.carry(new Roll(2, true, List.of()), true, NOW, 0);
+        starts.carry(new ServerListUpdate(2, true, List.of()), true, NOW, 0);
         assertEquals(0, starts.size());
     }
 }
--- a/src/test/java/rushpin/membership/WithheldTest.java
+++ b/src/test/java/rushpin/membership/WithheldTest.java
@@ -26,11 +26,11 @@
         return new Member(new Server(id, 1, 0, 0, 0, readiness, startedAt), new InetSocketAddress("127.0.0.1", 1));
     }
 
-    private static Roll roll(Member... members) {
-        return new Roll(1, true, List.of(members));
+    private static ServerListUpdate roll(Member... members) {
+        return new ServerListUpdate(1, true, List.of(members));
     }
 
-    private static Readiness said(Roll roll, String id) {
+    private static Readiness said(ServerListUpdate roll, String id) {
         return roll.members().stream()
                 .filter(m -> m.server().id().equals(id))
                 .findFirst()
@@ -41,20 +41,20 @@
 
     @Test
     void withNobodyOutAListStaysAsItIs() {
-        Roll roll = roll(member("a", Readiness.READY, 0));
+        ServerListUpdate roll = roll(member("a", Readiness.READY, 0));
         assertSame(roll, withheld.follow(roll, true));
     }
 
     @Test
     void whoIsOutDrainsAtOnceAndWhateverListsSayLater() {
         withheld.follow(roll(member("a", Readiness.READY, 0), member("b", Readiness.READY, 0)), true);
-        Roll change = withheld.set(Set.of("a"));
+        ServerListUpdate change = withheld.set(Set.of("a"));
         assertEquals(1, change.members().size());
         assertEquals(Readiness.DRAINING, said(change, "a"));
         withheld.follow(roll(member("a", Readiness.GONE, 0)), false);
         assertEquals(Readiness.DRAINING, said(withheld.follow(roll(member("a", Readiness.READY, 77)), false), "a"));
         assertEquals(Readiness.DRAINING, said(withheld.follow(roll(member("a", Readiness.READY, 77)), true), "a"));
-        Roll back = withheld.set(Set.of());
+        ServerListUpdate back = withheld.set(Set.of());
         assertEquals(Readiness.READY, said(back, "a"));
         assertEquals(
                 77, back.members().get(0).server().startedAt(), "it restarted while it was out, and comes back cold");
@@ -99,7 +99,7 @@
         for (int step : steps) {
             String id = "s-" + step % 5;
             int what = step / 5;
-            Roll heard;
+            ServerListUpdate heard;
             if (what < 3) {
                 Readiness readiness = Readiness.values()[what];
                 list.put(id, readiness);
--- a/src/test/java/rushpin/membership/discovery/RollStreamTest.java
+++ b/src/test/java/rushpin/membership/discovery/ServerListStreamTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 
 /** Messages in every piece that a connection may cut them into. */
-class RollStreamTest {
+class ServerListStreamTest {
     private static final Names NAMES =
             new Names(List.of("order"), List.of("bulk"), List.of("a\u00e9", "b"), List.of("m"));
     private static final String ONE = """
@@ -34,8 +34,8 @@
             "{\"revision\":43,\"complete\":false,\"members\":[{\"id\":\"s\",\"host_port\":\"127.0.0.1:81\","
                     + "\"phase\":\"Gone\"}]}";
 
-    private static List<Roll> read(RollStream stream, byte[]... pieces) throws RollReader.Malformed {
-        List<Roll> heard = new ArrayList<>();
+    private static List<ServerListUpdate> read(ServerListStream stream, byte[]... pieces) throws ServerListReader.Malformed {
+        List<ServerListUpdate> heard = new ArrayList<>();
         for (byte[] piece : pieces) {
             stream.feed(piece, piece.length, heard::add);
         }
@@ -48,44 +48,44 @@
 
     @Test
     void aListIsTheSameAtEverySplit() throws Exception {
-        List<Roll> wanted =
-                List.of(RollReader.read(ONE, NAMES), RollReader.read(TWO, NAMES), RollReader.read(ONE, NAMES));
+        List<ServerListUpdate> wanted =
+                List.of(ServerListReader.read(ONE, NAMES), ServerListReader.read(TWO, NAMES), ServerListReader.read(ONE, NAMES));
         String text = "\n" + ONE + "\n\n" + TWO + "  " + ONE;
         for (String form : List.of(text, text.replace("\n", "\r\n"))) {
             byte[] all = bytes(form);
             for (int at = 0; at <= all.length; at++) {
                 assertEquals(
                         wanted,
-                        read(new RollStream(NAMES), Arrays.copyOf(all, at), Arrays.copyOfRange(all, at, all.length)),
+                        read(new ServerListStream(NAMES), Arrays.copyOf(all, at), Arrays.copyOfRange(all, at, all.length)),
                         "cut at " + at);
             }
             byte[][] single = new byte[all.length][];
             for (int i = 0; i < single.length; i++) {
                 single[i] = new byte[] {all[i]};
             }
-            assertEquals(wanted, read(new RollStream(NAMES), single), "byte by byte");
+            assertEquals(wanted, read(new ServerListStream(NAMES), single), "byte by byte");
         }
     }
 
     @Test
     void whatIsNoListEndsTheStreamBehindWhatWasWhole() throws Exception {
         for (String bad : List.of("x", "}", "]", "{} ", "[1]", "7 ", "null\n", "{\"revision\":1,\"members\":[{}]}")) {
-            List<Roll> heard = new ArrayList<>();
+            List<ServerListUpdate> heard = new ArrayList<>();
             byte[] text = bytes(TWO + bad);
             assertThrows(
-                    RollReader.Malformed.class, () -> new RollStream(NAMES).feed(text, text.length, heard::add), bad);
+                    ServerListReader.Malformed.class, () -> new ServerListStream(NAMES).feed(text, text.length, heard::add), bad);
             assertEquals(1, heard.size(), bad);
         }
     }
 
     @Test
     void oneMessageHasABoundAndAllOfThemHaveNone() throws Exception {
-        byte[] blank = bytes(" ".repeat(RollStream.MOST_BYTES));
-        RollStream stream = new RollStream(NAMES);
+        byte[] blank = bytes(" ".repeat(ServerListStream.MOST_BYTES));
+        ServerListStream stream = new ServerListStream(NAMES);
         for (int i = 0; i < 3; i++) {
             assertEquals(1, read(stream, blank, bytes(TWO)).size(), "what stands between messages is no message");
         }
         byte[] begun = bytes("{");
-        assertThrows(RollReader.Malformed.class, () -> read(new RollStream(NAMES), begun, blank));
+        assertThrows(ServerListReader.Malformed.class, () -> read(new ServerListStream(NAMES), begun, blank));
     }
 }
--- a/src/test/java/rushpin/membership/xds/ClusterViewTest.java
+++ b/src/test/java/rushpin/membership/xds/ClusterViewTest.java
@@ -13,7 +13,7 @@
 import rushpin.gateway.Ports.Readiness;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 
 /** Endpoints as the pool sees them, in simulated time. */
 class ClusterViewTest implements ClusterView.Port {
@@ -21,7 +21,7 @@
     private static final long S = 1_000_000_000L;
     private static final ClusterSpec CLUSTER = new ClusterSpec("c", "c", null, null, 0, 0, 0);
 
-    private final List<Roll> told = new ArrayList<>();
+    private final List<ServerListUpdate> told = new ArrayList<>();
     private final List<Boolean> whole = new ArrayList<>();
     private final List<String> logs = new ArrayList<>();
     private final Map<String, Member> pool = new TreeMap<>();
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void list(Roll roll, boolean isWhole) {
+    public void list(ServerListUpdate roll, boolean isWhole) {
         told.add(roll);
         whole.add(isWhole);
         Worlds.follow(pool, roll);
--- a/src/test/java/rushpin/membership/xds/Worlds.java
+++ b/src/test/java/rushpin/membership/xds/Worlds.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Map;
 import rushpin.membership.Member;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 
 /** Clusters and endpoints as a management server would send them. */
 final class Worlds {
@@ -101,7 +101,7 @@
     }
 
     /** What a pool has after a list, or changes to it. */
-    static void follow(Map<String, Member> pool, Roll roll) {
+    static void follow(Map<String, Member> pool, ServerListUpdate roll) {
         for (Member member : roll.members()) {
             if (member.isGone()) {
                 pool.remove(member.server().id());
--- a/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
+++ b/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.Property;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 import rushpin.membership.xds.Subscription.Answer;
 import rushpin.membership.xds.Subscription.Ask;
 import rushpin.membership.xds.Subscription.Item;
@@ -187,7 +187,7 @@
         }
 
         @Override
-        public void list(Roll roll, boolean whole) {
+        public void list(ServerListUpdate roll, boolean whole) {
             lists++;
             if (whole) {
                 pool.clear();
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -44,7 +44,7 @@
 import rushpin.gateway.Ports.Server;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 import rushpin.pooling.Permit;
 
 /** A pool that keeps to a permit, and servers that count what is open at their side. */
@@ -102,7 +102,7 @@
         call(() -> {
             servers = new ServerPool(new Ends(), loop, upstream, new Slots());
             gate = servers.keepTo(LONG, longest, request -> request.plan() == 0 ? "a" : "b");
-            servers.update(new Roll(1, true, members), true);
+            servers.update(new ServerListUpdate(1, true, members), true);
             return null;
         });
     }
--- a/src/test/java/rushpin/net/ServerConnectTest.java
+++ b/src/test/java/rushpin/net/ServerConnectTest.java
@@ -37,7 +37,7 @@
 import rushpin.gateway.Ports.Server;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
-import rushpin.membership.Roll;
+import rushpin.membership.ServerListUpdate;
 
 /** Attempts whose system calls fail: each ends once, on the loop, as one that never ran, and gives its place back. */
 @Timeout(60)
@@ -77,7 +77,7 @@
                     upstream,
                     slots,
                     new Bootstrap().group(loop).channelFactory(sockets));
-            servers.update(new Roll(1, true, List.of(member)), true);
+            servers.update(new ServerListUpdate(1, true, List.of(member)), true);
             return null;
         });
     }
