--- a/src/main/java/rushpin/membership/Claims.java
+++ b/src/main/java/rushpin/membership/AddressOwners.java
@@ -17,12 +17,12 @@
  *
  * <p>Bounds: one entry for each address that a pool's list holds ready.
  */
-public final class Claims {
+public final class AddressOwners {
     /** A list for a pool, in place of the one that its source told or on top of it. */
-    public record Told(String pool, ServerListUpdate roll, ListKind kind) {}
+    public record PoolUpdate(String pool, ServerListUpdate update, ListKind kind) {}
 
     /** What comes of one list. */
-    public record Outcome(List<Told> told, List<String> conflicts) {}
+    public record Admission(List<PoolUpdate> updates, List<String> conflicts) {}
 
     private record Holder(String pool, String server) {}
 
@@ -33,17 +33,17 @@
     private final Map<SocketAddress, Map<String, Member>> waiting = new HashMap<>();
 
     /** Takes a pool's list and says what that pool, and others, are told; the pool's own comes first. */
-    public Outcome admit(String pool, ServerListUpdate roll, ListKind kind) {
+    public Admission admit(String pool, ServerListUpdate update, ListKind kind) {
         List<String> conflicts = new ArrayList<>();
         List<Member> own = new ArrayList<>();
         Set<SocketAddress> freed = new LinkedHashSet<>();
         if (kind != ListKind.DELTA) {
             freeAll(pool, freed);
         }
-        for (Member member : roll.members()) {
+        for (Member member : update.members()) {
             free(pool, member.server().id(), freed);
         }
-        for (Member member : roll.members()) {
+        for (Member member : update.members()) {
             if (!member.isReady()) {
                 own.add(member);
                 continue;
@@ -60,19 +60,19 @@
                 own.add(member.gone());
             }
         }
-        List<Told> told = new ArrayList<>();
-        told.add(new Told(pool, new ServerListUpdate(roll.revision(), roll.complete(), own), kind));
-        passOn(freed, told);
-        return new Outcome(told, conflicts);
+        List<PoolUpdate> updates = new ArrayList<>();
+        updates.add(new PoolUpdate(pool, new ServerListUpdate(update.revision(), update.complete(), own), kind));
+        passOn(freed, updates);
+        return new Admission(updates, conflicts);
     }
 
     /** A pool has ended. */
-    public List<Told> leave(String pool) {
+    public List<PoolUpdate> leave(String pool) {
         Set<SocketAddress> freed = new LinkedHashSet<>();
         freeAll(pool, freed);
-        List<Told> told = new ArrayList<>();
-        passOn(freed, told);
-        return told;
+        List<PoolUpdate> updates = new ArrayList<>();
+        passOn(freed, updates);
+        return updates;
     }
 
     private void hold(SocketAddress address, Holder holder) {
@@ -112,7 +112,7 @@
     }
 
     /** An address that nobody holds any more goes to the pool that has waited for it longest. */
-    private void passOn(Set<SocketAddress> freed, List<Told> told) {
+    private void passOn(Set<SocketAddress> freed, List<PoolUpdate> updates) {
         for (SocketAddress address : freed) {
             Map<String, Member> pools = waiting.get(address);
             if (holders.containsKey(address) || pools == null) {
@@ -124,7 +124,7 @@
                 waiting.remove(address);
             }
             hold(address, new Holder(next.getKey(), next.getValue().server().id()));
-            told.add(new Told(next.getKey(), new ServerListUpdate(0, false, List.of(next.getValue())), ListKind.DELTA));
+            updates.add(new PoolUpdate(next.getKey(), new ServerListUpdate(0, false, List.of(next.getValue())), ListKind.DELTA));
         }
     }
 }
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -24,7 +24,7 @@
 import rushpin.config.Operator;
 import rushpin.config.PoolPlan;
 import rushpin.gateway.Ports.ListKind;
-import rushpin.membership.Claims;
+import rushpin.membership.AddressOwners;
 import rushpin.membership.ServerListUpdate;
 import rushpin.net.Front;
 import rushpin.net.Refusal;
@@ -63,7 +63,7 @@
     private final List<Running> retiring = new ArrayList<>();
     private final Map<String, Running> byKey = new HashMap<>();
     private final Lender[] lenders = new Lender[Kind.values().length];
-    private final Claims claims = new Claims();
+    private final AddressOwners claims = new AddressOwners();
     /** For the life of the process, like the state folder; null where nothing is recorded. */
     private Recorder recorder;
 
@@ -177,14 +177,14 @@
         var sweep = loop.scheduleAtFixedRate(budgets::sweep, SWEEP_S, SWEEP_S, TimeUnit.SECONDS);
         budgets.onClose(() -> sweep.cancel(false));
         // The known list goes by the claims like every other; the pool begins with what they leave of it.
-        Claims.Outcome first = claims.admit(key, plan.known(), ListKind.CACHED);
+        AddressOwners.Admission first = claims.admit(key, plan.known(), ListKind.CACHED);
         first.conflicts().forEach(System.out::println);
-        loop.execute(() -> pool.start(first.told().get(0).roll(), state, node));
+        loop.execute(() -> pool.start(first.updates().get(0).update(), state, node));
         if (agreed != null) {
             Standing known = agreed;
             loop.execute(() -> pool.agree(known));
         }
-        tell(first.told().subList(1, first.told().size()));
+        tell(first.updates().subList(1, first.updates().size()));
         permit(begun);
     }
 
@@ -312,16 +312,16 @@
         if (retiring.stream().anyMatch(each -> each == of)) {
             of.pool().loop().execute(() -> of.pool().apply(roll, kind));
         } else {
-            Claims.Outcome outcome = claims.admit(key, roll, kind);
+            AddressOwners.Admission outcome = claims.admit(key, roll, kind);
             outcome.conflicts().forEach(System.out::println);
-            tell(outcome.told());
+            tell(outcome.updates());
         }
     }
 
-    private void tell(List<Claims.Told> told) {
-        for (Claims.Told one : told) {
+    private void tell(List<AddressOwners.PoolUpdate> told) {
+        for (AddressOwners.PoolUpdate one : told) {
             Running to = byKey.get(one.pool());
-            to.pool().loop().execute(() -> to.pool().apply(one.roll(), one.kind()));
+            to.pool().loop().execute(() -> to.pool().apply(one.update(), one.kind()));
         }
     }
 
--- a/src/test/java/rushpin/membership/ClaimsTest.java
+++ b/src/test/java/rushpin/membership/AddressOwnersTest.java
@@ -17,8 +17,8 @@
 import rushpin.gateway.Ports.Server;
 
 /** One address belongs to one pool. */
-class ClaimsTest {
-    private final Claims claims = new Claims();
+class AddressOwnersTest {
+    private final AddressOwners claims = new AddressOwners();
 
     private static Member member(String id, int port, Readiness readiness) {
         return new Member(new Server(id, 1, 0, 0, 0, readiness, 0), InetSocketAddress.createUnresolved("h", port));
@@ -28,25 +28,25 @@
         return new ServerListUpdate(1, false, List.of(members));
     }
 
-    private static Readiness of(Claims.Told told, int at) {
-        return told.roll().members().get(at).server().readiness();
+    private static Readiness of(AddressOwners.PoolUpdate told, int at) {
+        return told.update().members().get(at).server().readiness();
     }
 
     @Test
     void theFirstKeepsItAndTheSecondGetsItWhenItIsLetGo() {
         claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.FULL);
-        Claims.Outcome second = claims.admit(
+        AddressOwners.Admission second = claims.admit(
                 "b", roll(member("s", 1, Readiness.READY), member("t", 2, Readiness.READY)), ListKind.FULL);
         assertEquals(1, second.conflicts().size());
-        assertEquals(Readiness.GONE, of(second.told().get(0), 0));
-        assertEquals(Readiness.READY, of(second.told().get(0), 1));
-        Claims.Outcome drained = claims.admit("a", roll(member("s", 1, Readiness.DRAINING)), ListKind.DELTA);
+        assertEquals(Readiness.GONE, of(second.updates().get(0), 0));
+        assertEquals(Readiness.READY, of(second.updates().get(0), 1));
+        AddressOwners.Admission drained = claims.admit("a", roll(member("s", 1, Readiness.DRAINING)), ListKind.DELTA);
         assertEquals(
                 List.of("a", "b"),
-                drained.told().stream().map(Claims.Told::pool).toList());
-        assertEquals(Readiness.READY, of(drained.told().get(1), 0));
-        Claims.Outcome back = claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.DELTA);
-        assertEquals(Readiness.GONE, of(back.told().get(0), 0), "now the other one has it");
+                drained.updates().stream().map(AddressOwners.PoolUpdate::pool).toList());
+        assertEquals(Readiness.READY, of(drained.updates().get(1), 0));
+        AddressOwners.Admission back = claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.DELTA);
+        assertEquals(Readiness.GONE, of(back.updates().get(0), 0), "now the other one has it");
     }
 
     @Test
@@ -69,7 +69,7 @@
     void aPoolThatEndsLetsGoOfAll() {
         claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.FULL);
         claims.admit("b", roll(member("s", 1, Readiness.READY)), ListKind.FULL);
-        List<Claims.Told> told = claims.leave("a");
+        List<AddressOwners.PoolUpdate> told = claims.leave("a");
         assertEquals("b", told.get(0).pool());
         assertEquals(Readiness.READY, of(told.get(0), 0));
     }
@@ -77,7 +77,7 @@
     @Property
     void noAddressIsEverReadyInTwoPools(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Claims all = new Claims();
+        AddressOwners all = new AddressOwners();
         // What each pool was told: server to address, if ready.
         Map<String, Map<String, Integer>> told = new TreeMap<>();
         for (int step = 0; step < 200; step++) {
@@ -93,14 +93,14 @@
                                 1 + random.nextInt(4),
                                 Readiness.values()[random.nextInt(Readiness.values().length)]));
             }
-            Claims.Outcome outcome =
+            AddressOwners.Admission outcome =
                     all.admit(pool, new ServerListUpdate(step, kind == ListKind.FULL, List.copyOf(members.values())), kind);
-            for (Claims.Told one : outcome.told()) {
+            for (AddressOwners.PoolUpdate one : outcome.updates()) {
                 Map<String, Integer> ready = told.computeIfAbsent(one.pool(), p -> new TreeMap<>());
                 if (one.kind() == ListKind.FULL) {
                     ready.clear();
                 }
-                for (Member m : one.roll().members()) {
+                for (Member m : one.update().members()) {
                     if (m.isReady()) {
                         int port = ((InetSocketAddress) m.address()).getPort();
                         // In one pool the newest server at an address has it, as in ServerPool.
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -105,7 +105,7 @@
                 "PooledServices",
                 "rushpin.budget.Lender",
                 "rushpin.budget.Turns",
-                "rushpin.membership.Claims",
+                "rushpin.membership.AddressOwners",
                 "org.tomlj",
                 "picocli")) {
             assertFalse(loaded.stream().anyMatch(line -> line.contains(off)), off + " was loaded");
