--- a/src/main/java/rushpin/membership/Starts.java
+++ b/src/main/java/rushpin/membership/StartTimes.java
@@ -24,7 +24,7 @@
  *
  * <p>Bounds: one entry for each listed server.
  */
-public final class Starts {
+public final class StartTimes {
     private record Start(long told, long here) {}
 
     private final Map<String, Start> starts = new HashMap<>();
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -32,7 +32,7 @@
 import rushpin.membership.Member;
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
-import rushpin.membership.Starts;
+import rushpin.membership.StartTimes;
 import rushpin.membership.Withheld;
 import rushpin.net.CounterClient;
 import rushpin.net.DiscoveryClient;
@@ -106,7 +106,7 @@
     private final Stalls stalls;
 
     private final ReadBarrier barrier;
-    private final Starts starts = new Starts();
+    private final StartTimes starts = new StartTimes();
     private Runnable ended;
     private long ahead, clockDue;
     private boolean inside, closed;
--- a/src/test/java/rushpin/membership/StartsTest.java
+++ b/src/test/java/rushpin/membership/StartTimesTest.java
@@ -13,7 +13,7 @@
 import rushpin.gateway.Ports.Server;
 
 /** Starts that the machines' clock has dated, by a clock that goes on. */
-class StartsTest {
+class StartTimesTest {
     private static final long SECOND = 1_000_000_000L, HOUR = 3_600 * SECOND, NOW = 5 * HOUR;
 
     private static ServerListUpdate roll(Readiness readiness, String id, long started) {
@@ -31,12 +31,12 @@
     @Test
     void withoutAJumpTheListStaysTheVeryList() {
         ServerListUpdate roll = roll(Readiness.READY, "a", 5 * HOUR);
-        assertSame(roll, new Starts().carry(roll, true, NOW, 0));
+        assertSame(roll, new StartTimes().carry(roll, true, NOW, 0));
     }
 
     @Test
     void aStartAfterAJumpIsDatedByThisNodesClock() {
-        Starts starts = new Starts();
+        StartTimes starts = new StartTimes();
         assertEquals(
                 5 * HOUR,
                 start(starts.carry(roll(Readiness.READY, "a", 6 * HOUR), true, NOW, HOUR)),
@@ -49,7 +49,7 @@
 
     @Test
     void theSameListToldAgainAfterAJumpMakesNothingColdOrWarm() {
-        Starts starts = new Starts();
+        StartTimes starts = new StartTimes();
         long before = start(starts.carry(roll(Readiness.READY, "a", 5 * HOUR), true, NOW, 0));
         assertEquals(before, start(starts.carry(roll(Readiness.READY, "a", 5 * HOUR), true, NOW, HOUR)));
         assertEquals(before, start(starts.carry(roll(Readiness.READY, "a", 5 * HOUR), true, NOW, -HOUR)));
@@ -62,7 +62,7 @@
         for (long age : new long[] {0, SECOND / 2, 5 * SECOND, 11 * SECOND, HOUR / 2, 2 * HOUR}) {
             long started = NOW - age;
             for (long told : new long[] {started, started + set}) {
-                long here = start(new Starts().carry(roll(Readiness.READY, "a", told), true, NOW, set));
+                long here = start(new StartTimes().carry(roll(Readiness.READY, "a", told), true, NOW, set));
                 assertTrue(
                         here >= started, "set by " + set + ", told " + (told - NOW) + ": older by " + (started - here));
                 assertTrue(here <= NOW, "not in the future");
@@ -74,7 +74,7 @@
     @ParameterizedTest
     @ValueSource(longs = {SECOND, -SECOND, 10 * SECOND, -10 * SECOND, HOUR, -HOUR, 0})
     void aStartThatLiesInTheFutureIsAsOfNowAndStaysSo(long set) {
-        Starts starts = new Starts();
+        StartTimes starts = new StartTimes();
         ServerListUpdate ahead = roll(Readiness.READY, "a", NOW + 2 * HOUR);
         assertEquals(NOW, start(starts.carry(ahead, true, NOW, set)));
         assertEquals(NOW, start(starts.carry(ahead, true, NOW + 3 * HOUR, set)), "told again, it is no other start");
@@ -86,12 +86,12 @@
 
     @Test
     void longAgoStaysLongAgo() {
-        assertEquals(0, start(new Starts().carry(roll(Readiness.READY, "a", 0), true, NOW, HOUR)));
+        assertEquals(0, start(new StartTimes().carry(roll(Readiness.READY, "a", 0), true, NOW, HOUR)));
     }
 
     @Test
     void whatIsGoneIsForgotten() {
-        Starts starts = new Starts();
+        StartTimes starts = new StartTimes();
         starts.carry(roll(Readiness.READY, "a", 5 * HOUR), false, NOW, 0);
         starts.carry(roll(Readiness.GONE, "a", 5 * HOUR), false, NOW, 0);
         assertEquals(0, starts.size());
