--- a/src/main/java/rushpin/membership/Withheld.java
+++ b/src/main/java/rushpin/membership/DisabledServers.java
@@ -15,7 +15,7 @@
  * <p>Bounds: one entry for each listed server and for each one taken out; the last {@value #MOST_SEEN} ids are known as
  * such that were once listed.
  */
-public final class Withheld {
+public final class DisabledServers {
     private static final int MOST_SEEN = 8_192;
 
     /** What the source said last; members that are gone have no entry. */
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -33,7 +33,7 @@
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
 import rushpin.membership.StartTimes;
-import rushpin.membership.Withheld;
+import rushpin.membership.DisabledServers;
 import rushpin.net.CounterClient;
 import rushpin.net.DiscoveryClient;
 import rushpin.net.LoopWatch;
@@ -86,7 +86,7 @@
     /** What operators' calls go to, and who is out by them; null for none. */
     private Desk desk;
 
-    private Withheld withheld;
+    private DisabledServers withheld;
     private final List<Beside.Gift> gifts = new ArrayList<>();
     private int processes = 1;
     /** As they are now: classes that are dropped stand behind the others until their last clients are gone. */
@@ -164,7 +164,7 @@
     /** Reports to a desk, and keeps to what operators say there; before the start. */
     void serveDesk(Desk with) {
         desk = with;
-        withheld = new Withheld();
+        withheld = new DisabledServers();
         names().classes().forEach(name -> desk.counts().of(figure(name)));
     }
 
--- a/src/test/java/rushpin/membership/WithheldTest.java
+++ b/src/test/java/rushpin/membership/DisabledServersTest.java
@@ -19,8 +19,8 @@
 import rushpin.gateway.Ports.Readiness;
 import rushpin.gateway.Ports.Server;
 
-class WithheldTest {
-    private final Withheld withheld = new Withheld();
+class DisabledServersTest {
+    private final DisabledServers withheld = new DisabledServers();
 
     private static Member member(String id, Readiness readiness, long startedAt) {
         return new Member(new Server(id, 1, 0, 0, 0, readiness, startedAt), new InetSocketAddress("127.0.0.1", 1));
@@ -93,7 +93,7 @@
     @Property(tries = 500)
     void thePoolsViewIsTheListLessThoseOut(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 39) Integer> steps) {
-        Withheld deciding = new Withheld();
+        DisabledServers deciding = new DisabledServers();
         Map<String, Readiness> list = new HashMap<>(), told = new HashMap<>();
         Set<String> out = new HashSet<>();
         for (int step : steps) {
