--- a/src/main/java/rushpin/console/Counts.java
+++ b/src/main/java/rushpin/console/ProcessMetrics.java
@@ -11,12 +11,12 @@
  *
  * <p>Bounds: one entry for each class that the settings have named; beyond {@value #MOST_CLASSES} nothing is kept.
  */
-public final class Counts {
+public final class ProcessMetrics {
     private static final int MOST_CLASSES = 256;
     private static final String PREFIX = "node.";
 
     /** How requests of one class ended, and how often they were tried. */
-    public static final class OfClass {
+    public static final class ClassMetrics {
         private final AtomicLong ok = new AtomicLong(),
                 shed = new AtomicLong(),
                 errors = new AtomicLong(),
@@ -43,18 +43,18 @@
         }
     }
 
-    private final Map<String, OfClass> classes = new ConcurrentSkipListMap<>();
-    private final OfClass rest = new OfClass();
+    private final Map<String, ClassMetrics> classes = new ConcurrentSkipListMap<>();
+    private final ClassMetrics rest = new ClassMetrics();
     /** For each pool how many servers are listed and how many of them avoided. */
     private final Map<String, int[]> servers = new ConcurrentHashMap<>();
 
     private final AtomicLong active = new AtomicLong(), applied = new AtomicLong(), rejected = new AtomicLong();
 
     /** The figures of a class, which begin at 0. */
-    public OfClass of(String name) {
-        OfClass known = classes.get(name);
+    public ClassMetrics of(String name) {
+        ClassMetrics known = classes.get(name);
         if (known == null && classes.size() < MOST_CLASSES) {
-            known = classes.computeIfAbsent(name, n -> new OfClass());
+            known = classes.computeIfAbsent(name, n -> new ClassMetrics());
         }
         return known == null ? rest : known;
     }
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -19,7 +19,7 @@
 import rushpin.config.GroupPlan;
 import rushpin.config.PoolPlan;
 import rushpin.console.Beside;
-import rushpin.console.Counts;
+import rushpin.console.ProcessMetrics;
 import rushpin.gateway.Gateway;
 import rushpin.gateway.Ports;
 import rushpin.gateway.Ports.ListKind;
@@ -189,12 +189,12 @@
         return plan.name().isEmpty() ? className : plan.name() + "." + className;
     }
 
-    private Counts.OfClass counts(OpenRequest of) {
+    private ProcessMetrics.ClassMetrics counts(OpenRequest of) {
         return desk.counts().of(figure(of.className()));
     }
 
     /** A request has ended, as one that is counted so. */
-    private void ended(OpenRequest of, Consumer<Counts.OfClass> as) {
+    private void ended(OpenRequest of, Consumer<ProcessMetrics.ClassMetrics> as) {
         if (desk != null) {
             desk.counts().open(-1);
             as.accept(counts(of));
@@ -202,7 +202,7 @@
     }
 
     /** The way of a request's one answer, which is counted; null if it was given. */
-    private OpenRequest.Answers answer(OpenRequest of, Consumer<Counts.OfClass> as) {
+    private OpenRequest.Answers answer(OpenRequest of, Consumer<ProcessMetrics.ClassMetrics> as) {
         OpenRequest.Answers answers = of.answerOnce();
         if (answers != null) {
             ended(of, as);
@@ -662,7 +662,7 @@
                 || !budgets.take(taken)) {
             // Nothing was sent for it, and its time is over, or its pool is full or has just gone: to come again is
             // harmless.
-            answer(taken, Counts.OfClass::refused).refused(Budgets.COME_BACK);
+            answer(taken, ProcessMetrics.ClassMetrics::refused).refused(Budgets.COME_BACK);
             if (tap != null) {
                 tap.turnedAway(taken, names.plans(), now());
             }
@@ -722,7 +722,7 @@
         if (outcome == Outcome.OK && now() > lastMoment(of)) {
             fail(of);
         } else if (outcome == Outcome.OK) {
-            OpenRequest.Answers answers = answer(of, Counts.OfClass::served);
+            OpenRequest.Answers answers = answer(of, ProcessMetrics.ClassMetrics::served);
             if (answers != null) {
                 note(of, Entry.End.SERVED);
                 answers.served(body);
@@ -769,7 +769,7 @@
             passage.stop();
         } else {
             note(of, Entry.End.SERVED);
-            answers.begun(passage, length, whole -> ended(of, whole ? Counts.OfClass::served : Counts.OfClass::failed));
+            answers.begun(passage, length, whole -> ended(of, whole ? ProcessMetrics.ClassMetrics::served : ProcessMetrics.ClassMetrics::failed));
         }
         event(
                 of,
@@ -867,7 +867,7 @@
     @Override
     public void refuse(String id, long retryAfter) {
         OpenRequest of = open.get(id);
-        OpenRequest.Answers answers = of == null ? null : answer(of, Counts.OfClass::refused);
+        OpenRequest.Answers answers = of == null ? null : answer(of, ProcessMetrics.ClassMetrics::refused);
         if (answers != null) {
             note(of, Entry.End.REFUSED);
             answers.refused(retryAfter);
@@ -884,7 +884,7 @@
     }
 
     private void fail(OpenRequest of) {
-        OpenRequest.Answers answers = answer(of, Counts.OfClass::failed);
+        OpenRequest.Answers answers = answer(of, ProcessMetrics.ClassMetrics::failed);
         if (answers != null) {
             note(of, Entry.End.FAILED);
             answers.failed();
