--- a/src/main/java/rushpin/console/Beside.java
+++ b/src/main/java/rushpin/console/ProcessRegistry.java
@@ -19,7 +19,7 @@
  * How many processes act as one node: each that serves holds a lock on a file of its own in the folder that they share.
  * The kernel lets go of it when a process ends, however that is. What one gives another stands there as a file for a moment.
  */
-public final class Beside implements AutoCloseable {
+public final class ProcessRegistry implements AutoCloseable {
     private static final String PREFIX = "serves-", GIFT = "gave-";
     private static final int MOST_GIFTS = 16_384;
     private static final long GIFT_MS = 2_000;
@@ -29,7 +29,7 @@
     private int given;
 
     /** Says nothing yet; the folder is made if it is not there. */
-    public Beside(Path folder) throws IOException {
+    public ProcessRegistry(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
         mine = folder.resolve(PREFIX + UUID.randomUUID());
     }
@@ -51,15 +51,15 @@
     }
 
     /** What one process gives another of a customer's ceiling. */
-    public record Gift(long customer, int plan, int setSize, double units) {}
+    public record QuotaTransfer(long customer, int plan, int setSize, double units) {}
 
     /** Leaves something for the same pool of the other processes: whoever comes first has all of it. */
-    public synchronized void give(String pool, List<Gift> gifts) throws IOException {
+    public synchronized void give(String pool, List<QuotaTransfer> gifts) throws IOException {
         if (gifts.isEmpty()) {
             return;
         }
         StringBuilder text = new StringBuilder();
-        for (Gift gift : gifts.subList(0, Math.min(MOST_GIFTS, gifts.size()))) {
+        for (QuotaTransfer gift : gifts.subList(0, Math.min(MOST_GIFTS, gifts.size()))) {
             text.append(gift.customer)
                     .append(' ')
                     .append(gift.plan)
@@ -79,8 +79,8 @@
     }
 
     /** Takes what others have left; what nobody took in {@value #GIFT_MS} ms is nobody's any more. */
-    public synchronized List<Gift> take(String pool, long nowMs) throws IOException {
-        List<Gift> gifts = new ArrayList<>();
+    public synchronized List<QuotaTransfer> take(String pool, long nowMs) throws IOException {
+        List<QuotaTransfer> gifts = new ArrayList<>();
         String all = GIFT + pool + "." + PREFIX, own = GIFT + pool + "." + mine.getFileName();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, GIFT + "*")) {
             for (Path file : files) {
@@ -107,7 +107,7 @@
         return gifts;
     }
 
-    private static void read(List<String> lines, List<Gift> into) {
+    private static void read(List<String> lines, List<QuotaTransfer> into) {
         if (lines.isEmpty()
                 || lines.size() > MOST_GIFTS + 1
                 || !lines.get(lines.size() - 1).equals("end")) {
@@ -118,7 +118,7 @@
             try {
                 double units = Double.parseDouble(parts[3]);
                 if (units > 0 && Double.isFinite(units)) {
-                    into.add(new Gift(
+                    into.add(new QuotaTransfer(
                             Long.parseLong(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]), units));
                 }
             } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
--- a/src/main/java/rushpin/node/Desk.java
+++ b/src/main/java/rushpin/node/Desk.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import rushpin.console.Beside;
+import rushpin.console.ProcessRegistry;
 import rushpin.console.ProcessMetrics;
 import rushpin.console.OutOfService;
 import rushpin.net.Trouble;
@@ -14,10 +14,10 @@
  * @param out which app servers they have taken out, for all processes of this node
  * @param beside which processes these are
  */
-public record Desk(ProcessMetrics counts, OutOfService out, Beside beside) implements AutoCloseable {
+public record Desk(ProcessMetrics counts, OutOfService out, ProcessRegistry beside) implements AutoCloseable {
     /** Keeps what outlives a process in a folder that all processes of the node share. */
     public static Desk in(Path folder) throws IOException {
-        return new Desk(new ProcessMetrics(), new OutOfService(folder), new Beside(folder));
+        return new Desk(new ProcessMetrics(), new OutOfService(folder), new ProcessRegistry(folder));
     }
 
     /** A configuration was read again: taken, or turned down whole. */
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -18,7 +18,7 @@
 import rushpin.accord.Plan;
 import rushpin.config.GroupPlan;
 import rushpin.config.PoolPlan;
-import rushpin.console.Beside;
+import rushpin.console.ProcessRegistry;
 import rushpin.console.ProcessMetrics;
 import rushpin.gateway.Gateway;
 import rushpin.gateway.Ports;
@@ -87,7 +87,7 @@
     private Desk desk;
 
     private DisabledServers withheld;
-    private final List<Beside.Gift> gifts = new ArrayList<>();
+    private final List<ProcessRegistry.QuotaTransfer> gifts = new ArrayList<>();
     private int processes = 1;
     /** As they are now: classes that are dropped stand behind the others until their last clients are gone. */
     private Names names;
@@ -247,7 +247,7 @@
                 processes = now;
                 event(null, at -> gateway.processes(at, now));
             }
-            for (Beside.Gift gift : desk.beside().take(plan.name(), clock.wallMs())) {
+            for (ProcessRegistry.QuotaTransfer gift : desk.beside().take(plan.name(), clock.wallMs())) {
                 event(null, at -> gateway.inherit(at, gift.customer(), gift.plan(), gift.setSize(), gift.units()));
             }
             deskTrouble = false;
@@ -293,7 +293,7 @@
 
     @Override
     public void gave(long customer, int plan, int setSize, double units) {
-        gifts.add(new Beside.Gift(customer, plan, setSize, units));
+        gifts.add(new ProcessRegistry.QuotaTransfer(customer, plan, setSize, units));
     }
 
     /** Begins with the list as last known; called on the loop. */
--- a/src/test/java/rushpin/console/BesideTest.java
+++ b/src/test/java/rushpin/console/ProcessRegistryTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What processes of one node leave for each other. */
-class BesideTest {
+class ProcessRegistryTest {
     @TempDir
     Path folder;
 
-    private static final List<Beside.Gift> GIFTS = List.of(new Beside.Gift(7, 0, 2, 3.5), new Beside.Gift(-9, 1, 4, 1));
+    private static final List<ProcessRegistry.QuotaTransfer> GIFTS = List.of(new ProcessRegistry.QuotaTransfer(7, 0, 2, 3.5), new ProcessRegistry.QuotaTransfer(-9, 1, 4, 1));
 
     private Path gift() throws Exception {
         try (Stream<Path> files = Files.list(folder)) {
@@ -28,7 +28,7 @@
 
     @Test
     void aGiftIsTakenOnceAndNotByItsGiver() throws Exception {
-        Beside one = new Beside(folder), two = new Beside(folder), three = new Beside(folder);
+        ProcessRegistry one = new ProcessRegistry(folder), two = new ProcessRegistry(folder), three = new ProcessRegistry(folder);
         one.give("a", GIFTS);
         assertEquals(List.of(), one.take("a", System.currentTimeMillis()));
         assertEquals(List.of(), two.take("a.b", System.currentTimeMillis()), "another pool's");
@@ -39,7 +39,7 @@
 
     @Test
     void anOldGiftIsNobodys() throws Exception {
-        Beside one = new Beside(folder), two = new Beside(folder);
+        ProcessRegistry one = new ProcessRegistry(folder), two = new ProcessRegistry(folder);
         one.give("a", GIFTS);
         Files.setLastModifiedTime(gift(), FileTime.fromMillis(System.currentTimeMillis() - 60_000));
         assertEquals(List.of(), two.take("a", System.currentTimeMillis()));
@@ -49,7 +49,7 @@
 
     @Test
     void whatIsTornOrForeignGivesNothing() throws Exception {
-        Beside one = new Beside(folder), two = new Beside(folder);
+        ProcessRegistry one = new ProcessRegistry(folder), two = new ProcessRegistry(folder);
         for (String text :
                 new String[] {"", "7 0 2 3.5\n", "7 0 2 NaN\nend\n", "7 0 2 -4\nend\n", "x y\nend\n", "end\n"}) {
             one.give("a", GIFTS);
@@ -62,7 +62,7 @@
 
     @Test
     void whoServesIsCountedUntilItEnds() throws Exception {
-        Beside one = new Beside(folder), two = new Beside(folder);
+        ProcessRegistry one = new ProcessRegistry(folder), two = new ProcessRegistry(folder);
         assertEquals(0, two.others());
         one.serve();
         assertEquals(1, two.others());
--- a/src/test/java/rushpin/node/BesideTest.java
+++ b/src/test/java/rushpin/node/BesideTest.java
@@ -17,7 +17,7 @@
 import rushpin.config.OperatorFile;
 
 /** Two nodes at one address, each with a queue of its own: what waits there when its node goes is not lost. */
-class BesideTest extends Stage {
+class ProcessRegistryTest extends Stage {
     @Test
     void whatWaitsInTheQueueIsTakenBeforeTheSocketGoes() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
