--- a/src/main/java/rushpin/membership/xds/Retry.java
+++ b/src/main/java/rushpin/membership/xds/ReconnectBackoff.java
@@ -7,7 +7,7 @@
  * answered begins again with the first; one that had not goes on to the next, and waits longer each time all have been
  * tried. No I/O.
  */
-public final class Retry {
+public final class ReconnectBackoff {
     private static final double JITTER = 0.2, GROWTH = 1.6;
 
     private final int servers;
@@ -17,7 +17,7 @@
     private long span;
 
     /** For so many servers; spans in nanoseconds. */
-    public Retry(int servers, long first, long most, SplittableRandom random) {
+    public ReconnectBackoff(int servers, long first, long most, SplittableRandom random) {
         this.servers = servers;
         this.first = first;
         this.most = most;
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -19,7 +19,7 @@
 import rushpin.membership.xds.ClusterSpec;
 import rushpin.membership.xds.ClusterView;
 import rushpin.membership.xds.Endpoints;
-import rushpin.membership.xds.Retry;
+import rushpin.membership.xds.ReconnectBackoff;
 import rushpin.membership.xds.Subscription;
 import rushpin.net.DiscoveryClient;
 import rushpin.net.Trouble;
@@ -42,7 +42,7 @@
     private final String name;
     private final ClusterView view;
     private final Subscription subscription;
-    private final Retry retry;
+    private final ReconnectBackoff retry;
     private final LastGood lastGood;
     private final ScheduledExecutorService thread;
     private volatile GrpcStream stream;
@@ -72,7 +72,7 @@
         name = pool;
         view = new ClusterView(names, plan.rules(), known, this);
         subscription = new Subscription(plan.form(), plan.cluster(), plan.all(), this);
-        retry = new Retry(Math.max(1, plan.servers().size()), FIRST_WAIT, MOST_WAIT, new SplittableRandom(seed));
+        retry = new ReconnectBackoff(Math.max(1, plan.servers().size()), FIRST_WAIT, MOST_WAIT, new SplittableRandom(seed));
         lastGood = state == null ? null : new LastGood(state, pool, names);
         thread = Executors.newSingleThreadScheduledExecutor(work -> {
             Thread made = new Thread(work, "xds " + pool);
--- a/src/test/java/rushpin/membership/xds/RetryTest.java
+++ b/src/test/java/rushpin/membership/xds/ReconnectBackoffTest.java
@@ -8,12 +8,12 @@
 import net.jqwik.api.Property;
 
 /** Which server next, and when. */
-class RetryTest {
+class ReconnectBackoffTest {
     @Property
     void waitsAreBoundedAndServersAreTriedInOrder(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int servers = random.nextInt(1, 5);
-        Retry retry = new Retry(servers, 200, 10_000, random.split());
+        ReconnectBackoff retry = new ReconnectBackoff(servers, 200, 10_000, random.split());
         int expected = 0;
         for (int i = 0; i < 100; i++) {
             assertEquals(expected, retry.server(), "seed " + seed);
