--- a/src/main/java/rushpin/membership/xds/AssignmentReader.java
+++ b/src/main/java/rushpin/membership/xds/AssignmentReader.java
@@ -62,22 +62,22 @@
     }
 
     /** Reads an assignment. */
-    public Endpoints read(Any any) throws Rejected {
+    public Endpoints read(Any any) throws InvalidResourceException {
         if (!any.getTypeUrl().equals(ResourceReader.ENDPOINTS)) {
-            throw new Rejected("it is of type " + any.getTypeUrl() + "; allowed: " + ResourceReader.ENDPOINTS);
+            throw new InvalidResourceException("it is of type " + any.getTypeUrl() + "; allowed: " + ResourceReader.ENDPOINTS);
         }
         return read(any.getValue());
     }
 
-    Endpoints read(ByteString bytes) throws Rejected {
+    Endpoints read(ByteString bytes) throws InvalidResourceException {
         try {
             return parse(bytes);
         } catch (IOException e) {
-            throw new Rejected("it cannot be read as a ClusterLoadAssignment: " + e.getMessage());
+            throw new InvalidResourceException("it cannot be read as a ClusterLoadAssignment: " + e.getMessage());
         }
     }
 
-    private Endpoints parse(ByteString bytes) throws IOException, Rejected {
+    private Endpoints parse(ByteString bytes) throws IOException, InvalidResourceException {
         List<ByteString> localities = new ArrayList<>();
         ClusterLoadAssignment from = ClusterLoadAssignment.parseFrom(split(bytes, LOCALITY, localities));
         Map<ByteString, Base> now = new HashMap<>();
@@ -89,15 +89,15 @@
             List<ByteString> inside = new ArrayList<>();
             LocalityLbEndpoints locality = LocalityLbEndpoints.parseFrom(split(each, ENDPOINT, inside));
             if (locality.hasLedsClusterLocalityConfig()) {
-                throw new Rejected(
+                throw new InvalidResourceException(
                         "leds_cluster_locality_config: lists of endpoints apart are not followed; allowed: lb_endpoints");
             }
             if (Integer.compareUnsigned(locality.getPriority(), MOST_PRIORITY) > 0) {
-                throw new Rejected("priority is " + Integer.toUnsignedString(locality.getPriority())
+                throw new InvalidResourceException("priority is " + Integer.toUnsignedString(locality.getPriority())
                         + "; allowed: 0 to " + MOST_PRIORITY);
             }
             if (all.size() + inside.size() > MOST_ENDPOINTS) {
-                throw new Rejected("it has more than " + MOST_ENDPOINTS + " endpoints");
+                throw new InvalidResourceException("it has more than " + MOST_ENDPOINTS + " endpoints");
             }
             List<Base> bases = new ArrayList<>(inside.size());
             for (ByteString one : inside) {
@@ -112,11 +112,11 @@
             double part = part(locality, bases);
             for (Base base : bases) {
                 if (!ids.add(base.id)) {
-                    throw new Rejected("endpoint " + base.id + " stands there twice; allowed: each once");
+                    throw new InvalidResourceException("endpoint " + base.id + " stands there twice; allowed: each once");
                 }
                 String holder = holders.put(base.address, base.id);
                 if (holder != null) {
-                    throw new Rejected("endpoints " + holder + " and " + base.id + " have one address");
+                    throw new InvalidResourceException("endpoints " + holder + " and " + base.id + " have one address");
                 }
                 all.add(new Endpoints.One(
                         base.id,
@@ -162,7 +162,7 @@
     }
 
     /** What each weight in a locality counts, where localities have weights themselves. */
-    private static double part(LocalityLbEndpoints of, List<Base> in) throws Rejected {
+    private static double part(LocalityLbEndpoints of, List<Base> in) throws InvalidResourceException {
         if (!of.hasLoadBalancingWeight()) {
             return 1;
         }
@@ -171,44 +171,44 @@
             sum += each.weight;
         }
         if (of.getLoadBalancingWeight().getValue() == 0) {
-            throw new Rejected(
+            throw new InvalidResourceException(
                     "load_balancing_weight of locality " + of.getLocality().getZone() + " is 0; allowed: from 1");
         }
         return sum == 0 ? 1 : Integer.toUnsignedLong(of.getLoadBalancingWeight().getValue()) / sum;
     }
 
-    private static double weight(LbEndpoint of) throws Rejected {
+    private static double weight(LbEndpoint of) throws InvalidResourceException {
         if (!of.hasLoadBalancingWeight()) {
             return 1;
         }
         if (of.getLoadBalancingWeight().getValue() == 0) {
-            throw new Rejected("load_balancing_weight of an endpoint is 0; allowed: from 1, or DRAINING for none");
+            throw new InvalidResourceException("load_balancing_weight of an endpoint is 0; allowed: from 1, or DRAINING for none");
         }
         return Integer.toUnsignedLong(of.getLoadBalancingWeight().getValue());
     }
 
-    private static double fraction(ClusterLoadAssignment.Policy.DropOverload drop) throws Rejected {
+    private static double fraction(ClusterLoadAssignment.Policy.DropOverload drop) throws InvalidResourceException {
         FractionalPercent percent = drop.getDropPercentage();
         double whole = switch (percent.getDenominator()) {
             case HUNDRED -> 100;
             case TEN_THOUSAND -> 10_000;
             case MILLION -> 1_000_000;
             default ->
-                throw new Rejected(
+                throw new InvalidResourceException(
                         "drop_percentage of category " + drop.getCategory() + " has a denominator that is none");
         };
         return Math.min(1, Integer.toUnsignedLong(percent.getNumerator()) / whole);
     }
 
-    private static Base base(LbEndpoint from) throws Rejected {
+    private static Base base(LbEndpoint from) throws InvalidResourceException {
         if (!from.hasEndpoint()) {
-            throw new Rejected("an lb_endpoint has no endpoint; allowed: endpoint, as named ones are not kept");
+            throw new InvalidResourceException("an lb_endpoint has no endpoint; allowed: endpoint, as named ones are not kept");
         }
         InetSocketAddress address = address(from.getEndpoint().getAddress());
         Struct said = from.getMetadata().getFilterMetadataMap().getOrDefault(METADATA, Struct.getDefaultInstance());
         String id = text(said, "id", address.getAddress().getHostAddress() + ":" + address.getPort());
         if (id.isEmpty() || id.length() > MOST_ID) {
-            throw new Rejected("metadata " + METADATA + ".id of " + address + " has " + id.length()
+            throw new InvalidResourceException("metadata " + METADATA + ".id of " + address + " has " + id.length()
                     + " characters; allowed: 1 to " + MOST_ID);
         }
         double started = number(said, "started_ms", -1, id);
@@ -224,17 +224,17 @@
     }
 
     /** A degraded one serves, and the module sees by its answers how well; what fails its checks gets nothing new. */
-    private static Readiness readiness(HealthStatus status) throws Rejected {
+    private static Readiness readiness(HealthStatus status) throws InvalidResourceException {
         return switch (status) {
             case UNKNOWN, HEALTHY, DEGRADED -> Readiness.READY;
             case DRAINING, UNHEALTHY, TIMEOUT -> Readiness.DRAINING;
-            default -> throw new Rejected("health_status is a value that is not known");
+            default -> throw new InvalidResourceException("health_status is a value that is not known");
         };
     }
 
-    private static InetSocketAddress address(Address from) throws Rejected {
+    private static InetSocketAddress address(Address from) throws InvalidResourceException {
         if (!from.hasSocketAddress()) {
-            throw new Rejected("an endpoint has no socket_address; allowed: an IP address with a port");
+            throw new InvalidResourceException("an endpoint has no socket_address; allowed: an IP address with a port");
         }
         SocketAddress socket = from.getSocketAddress();
         String host = socket.getAddress();
@@ -242,44 +242,44 @@
         if (socket.getPortSpecifierCase() != SocketAddress.PortSpecifierCase.PORT_VALUE
                 || port < 1
                 || port > MOST_PORT) {
-            throw new Rejected("port_value of " + host + " is "
+            throw new InvalidResourceException("port_value of " + host + " is "
                     + (socket.hasPortValue() ? Integer.toUnsignedString(port) : "missing") + "; allowed: 1 to "
                     + MOST_PORT);
         }
         if (socket.getProtocol() != SocketAddress.Protocol.TCP) {
-            throw new Rejected("protocol of " + host + ":" + port + " is " + socket.getProtocol() + "; allowed: TCP");
+            throw new InvalidResourceException("protocol of " + host + ":" + port + " is " + socket.getProtocol() + "; allowed: TCP");
         }
         // Only what is an address already: a name would be looked up.
         if (!ADDRESS.matcher(host).matches()) {
-            throw new Rejected(
+            throw new InvalidResourceException(
                     "address \"" + host + "\" is no IP address, and look-ups are off; allowed: an IP address");
         }
         try {
             return new InetSocketAddress(InetAddress.getByName(host), port);
         } catch (UnknownHostException e) {
-            throw new Rejected("address \"" + host + "\" is no IP address; allowed: an IP address");
+            throw new InvalidResourceException("address \"" + host + "\" is no IP address; allowed: an IP address");
         }
     }
 
-    private static String text(Struct from, String key, String otherwise) throws Rejected {
+    private static String text(Struct from, String key, String otherwise) throws InvalidResourceException {
         Value value = from.getFieldsMap().get(key);
         if (value == null) {
             return otherwise;
         }
         if (!value.hasStringValue()) {
-            throw new Rejected("metadata " + METADATA + "." + key + " is no text");
+            throw new InvalidResourceException("metadata " + METADATA + "." + key + " is no text");
         }
         return value.getStringValue();
     }
 
-    private static double number(Struct from, String key, double otherwise, String id) throws Rejected {
+    private static double number(Struct from, String key, double otherwise, String id) throws InvalidResourceException {
         Value value = from.getFieldsMap().get(key);
         if (value == null) {
             return otherwise;
         }
         double number = value.getNumberValue();
         if (!value.hasNumberValue() || !(number >= 0 && number <= 1e13)) {
-            throw new Rejected("metadata " + METADATA + "." + key + " of " + id + " is no number from 0 to 1e13");
+            throw new InvalidResourceException("metadata " + METADATA + "." + key + " of " + id + " is no number from 0 to 1e13");
         }
         return number;
     }
--- a/src/main/java/rushpin/membership/xds/ResourceReader.java
+++ b/src/main/java/rushpin/membership/xds/ResourceReader.java
@@ -30,14 +30,14 @@
     private ResourceReader() {}
 
     /** Reads a cluster. */
-    public static ClusterSpec cluster(Any any) throws Rejected {
+    public static ClusterSpec cluster(Any any) throws InvalidResourceException {
         if (!any.getTypeUrl().equals(CLUSTER)) {
-            throw new Rejected("it is of type " + any.getTypeUrl() + "; allowed: " + CLUSTER);
+            throw new InvalidResourceException("it is of type " + any.getTypeUrl() + "; allowed: " + CLUSTER);
         }
         try {
             return cluster(Cluster.parseFrom(any.getValue()));
         } catch (InvalidProtocolBufferException e) {
-            throw new Rejected("it cannot be read as a Cluster: " + e.getMessage());
+            throw new InvalidResourceException("it cannot be read as a Cluster: " + e.getMessage());
         }
     }
 
@@ -62,12 +62,12 @@
         }
     }
 
-    static ClusterSpec cluster(Cluster from) throws Rejected {
+    static ClusterSpec cluster(Cluster from) throws InvalidResourceException {
         if (from.getName().isEmpty()) {
-            throw new Rejected("name is empty");
+            throw new InvalidResourceException("name is empty");
         }
         if (from.hasClusterType()) {
-            throw new Rejected("cluster_type " + from.getClusterType().getName()
+            throw new InvalidResourceException("cluster_type " + from.getClusterType().getName()
                     + " is no cluster of this node's; allowed: " + "type EDS or STATIC");
         }
         String eds = null, path = null;
@@ -75,12 +75,12 @@
         switch (from.getType()) {
             case EDS -> {
                 if (!from.getEdsClusterConfig().hasEdsConfig()) {
-                    throw new Rejected("eds_cluster_config.eds_config is missing; allowed: ads or self");
+                    throw new InvalidResourceException("eds_cluster_config.eds_config is missing; allowed: ads or self");
                 }
                 if (!from.getEdsClusterConfig().getEdsConfig().hasAds()
                         && !from.getEdsClusterConfig().getEdsConfig().hasSelf()
                         && !from.getEdsClusterConfig().getEdsConfig().hasPathConfigSource()) {
-                    throw new Rejected("eds_cluster_config.eds_config names another server; allowed: ads or self");
+                    throw new InvalidResourceException("eds_cluster_config.eds_config names another server; allowed: ads or self");
                 }
                 String service = from.getEdsClusterConfig().getServiceName();
                 path = from.getEdsClusterConfig().getEdsConfig().hasPathConfigSource()
@@ -93,14 +93,14 @@
             }
             case STATIC -> {
                 if (!from.hasLoadAssignment()) {
-                    throw new Rejected("load_assignment is missing in a STATIC cluster");
+                    throw new InvalidResourceException("load_assignment is missing in a STATIC cluster");
                 }
                 inline = endpoints(from.getLoadAssignment());
             }
             case STRICT_DNS, LOGICAL_DNS ->
-                throw new Rejected("type " + from.getType()
+                throw new InvalidResourceException("type " + from.getType()
                         + " wants names to be looked up, and look-ups are off here; allowed: EDS, STATIC");
-            default -> throw new Rejected("type " + from.getType() + " is not for this node; allowed: EDS, STATIC");
+            default -> throw new InvalidResourceException("type " + from.getType() + " is not for this node; allowed: EDS, STATIC");
         }
         long connect = span("connect_timeout", from.getConnectTimeout());
         int connections = 0, requests = 0;
@@ -113,29 +113,29 @@
         return new ClusterSpec(from.getName(), eds, path, inline, connect, connections, requests);
     }
 
-    private static int bound(String key, boolean said, UInt32Value value) throws Rejected {
+    private static int bound(String key, boolean said, UInt32Value value) throws InvalidResourceException {
         if (said && value.getValue() == 0) {
-            throw new Rejected("circuit_breakers " + key + " is 0, and so no request could be sent; allowed: from 1");
+            throw new InvalidResourceException("circuit_breakers " + key + " is 0, and so no request could be sent; allowed: from 1");
         }
         // Unsigned: what does not fit is no bound at all.
         return said && value.getValue() > 0 ? value.getValue() : 0;
     }
 
-    static long span(String key, Duration of) throws Rejected {
+    static long span(String key, Duration of) throws InvalidResourceException {
         boolean negative = of.getSeconds() < 0 || of.getNanos() < 0;
         if (negative || of.getSeconds() > MOST_SPAN_S || of.getNanos() >= S) {
-            throw new Rejected(
+            throw new InvalidResourceException(
                     key + " is " + of.getSeconds() + " s and " + of.getNanos() + " ns; allowed: 0 to a year");
         }
         return of.getSeconds() * S + of.getNanos();
     }
 
     /** Reads a cluster's endpoints. */
-    public static Endpoints endpoints(Any any) throws Rejected {
+    public static Endpoints endpoints(Any any) throws InvalidResourceException {
         return new AssignmentReader().read(any);
     }
 
-    static Endpoints endpoints(ClusterLoadAssignment from) throws Rejected {
+    static Endpoints endpoints(ClusterLoadAssignment from) throws InvalidResourceException {
         return new AssignmentReader().read(from.toByteString());
     }
 }
--- a/src/main/java/rushpin/membership/xds/Subscription.java
+++ b/src/main/java/rushpin/membership/xds/Subscription.java
@@ -204,7 +204,7 @@
     }
 
     private interface Reader<T> {
-        T read(Any any) throws Rejected;
+        T read(Any any) throws InvalidResourceException;
     }
 
     /** Reads what bears the wanted name; what is wrong with any resource, by its name, goes to {@code errors}. */
@@ -229,7 +229,7 @@
                         found = read;
                         had.put(called, item.version());
                     }
-                } catch (Rejected e) {
+                } catch (InvalidResourceException e) {
                     errors.put(shown, e.getMessage());
                 }
             }
@@ -237,10 +237,10 @@
         return found;
     }
 
-    private static ClusterSpec onStream(Any any) throws Rejected {
+    private static ClusterSpec onStream(Any any) throws InvalidResourceException {
         ClusterSpec read = ResourceReader.cluster(any);
         if (read.edsPath() != null) {
-            throw new Rejected("eds_cluster_config.eds_config names a file; allowed on a stream: ads or self");
+            throw new InvalidResourceException("eds_cluster_config.eds_config names a file; allowed on a stream: ads or self");
         }
         return read;
     }
--- a/src/main/java/rushpin/net/xds/FileWatch.java
+++ b/src/main/java/rushpin/net/xds/FileWatch.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import rushpin.membership.xds.ClusterSpec;
 import rushpin.membership.xds.Endpoints;
-import rushpin.membership.xds.Rejected;
+import rushpin.membership.xds.InvalidResourceException;
 import rushpin.membership.xds.ResourceReader;
 
 /**
@@ -107,7 +107,7 @@
                     Endpoints read = ResourceReader.endpoints(any.build());
                     assignments.put(read.name(), read);
                 }
-            } catch (InvalidProtocolBufferException | Rejected e) {
+            } catch (InvalidProtocolBufferException | InvalidResourceException e) {
                 source.log(at + ": refused " + name + ": " + first(e));
                 spoilt |= name.equals(wanted);
             }
--- a/src/test/java/rushpin/membership/xds/ResourceReaderTest.java
+++ b/src/test/java/rushpin/membership/xds/ResourceReaderTest.java
@@ -39,16 +39,16 @@
 /** What is taken of clusters and endpoints, and what is refused, by name. */
 class ResourceReaderTest {
     private static String refused(LbEndpoint... of) {
-        return assertThrows(Rejected.class, () -> ResourceReader.endpoints(any(assignment("c", of))))
+        return assertThrows(InvalidResourceException.class, () -> ResourceReader.endpoints(any(assignment("c", of))))
                 .getMessage();
     }
 
     private static String refused(Cluster of) {
-        return assertThrows(Rejected.class, () -> ResourceReader.cluster(any(of)))
+        return assertThrows(InvalidResourceException.class, () -> ResourceReader.cluster(any(of)))
                 .getMessage();
     }
 
-    private static Endpoints.One one(LbEndpoint of) throws Rejected {
+    private static Endpoints.One one(LbEndpoint of) throws InvalidResourceException {
         return ResourceReader.endpoints(any(assignment("c", of))).all().get(0);
     }
 
@@ -146,7 +146,7 @@
                 .addEndpoints(locality("a", 0, List.of(endpoint(80))))
                 .addEndpoints(locality("b", 0, List.of(endpoint(80))))
                 .build();
-        assertThrows(Rejected.class, () -> ResourceReader.endpoints(any(two)), "in two localities");
+        assertThrows(InvalidResourceException.class, () -> ResourceReader.endpoints(any(two)), "in two localities");
     }
 
     @Test
@@ -222,9 +222,9 @@
                 .setTypeUrl(ResourceReader.CLUSTER)
                 .setValue(ByteString.copyFrom(new byte[] {10, 50, 1}))
                 .build();
-        assertThrows(Rejected.class, () -> ResourceReader.cluster(torn));
+        assertThrows(InvalidResourceException.class, () -> ResourceReader.cluster(torn));
         assertEquals("", ResourceReader.name(torn));
-        assertThrows(Rejected.class, () -> ResourceReader.endpoints(any(eds("c"))), "another type");
+        assertThrows(InvalidResourceException.class, () -> ResourceReader.endpoints(any(eds("c"))), "another type");
     }
 
     /** What has stood there before in the same bytes is not parsed again, and reads the same as if it were. */
@@ -243,7 +243,7 @@
         Endpoints read = reader.read(next);
         assertEquals(1, reader.parsed());
         assertEquals(new AssignmentReader().read(next), read);
-        assertThrows(Rejected.class, () -> reader.read(any(assignment("c", endpoint(0)))));
+        assertThrows(InvalidResourceException.class, () -> reader.read(any(assignment("c", endpoint(0)))));
         assertEquals(read, reader.read(next), "what was refused leaves no trace");
     }
 }
--- a/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
+++ b/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
@@ -225,7 +225,7 @@
         return shape;
     }
 
-    private static Map<String, String> wanted(Any assignment) throws Rejected {
+    private static Map<String, String> wanted(Any assignment) throws InvalidResourceException {
         Map<String, String> shape = new LinkedHashMap<>();
         if (assignment != null) {
             Endpoints read = ResourceReader.endpoints(assignment);
