--- a/src/main/java/rushpin/config/XdsKeys.java
+++ b/src/main/java/rushpin/config/XdsKeys.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import rushpin.membership.discovery.ServerListReader;
 import rushpin.membership.xds.ClusterView;
-import rushpin.membership.xds.Form;
+import rushpin.membership.xds.XdsVariant;
 import rushpin.net.xds.XdsPlan;
 
 /** The table {@code [pool.xds]} of the operator's file. */
@@ -55,7 +55,7 @@
         }
         xds.done();
         return new XdsPlan(
-                Form.valueOf(form.toUpperCase(Locale.ROOT)),
+                XdsVariant.valueOf(form.toUpperCase(Locale.ROOT)),
                 List.copyOf(servers),
                 path == null ? null : folder.resolve(path),
                 cluster == null ? pool : cluster,
--- a/src/main/java/rushpin/membership/xds/Subscription.java
+++ b/src/main/java/rushpin/membership/xds/Subscription.java
@@ -97,7 +97,7 @@
             boolean first = !asked;
             asked = true;
             port.ask(
-                    form == Form.SOTW
+                    form == XdsVariant.SOTW
                             ? new Ask(url, version, nonce, names, List.of(), List.of(), Map.of(), null)
                             : new Ask(url, "", "", List.of(), more, first ? List.of() : less, initial, null));
         }
@@ -120,9 +120,9 @@
             }
             port.ask(new Ask(
                     url,
-                    form == Form.SOTW ? version : "",
+                    form == XdsVariant.SOTW ? version : "",
                     nonce,
-                    form == Form.SOTW ? names : List.of(),
+                    form == XdsVariant.SOTW ? names : List.of(),
                     List.of(),
                     List.of(),
                     Map.of(),
@@ -140,7 +140,7 @@
         }
     }
 
-    private final Form form;
+    private final XdsVariant form;
     private final String wanted;
     private final Port port;
     private final Kind clusters = new Kind(ResourceReader.CLUSTER), assignments = new Kind(ResourceReader.ENDPOINTS);
@@ -150,7 +150,7 @@
     private int stray;
 
     /** For the cluster of a name; {@code wildcard} to subscribe to all clusters and take that one. */
-    public Subscription(Form form, String cluster, boolean wildcard, Port port) {
+    public Subscription(XdsVariant form, String cluster, boolean wildcard, Port port) {
         this.form = form;
         wanted = cluster;
         this.port = port;
@@ -250,7 +250,7 @@
         ClusterSpec found = find(answer, wanted, Subscription::onStream, errors, clusters.versions);
         clusters.reply(answer, errors);
         // An answer of the first form names all that there is; but what is there and cannot be read is not gone.
-        boolean gone = form == Form.SOTW
+        boolean gone = form == XdsVariant.SOTW
                 ? found == null
                         && !errors.containsKey(wanted)
                         && errors.keySet().stream().noneMatch(each -> each.startsWith("resource "))
--- a/src/main/java/rushpin/net/xds/GrpcStream.java
+++ b/src/main/java/rushpin/net/xds/GrpcStream.java
@@ -24,7 +24,7 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import rushpin.membership.xds.Form;
+import rushpin.membership.xds.XdsVariant;
 import rushpin.membership.xds.Subscription.Answer;
 import rushpin.membership.xds.Subscription.Ask;
 import rushpin.membership.xds.Subscription.Item;
@@ -39,7 +39,7 @@
     private final XdsSource source;
     private final ManagedChannel channel;
     private final Node node;
-    private final Form form;
+    private final XdsVariant form;
     /** The stream, and the same by its form: one of these is there. */
     private ClientCallStreamObserver<?> call;
 
@@ -75,7 +75,7 @@
         }
         channel = builder.build();
         var stub = AggregatedDiscoveryServiceGrpc.newStub(channel);
-        if (form == Form.SOTW) {
+        if (form == XdsVariant.SOTW) {
             stub.streamAggregatedResources(new Reader<DiscoveryRequest, DiscoveryResponse>() {
                 @Override
                 void begins(ClientCallStreamObserver<DiscoveryRequest> to) {
@@ -198,7 +198,7 @@
                         .setCode(INVALID_ARGUMENT)
                         .setMessage(ask.error())
                         .build();
-        if (form == Form.SOTW) {
+        if (form == XdsVariant.SOTW) {
             DiscoveryRequest.Builder request = DiscoveryRequest.newBuilder()
                     .setTypeUrl(ask.type())
                     .setVersionInfo(ask.version())
--- a/src/main/java/rushpin/net/xds/XdsPlan.java
+++ b/src/main/java/rushpin/net/xds/XdsPlan.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import rushpin.membership.xds.ClusterView;
-import rushpin.membership.xds.Form;
+import rushpin.membership.xds.XdsVariant;
 
 /**
  * Where a pool's servers come from in xDS form.
@@ -18,7 +18,7 @@
  * @param mostMessage bytes of one message
  */
 public record XdsPlan(
-        Form form,
+        XdsVariant form,
         List<InetSocketAddress> servers,
         Path path,
         String cluster,
--- a/src/test/java/rushpin/config/OperatorFileTest.java
+++ b/src/test/java/rushpin/config/OperatorFileTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import rushpin.failover.Geography;
 import rushpin.failover.Limits;
-import rushpin.membership.xds.Form;
+import rushpin.membership.xds.XdsVariant;
 
 /** The operator's file: good, or all that is wrong with it at once. */
 class OperatorFileTest {
@@ -200,7 +200,7 @@
                         null)
                 .pools()
                 .get(0);
-        assertEquals(Form.SOTW, streamed.xds().form());
+        assertEquals(XdsVariant.SOTW, streamed.xds().form());
         assertEquals("c", streamed.xds().cluster());
         assertEquals(0.4, streamed.xds().rules().mostRemoved());
         assertEquals(5_000_000_000L, streamed.xds().rules().guard());
--- a/src/test/java/rushpin/membership/xds/SubscriptionTest.java
+++ b/src/test/java/rushpin/membership/xds/SubscriptionTest.java
@@ -65,7 +65,7 @@
 
     private final Client client = new Client();
 
-    private Subscription subscription(Form form) {
+    private Subscription subscription(XdsVariant form) {
         Subscription made = new Subscription(form, "c", false, client);
         made.opened();
         return made;
@@ -85,7 +85,7 @@
 
     @Test
     void clustersComeBeforeEndpointsAndEachAnswerIsAcknowledged() {
-        Subscription s = subscription(Form.SOTW);
+        Subscription s = subscription(XdsVariant.SOTW);
         assertEquals(new Ask(CDS, "", "", List.of("c"), List.of(), List.of(), Map.of(), null), client.last());
         assertEquals(1, client.asks.size());
         s.answered(whole(CDS, "7", "n1", any(eds("c", "svc"))));
@@ -98,7 +98,7 @@
 
     @Test
     void aRefusalNamesTheResourceAndKeepsTheVersionThatWasTaken() {
-        Subscription s = subscription(Form.SOTW);
+        Subscription s = subscription(XdsVariant.SOTW);
         s.answered(whole(CDS, "1", "n1", any(eds("c"))));
         Cluster bad =
                 eds("c").toBuilder().setType(Cluster.DiscoveryType.STRICT_DNS).build();
@@ -114,7 +114,7 @@
 
     @Test
     void theGoodOnesOfAHalfBadAnswerAreTaken() {
-        Subscription s = subscription(Form.SOTW);
+        Subscription s = subscription(XdsVariant.SOTW);
         s.answered(whole(
                 CDS,
                 "1",
@@ -131,7 +131,7 @@
 
     @Test
     void anAnyThatCannotBeReadIsNoRemoval() {
-        Subscription s = subscription(Form.SOTW);
+        Subscription s = subscription(XdsVariant.SOTW);
         s.answered(whole(CDS, "1", "n1", any(eds("c"))));
         s.answered(whole(
                 CDS,
@@ -147,7 +147,7 @@
 
     @Test
     void aClusterThatTheWorldNoLongerNamesIsGoneAndItsEndpointsAreAskedForNoMore() {
-        Subscription s = subscription(Form.SOTW);
+        Subscription s = subscription(XdsVariant.SOTW);
         s.answered(whole(CDS, "1", "n1", any(eds("c"))));
         s.answered(whole(CDS, "2", "n2"));
         assertNull(client.cluster);
@@ -160,7 +160,7 @@
 
     @Test
     void incrementallyOnlyWhatIsNamedAsRemovedIsGone() {
-        Subscription s = subscription(Form.DELTA);
+        Subscription s = subscription(XdsVariant.DELTA);
         assertEquals(new Ask(CDS, "", "", List.of(), List.of("c"), List.of(), Map.of(), null), client.last());
         s.answered(change(CDS, "n1", List.of(), new Item("c", "5", any(eds("c", "svc")))));
         assertEquals(new Ask(EDS, "", "", List.of(), List.of("svc"), List.of(), Map.of(), null), client.last());
@@ -177,7 +177,7 @@
 
     @Test
     void aNewStreamSaysWhatIsHadAndForgetsNonces() {
-        Subscription s = subscription(Form.DELTA);
+        Subscription s = subscription(XdsVariant.DELTA);
         s.answered(change(CDS, "n1", List.of(), new Item("c", "5", any(eds("c")))));
         s.answered(change(EDS, "n2", List.of(), new Item("c", "6", any(assignment("c", endpoint(80))))));
         s.closed();
@@ -188,7 +188,7 @@
         assertEquals(
                 new Ask(EDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "6"), null), client.asks.get(1));
         Client other = new Client();
-        Subscription whole = new Subscription(Form.SOTW, "c", false, other);
+        Subscription whole = new Subscription(XdsVariant.SOTW, "c", false, other);
         whole.opened();
         whole.answered(whole(CDS, "4", "n1", any(eds("c"))));
         whole.closed();
@@ -198,7 +198,7 @@
 
     @Test
     void anItemUnderAnotherNameThanItsOwnIsRefused() {
-        Subscription s = subscription(Form.DELTA);
+        Subscription s = subscription(XdsVariant.DELTA);
         s.answered(change(CDS, "n1", List.of(), new Item("c", "5", any(eds("d")))));
         assertNull(client.cluster);
         assertTrue(client.last().error().startsWith("c: "));
@@ -206,7 +206,7 @@
 
     @Test
     void answersOfOtherTypesAreLeftAsideAndAFloodOfThemEndsTheStream() {
-        Subscription s = subscription(Form.SOTW);
+        Subscription s = subscription(XdsVariant.SOTW);
         for (int i = 0; i < Subscription.MOST_STRAY; i++) {
             assertTrue(client.givenUp.isEmpty());
             s.answered(whole("type.googleapis.com/x", "1", "n" + i));
@@ -218,14 +218,14 @@
 
     @Test
     void endpointsThatNobodyAskedForAreNotTaken() {
-        Subscription s = subscription(Form.SOTW);
+        Subscription s = subscription(XdsVariant.SOTW);
         s.answered(whole(EDS, "1", "n1", any(assignment("c", endpoint(80)))));
         assertTrue(client.told.isEmpty());
     }
 
     @Test
     void aWildcardTakesItsClusterOutOfAll() {
-        Subscription s = new Subscription(Form.SOTW, "c", true, client);
+        Subscription s = new Subscription(XdsVariant.SOTW, "c", true, client);
         s.opened();
         assertEquals(List.of("*"), client.last().names());
         s.answered(whole(CDS, "1", "n1", any(eds("a")), any(eds("c")), any(eds("z"))));
@@ -234,7 +234,7 @@
 
     @Test
     void anAnswerAfterTheStreamIsOverIsNoAnswer() {
-        Subscription s = subscription(Form.SOTW);
+        Subscription s = subscription(XdsVariant.SOTW);
         s.closed();
         s.answered(whole(CDS, "1", "n1", any(eds("c"))));
         assertNull(client.cluster);
@@ -242,7 +242,7 @@
 
     @Test
     void anotherServersVersionsAreNotTakenForItsOwn() {
-        Subscription s = subscription(Form.DELTA);
+        Subscription s = subscription(XdsVariant.DELTA);
         s.answered(change(CDS, "n1", List.of(), new Item("c", "5", any(eds("c")))));
         s.closed();
         s.opened(false);
--- a/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
+++ b/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
@@ -50,7 +50,7 @@
 
     /** A client by one form, with the messages that are under way in both directions. */
     private static final class Client implements Subscription.Port, ClusterView.Port {
-        final Form form;
+        final XdsVariant form;
         final Server server;
         final ClusterView view = new ClusterView(NAMES, new ClusterView.Rules(1, 0, 1 << 30, 0), List.of(), this);
         final Subscription subscription;
@@ -64,7 +64,7 @@
         int lists;
         boolean up;
 
-        Client(Form form, Server server) {
+        Client(XdsVariant form, Server server) {
             this.form = form;
             this.server = server;
             subscription = new Subscription(form, "c", false, this);
@@ -96,7 +96,7 @@
                 return;
             }
             boolean first = !names.containsKey(ask.type());
-            if (form == Form.SOTW) {
+            if (form == XdsVariant.SOTW) {
                 if (!first && !ask.nonce().equals(nonces.getOrDefault(ask.type(), ""))) {
                     return;
                 }
@@ -133,18 +133,18 @@
             for (String name : of) {
                 Any any = all.get(name);
                 long version = any == null ? 0 : server.versions.get(name + type);
-                if (form == Form.SOTW && any != null) {
+                if (form == XdsVariant.SOTW && any != null) {
                     items.add(new Item("", "" + server.version, any));
-                } else if (form == Form.DELTA
+                } else if (form == XdsVariant.DELTA
                         && any != null
                         && !Long.valueOf(version).equals(has.get(name))) {
                     items.add(new Item(name, "" + version, any));
                     has.put(name, version);
-                } else if (form == Form.DELTA && any == null && has.remove(name) != null) {
+                } else if (form == XdsVariant.DELTA && any == null && has.remove(name) != null) {
                     removed.add(name);
                 }
             }
-            if (form == Form.DELTA && items.isEmpty() && removed.isEmpty()) {
+            if (form == XdsVariant.DELTA && items.isEmpty() && removed.isEmpty()) {
                 return;
             }
             nonces.put(type, fresh);
@@ -238,7 +238,7 @@
     void theListIsTheServersLastThatCouldBeTakenByBothFormsAlike(@ForAll long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         Server server = new Server();
-        List<Client> clients = List.of(new Client(Form.SOTW, server), new Client(Form.DELTA, server));
+        List<Client> clients = List.of(new Client(XdsVariant.SOTW, server), new Client(XdsVariant.DELTA, server));
         int steps = random.nextInt(10, 150);
         for (int i = 0; i < steps; i++) {
             int what = random.nextInt(12);
