--- a/src/main/java/rushpin/membership/xds/Subscription.java
+++ b/src/main/java/rushpin/membership/xds/Subscription.java
@@ -31,7 +31,7 @@
      * @param initial what is had already, name to version, on a new stream; DELTA only
      * @param error why something was refused ({@code error_detail}); null for an acknowledgement
      */
-    public record Ask(
+    public record ResourceRequest(
             String type,
             String version,
             String nonce,
@@ -50,7 +50,7 @@
     /** What comes of it. */
     public interface Port {
         /** To be sent on the present stream. */
-        void ask(Ask ask);
+        void ask(ResourceRequest ask);
 
         /** The cluster is so from now on; null if the server has none of that name. */
         void cluster(ClusterSpec spec);
@@ -98,8 +98,8 @@
             asked = true;
             port.ask(
                     form == XdsVariant.SOTW
-                            ? new Ask(url, version, nonce, names, List.of(), List.of(), Map.of(), null)
-                            : new Ask(url, "", "", List.of(), more, first ? List.of() : less, initial, null));
+                            ? new ResourceRequest(url, version, nonce, names, List.of(), List.of(), Map.of(), null)
+                            : new ResourceRequest(url, "", "", List.of(), more, first ? List.of() : less, initial, null));
         }
 
         void reply(Answer to, Map<String, String> errors) {
@@ -118,7 +118,7 @@
                 port.log("refused " + url.substring(url.lastIndexOf('.') + 1) + " of version " + to.version() + ": "
                         + error);
             }
-            port.ask(new Ask(
+            port.ask(new ResourceRequest(
                     url,
                     form == XdsVariant.SOTW ? version : "",
                     nonce,
--- a/src/main/java/rushpin/net/xds/GrpcStream.java
+++ b/src/main/java/rushpin/net/xds/GrpcStream.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.TimeUnit;
 import rushpin.membership.xds.XdsVariant;
 import rushpin.membership.xds.Subscription.Answer;
-import rushpin.membership.xds.Subscription.Ask;
+import rushpin.membership.xds.Subscription.ResourceRequest;
 import rushpin.membership.xds.Subscription.Item;
 
 /** One stream to one management server, with the channel that carries it; owned by the source's thread. */
@@ -188,7 +188,7 @@
         }
     }
 
-    void send(Ask ask) {
+    void send(ResourceRequest ask) {
         if (over) {
             return;
         }
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public void ask(Subscription.Ask ask) {
+    public void ask(Subscription.ResourceRequest ask) {
         stream.send(ask);
     }
 
--- a/src/test/java/rushpin/membership/xds/SubscriptionTest.java
+++ b/src/test/java/rushpin/membership/xds/SubscriptionTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import rushpin.membership.xds.Subscription.Answer;
-import rushpin.membership.xds.Subscription.Ask;
+import rushpin.membership.xds.Subscription.ResourceRequest;
 import rushpin.membership.xds.Subscription.Item;
 
 /** What a subscription asks, takes and refuses, message by message. */
@@ -26,14 +26,14 @@
 
     /** Writes down what comes out. */
     static final class Client implements Subscription.Port {
-        final List<Ask> asks = new ArrayList<>();
+        final List<ResourceRequest> asks = new ArrayList<>();
         final List<Endpoints> told = new ArrayList<>();
         final List<String> logs = new ArrayList<>(), givenUp = new ArrayList<>();
         ClusterSpec cluster;
         int clusters;
 
         @Override
-        public void ask(Ask ask) {
+        public void ask(ResourceRequest ask) {
             asks.add(ask);
         }
 
@@ -86,13 +86,13 @@
     @Test
     void clustersComeBeforeEndpointsAndEachAnswerIsAcknowledged() {
         Subscription s = subscription(XdsVariant.SOTW);
-        assertEquals(new Ask(CDS, "", "", List.of("c"), List.of(), List.of(), Map.of(), null), client.last());
+        assertEquals(new ResourceRequest(CDS, "", "", List.of("c"), List.of(), List.of(), Map.of(), null), client.last());
         assertEquals(1, client.asks.size());
         s.answered(whole(CDS, "7", "n1", any(eds("c", "svc"))));
-        assertEquals(new Ask(CDS, "7", "n1", List.of("c"), List.of(), List.of(), Map.of(), null), client.asks.get(1));
-        assertEquals(new Ask(EDS, "", "", List.of("svc"), List.of(), List.of(), Map.of(), null), client.last());
+        assertEquals(new ResourceRequest(CDS, "7", "n1", List.of("c"), List.of(), List.of(), Map.of(), null), client.asks.get(1));
+        assertEquals(new ResourceRequest(EDS, "", "", List.of("svc"), List.of(), List.of(), Map.of(), null), client.last());
         s.answered(whole(EDS, "3", "n2", any(assignment("svc", endpoint(80)))));
-        assertEquals(new Ask(EDS, "3", "n2", List.of("svc"), List.of(), List.of(), Map.of(), null), client.last());
+        assertEquals(new ResourceRequest(EDS, "3", "n2", List.of("svc"), List.of(), List.of(), Map.of(), null), client.last());
         assertEquals(1, client.told.get(0).all().size());
     }
 
@@ -124,7 +124,7 @@
                         .build()),
                 any(eds("c"))));
         assertNotNull(client.cluster);
-        Ask refusal = client.asks.get(1);
+        ResourceRequest refusal = client.asks.get(1);
         assertTrue(refusal.error().startsWith("other: "), refusal.error());
         assertEquals("", refusal.version());
     }
@@ -161,9 +161,9 @@
     @Test
     void incrementallyOnlyWhatIsNamedAsRemovedIsGone() {
         Subscription s = subscription(XdsVariant.DELTA);
-        assertEquals(new Ask(CDS, "", "", List.of(), List.of("c"), List.of(), Map.of(), null), client.last());
+        assertEquals(new ResourceRequest(CDS, "", "", List.of(), List.of("c"), List.of(), Map.of(), null), client.last());
         s.answered(change(CDS, "n1", List.of(), new Item("c", "5", any(eds("c", "svc")))));
-        assertEquals(new Ask(EDS, "", "", List.of(), List.of("svc"), List.of(), Map.of(), null), client.last());
+        assertEquals(new ResourceRequest(EDS, "", "", List.of(), List.of("svc"), List.of(), Map.of(), null), client.last());
         s.answered(change(EDS, "n2", List.of(), new Item("svc", "6", any(assignment("svc", endpoint(80))))));
         s.answered(change(CDS, "n3", List.of("other")));
         assertNotNull(client.cluster);
@@ -184,16 +184,16 @@
         client.asks.clear();
         s.opened();
         assertEquals(
-                new Ask(CDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "5"), null), client.asks.get(0));
+                new ResourceRequest(CDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "5"), null), client.asks.get(0));
         assertEquals(
-                new Ask(EDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "6"), null), client.asks.get(1));
+                new ResourceRequest(EDS, "", "", List.of(), List.of("c"), List.of(), Map.of("c", "6"), null), client.asks.get(1));
         Client other = new Client();
         Subscription whole = new Subscription(XdsVariant.SOTW, "c", false, other);
         whole.opened();
         whole.answered(whole(CDS, "4", "n1", any(eds("c"))));
         whole.closed();
         whole.opened();
-        assertEquals(new Ask(CDS, "4", "", List.of("c"), List.of(), List.of(), Map.of(), null), other.asks.get(3));
+        assertEquals(new ResourceRequest(CDS, "4", "", List.of("c"), List.of(), List.of(), Map.of(), null), other.asks.get(3));
     }
 
     @Test
--- a/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
+++ b/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
@@ -21,7 +21,7 @@
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
 import rushpin.membership.xds.Subscription.Answer;
-import rushpin.membership.xds.Subscription.Ask;
+import rushpin.membership.xds.Subscription.ResourceRequest;
 import rushpin.membership.xds.Subscription.Item;
 
 /**
@@ -54,7 +54,7 @@
         final Server server;
         final ClusterView view = new ClusterView(NAMES, new ClusterView.Rules(1, 0, 1 << 30, 0), List.of(), this);
         final Subscription subscription;
-        final ArrayDeque<Ask> asks = new ArrayDeque<>();
+        final ArrayDeque<ResourceRequest> asks = new ArrayDeque<>();
         final ArrayDeque<Answer> answers = new ArrayDeque<>();
         final Map<String, Member> pool = new TreeMap<>();
         final Map<String, List<String>> names = new HashMap<>();
@@ -91,7 +91,7 @@
 
         /** One request reaches the server. */
         void hear() {
-            Ask ask = asks.poll();
+            ResourceRequest ask = asks.poll();
             if (ask == null) {
                 return;
             }
@@ -167,7 +167,7 @@
         }
 
         @Override
-        public void ask(Ask ask) {
+        public void ask(ResourceRequest ask) {
             asks.add(ask);
         }
 
