--- a/src/main/java/rushpin/membership/xds/AssignmentReader.java
+++ b/src/main/java/rushpin/membership/xds/AssignmentReader.java
@@ -81,7 +81,7 @@
         List<ByteString> localities = new ArrayList<>();
         ClusterLoadAssignment from = ClusterLoadAssignment.parseFrom(split(bytes, LOCALITY, localities));
         Map<ByteString, Base> now = new HashMap<>();
-        List<Endpoints.One> all = new ArrayList<>();
+        List<Endpoints.Endpoint> all = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         Map<InetSocketAddress, String> holders = new HashMap<>();
         parsed = 0;
@@ -118,7 +118,7 @@
                 if (holder != null) {
                     throw new InvalidResourceException("endpoints " + holder + " and " + base.id + " have one address");
                 }
-                all.add(new Endpoints.One(
+                all.add(new Endpoints.Endpoint(
                         base.id,
                         base.address,
                         base.readiness,
--- a/src/main/java/rushpin/membership/xds/ClusterView.java
+++ b/src/main/java/rushpin/membership/xds/ClusterView.java
@@ -137,7 +137,7 @@
 
     private void drainWhatIsNamed(Endpoints next, long now, long wall) {
         List<Member> changed = new ArrayList<>();
-        for (Endpoints.One one : next.all()) {
+        for (Endpoints.Endpoint one : next.all()) {
             Member known = told.get(one.id());
             if (known != null && known.isReady() && one.readiness() == Readiness.DRAINING) {
                 Member drained = with(known, Readiness.DRAINING);
@@ -171,7 +171,7 @@
     /** The lowest priority with a ready endpoint has all that is new; the others wait as draining ones do. */
     private static int chosen(Endpoints of) {
         int chosen = Integer.MAX_VALUE;
-        for (Endpoints.One one : of.all()) {
+        for (Endpoints.Endpoint one : of.all()) {
             if (one.readiness() == Readiness.READY) {
                 chosen = Math.min(chosen, one.priority());
             }
@@ -185,7 +185,7 @@
         boolean large = removes(present) >= LARGE;
         Map<String, Member> next = new LinkedHashMap<>();
         List<Member> changed = new ArrayList<>();
-        for (Endpoints.One one : present.all()) {
+        for (Endpoints.Endpoint one : present.all()) {
             boolean ready = one.readiness() == Readiness.READY && one.priority() == chosen && !stale;
             Member member = new Member(
                     new Server(
@@ -229,7 +229,7 @@
     private void normalise(int chosen) {
         double sum = 0;
         int count = 0;
-        for (Endpoints.One one : present.all()) {
+        for (Endpoints.Endpoint one : present.all()) {
             if (one.priority() == chosen) {
                 sum += one.weight();
                 count++;
@@ -242,7 +242,7 @@
     }
 
     /** As its metadata says; else as it was; else, on the first list of all, long ago, and from then on as of now. */
-    private long started(Endpoints.One one, long wall) {
+    private long started(Endpoints.Endpoint one, long wall) {
         if (one.started() >= 0) {
             return one.started();
         }
--- a/src/main/java/rushpin/membership/xds/Endpoints.java
+++ b/src/main/java/rushpin/membership/xds/Endpoints.java
@@ -12,7 +12,7 @@
  * @param dropped the part of requests that is to be turned away, 0 to 1
  * @param staleAfter nanoseconds after which it may not be used any more unless it comes again; 0 for never
  */
-public record Endpoints(String name, List<One> all, double dropped, long staleAfter) {
+public record Endpoints(String name, List<Endpoint> all, double dropped, long staleAfter) {
     /**
      * One endpoint.
      *
@@ -20,7 +20,7 @@
      * @param weight above 0
      * @param started Unix time in nanoseconds; 0 for long ago, -1 where it is not said
      */
-    public record One(
+    public record Endpoint(
             String id,
             InetSocketAddress address,
             Readiness readiness,
--- a/src/test/java/rushpin/membership/xds/ClusterViewTest.java
+++ b/src/test/java/rushpin/membership/xds/ClusterViewTest.java
@@ -44,15 +44,15 @@
         logs.add(text);
     }
 
-    private static Endpoints.One one(String id, int port, Readiness readiness, int priority) {
-        return new Endpoints.One(id, new InetSocketAddress("127.0.0.1", port), readiness, 1, "a", priority, -1, "m", 0);
+    private static Endpoints.Endpoint one(String id, int port, Readiness readiness, int priority) {
+        return new Endpoints.Endpoint(id, new InetSocketAddress("127.0.0.1", port), readiness, 1, "a", priority, -1, "m", 0);
     }
 
-    private static Endpoints.One one(String id, int port) {
+    private static Endpoints.Endpoint one(String id, int port) {
         return one(id, port, Readiness.READY, 0);
     }
 
-    private void tell(Endpoints.One... of) {
+    private void tell(Endpoints.Endpoint... of) {
         view.endpoints(new Endpoints("c", Arrays.asList(of), 0, 0), now, now);
     }
 
@@ -225,16 +225,16 @@
 
     @Test
     void oneWeightThatChangesIsOneChange() {
-        List<Endpoints.One> all = new ArrayList<>();
+        List<Endpoints.Endpoint> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            all.add(new Endpoints.One(
+            all.add(new Endpoints.Endpoint(
                     "s" + i, new InetSocketAddress("127.0.0.1", 1 + i), Readiness.READY, 100, "a", 0, -1, "m", 0));
         }
         view.endpoints(new Endpoints("c", List.copyOf(all), 0, 0), now, now);
         assertEquals(1, pool.get("s7").server().size(), 1e-9, "the usual size is 1");
         all.set(
                 7,
-                new Endpoints.One(
+                new Endpoints.Endpoint(
                         "s7", new InetSocketAddress("127.0.0.1", 8), Readiness.READY, 50, "a", 0, -1, "m", 0));
         view.endpoints(new Endpoints("c", List.copyOf(all), 0, 0), now, now);
         assertEquals(1, told.get(1).members().size());
@@ -244,7 +244,7 @@
     @Test
     void aServerThatReplacesItsWholeListForEverFillsNoTable() {
         for (int i = 0; i < 30; i++) {
-            List<Endpoints.One> all = new ArrayList<>();
+            List<Endpoints.Endpoint> all = new ArrayList<>();
             for (int j = 0; j < 1_000; j++) {
                 all.add(one(i + "-" + j, 1 + j));
             }
--- a/src/test/java/rushpin/membership/xds/ResourceReaderTest.java
+++ b/src/test/java/rushpin/membership/xds/ResourceReaderTest.java
@@ -48,7 +48,7 @@
                 .getMessage();
     }
 
-    private static Endpoints.One one(LbEndpoint of) throws InvalidResourceException {
+    private static Endpoints.Endpoint one(LbEndpoint of) throws InvalidResourceException {
         return ResourceReader.endpoints(any(assignment("c", of))).all().get(0);
     }
 
@@ -64,14 +64,14 @@
                         text("m")),
                 "cell",
                 number(2));
-        Endpoints.One read = one(from);
+        Endpoints.Endpoint read = one(from);
         assertEquals("s-1", read.id());
         assertEquals(1_700_000_000_000_000_000L, read.started());
         assertEquals("m", read.kind());
         assertEquals(2, read.cell());
         assertEquals(3, read.weight());
         assertEquals("a", read.zone());
-        Endpoints.One bare = one(endpoint(8081));
+        Endpoints.Endpoint bare = one(endpoint(8081));
         assertEquals("127.0.0.1:8081", bare.id());
         assertEquals(-1, bare.started(), "not said");
     }
