--- a/src/main/java/rushpin/membership/xds/ClusterSpec.java
+++ b/src/main/java/rushpin/membership/xds/ClusterSpec.java
@@ -7,8 +7,8 @@
  * @param edsPath the file that has them, where it names one; else null
  * @param inline the endpoints of a {@code STATIC} cluster; else null
  * @param connectTimeout nanoseconds; 0 where it is not said
- * @param mostConnections connections to its servers at most; 0 for no bound
- * @param mostRequests requests open at most; 0 for no bound
+ * @param maxConnections connections to its servers at most; 0 for no bound
+ * @param maxRequests requests open at most; 0 for no bound
  */
 public record ClusterSpec(
         String name,
@@ -16,5 +16,5 @@
         String edsPath,
         Endpoints inline,
         long connectTimeout,
-        int mostConnections,
-        int mostRequests) {}
+        int maxConnections,
+        int maxRequests) {}
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -222,7 +222,7 @@
     @Override
     public void cluster(ClusterSpec spec) {
         if (spec != null) {
-            loop.execute(() -> pool.bounds(spec.connectTimeout(), spec.mostConnections(), spec.mostRequests()));
+            loop.execute(() -> pool.bounds(spec.connectTimeout(), spec.maxConnections(), spec.maxRequests()));
         }
         view.cluster(spec, System.nanoTime(), wall());
     }
