--- a/src/main/java/rushpin/console/ConsoleServer.java
+++ b/src/main/java/rushpin/console/ConsoleServer.java
@@ -30,7 +30,7 @@
     private static final long PATIENCE_MS = 5_000;
 
     /** Answers calls. */
-    public interface Calls {
+    public interface CommandHandler {
         /** The answer to one line, its line ends too; called on the console's thread, which it must not hold up. */
         CompletionStage<String> call(String line);
     }
@@ -43,12 +43,12 @@
                 return thread;
             },
             NioIoHandler.newFactory());
-    private final Calls calls;
+    private final CommandHandler calls;
     private final Set<Channel> open = new LinkedHashSet<>();
     private final Channel listening;
 
     /** Listens from now on. */
-    public ConsoleServer(SocketAddress at, Calls calls) throws InterruptedException {
+    public ConsoleServer(SocketAddress at, CommandHandler calls) throws InterruptedException {
         this.calls = calls;
         try {
             listening = new ServerBootstrap()
--- a/src/main/java/rushpin/node/Console.java
+++ b/src/main/java/rushpin/node/Console.java
@@ -7,7 +7,7 @@
 import rushpin.console.ConsoleServer;
 
 /** What operators may say to a process, from its start on, and what they hear. */
-public final class Console implements ConsoleServer.Calls, AutoCloseable {
+public final class Console implements ConsoleServer.CommandHandler, AutoCloseable {
     private static final String DONE = "done\n";
 
     private final Desk desk;
