--- a/src/main/java/rushpin/config/Operator.java
+++ b/src/main/java/rushpin/config/Operator.java
@@ -19,7 +19,7 @@
 public record Operator(
         Listener listener,
         Path state,
-        Grants total,
+        ResourceLimits total,
         List<PoolPlan> pools,
         List<Route> routes,
         Keeping records,
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -90,14 +90,14 @@
         Keys process = root.table("process");
         int sockets = platform == null ? 1024 : platform.sockets();
         long memory = platform == null ? 128L << 20 : platform.memory();
-        Grants total = grants(
+        ResourceLimits total = grants(
                 process,
-                new Grants(
+                new ResourceLimits(
                         sockets,
                         Descriptors.of(sockets).servers(),
                         ByteBudget.most(memory) / 2,
                         Math.max(8, sockets / 16)),
-                new Grants(MOST, MOST, MOST, MOST));
+                new ResourceLimits(MOST, MOST, MOST, MOST));
         Operator.Listener listener =
                 Operator.Listener.valueOf(process.word("listener", "own", List.of("own", "reuseport", "inherited"))
                         .toUpperCase(Locale.ROOT));
@@ -159,15 +159,15 @@
                 : new Keeping(folder.resolve(to), folder.resolve(key), file, most, perSecond);
     }
 
-    private static Grants grants(Keys at, Grants otherwise, Grants most) {
-        return new Grants(
+    private static ResourceLimits grants(Keys at, ResourceLimits otherwise, ResourceLimits most) {
+        return new ResourceLimits(
                 at.whole("requests", otherwise.requests(), 1, most.requests()),
                 at.whole("connections", otherwise.connections(), 1, most.connections()),
                 at.whole("body-bytes", otherwise.bytes(), 1, most.bytes()),
                 at.whole("connects", otherwise.connects(), 1, most.connects()));
     }
 
-    private PoolPlan pool(Keys pool, Grants total, int count) {
+    private PoolPlan pool(Keys pool, ResourceLimits total, int count) {
         int before = faults.size();
         String name = pool.text("name", true);
         if (name != null && (!name.matches("[a-z0-9][a-z0-9-]*") || name.length() > MOST_NAME)) {
@@ -193,9 +193,9 @@
         boolean inXds = pool.has("xds");
         XdsPlan xds = inXds && name != null ? XdsKeys.read(pool.table("xds"), name, folder, platform) : null;
         Keys guaranteed = pool.table("guaranteed");
-        Grants part = grants(
+        ResourceLimits part = grants(
                 guaranteed,
-                new Grants(
+                new ResourceLimits(
                         half(total.requests(), count),
                         half(total.connections(), count),
                         half(total.bytes(), count),
@@ -423,11 +423,11 @@
         return path;
     }
 
-    private void checkSums(Keys process, Grants total, List<PoolPlan> plans) {
-        checkSum(process, "requests", total, plans, Grants::requests);
-        checkSum(process, "connections", total, plans, Grants::connections);
-        checkSum(process, "body-bytes", total, plans, Grants::bytes);
-        checkSum(process, "connects", total, plans, Grants::connects);
+    private void checkSums(Keys process, ResourceLimits total, List<PoolPlan> plans) {
+        checkSum(process, "requests", total, plans, ResourceLimits::requests);
+        checkSum(process, "connections", total, plans, ResourceLimits::connections);
+        checkSum(process, "body-bytes", total, plans, ResourceLimits::bytes);
+        checkSum(process, "connects", total, plans, ResourceLimits::connects);
         long servers =
                 platform == null ? MOST : Descriptors.of(platform.sockets()).servers();
         if (total.connections() > servers) {
@@ -440,7 +440,7 @@
     }
 
     private static void checkSum(
-            Keys process, String key, Grants total, List<PoolPlan> plans, ToLongFunction<Grants> of) {
+            Keys process, String key, ResourceLimits total, List<PoolPlan> plans, ToLongFunction<ResourceLimits> of) {
         long sum = plans.stream()
                 .mapToLong(plan -> of.applyAsLong(plan.guaranteed()))
                 .sum();
--- a/src/main/java/rushpin/config/PoolPlan.java
+++ b/src/main/java/rushpin/config/PoolPlan.java
@@ -22,7 +22,7 @@
         long seed,
         ServerListUpdate known,
         boolean ownLoop,
-        Grants guaranteed,
+        ResourceLimits guaranteed,
         XdsPlan xds,
         String group) {
     /** A pool whose servers discovery tells. */
@@ -33,7 +33,7 @@
             long seed,
             ServerListUpdate known,
             boolean ownLoop,
-            Grants guaranteed) {
+            ResourceLimits guaranteed) {
         this(name, upstream, settings, seed, known, ownLoop, guaranteed, null, null);
     }
 
--- a/src/main/java/rushpin/config/Grants.java
+++ b/src/main/java/rushpin/config/ResourceLimits.java
@@ -8,4 +8,4 @@
  * @param bytes bytes of requests' bodies
  * @param connects connections that are being made
  */
-public record Grants(long requests, long connections, long bytes, long connects) {}
+public record ResourceLimits(long requests, long connections, long bytes, long connects) {}
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -19,7 +19,7 @@
 import rushpin.budget.Lender;
 import rushpin.budget.Share;
 import rushpin.config.Config;
-import rushpin.config.Grants;
+import rushpin.config.ResourceLimits;
 import rushpin.config.GroupPlan;
 import rushpin.config.Operator;
 import rushpin.config.PoolPlan;
@@ -94,7 +94,7 @@
         }
     }
 
-    private static long of(Grants grants, Kind kind) {
+    private static long of(ResourceLimits grants, Kind kind) {
         return switch (kind) {
             case REQUESTS -> grants.requests();
             case CONNECTIONS -> grants.connections();
--- a/src/test/java/rushpin/config/OperatorFileTest.java
+++ b/src/test/java/rushpin/config/OperatorFileTest.java
@@ -65,7 +65,7 @@
         assertEquals(2, read.pools().get(2).xds().servers().size());
         assertEquals(
                 "cranes.yaml", read.pools().get(3).xds().path().getFileName().toString());
-        assertEquals(new Grants(800, 300, 4_194_304, 64), read.total());
+        assertEquals(new ResourceLimits(800, 300, 4_194_304, 64), read.total());
         assertEquals(80, read.pools().get(0).guaranteed().connections());
         assertEquals("lookups.", read.pools().get(0).upstream().countPrefix());
     }
