--- a/src/main/java/rushpin/cli/Main.java
+++ b/src/main/java/rushpin/cli/Main.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
 import rushpin.config.Config;
-import rushpin.config.Operator;
+import rushpin.config.OperatorConfig;
 import rushpin.config.OperatorFile;
 import rushpin.drill.Drill;
 import rushpin.node.Console;
@@ -62,12 +62,12 @@
         }
         try {
             String platform = System.getenv("GW_CONFIG");
-            Operator read = OperatorFile.read(
+            OperatorConfig read = OperatorFile.read(
                     Path.of(args[1]), platform == null || platform.isEmpty() ? null : Config.read(Path.of(platform)));
             System.out.println(args[1] + ": good, " + read.pools().size() + " pools, "
                     + read.routes().size() + " routes");
             return 0;
-        } catch (Operator.Faulty e) {
+        } catch (OperatorConfig.Faulty e) {
             e.faults().forEach(fault -> System.out.println(args[1] + ": " + fault));
             System.out.println(args[1] + ": " + e.faults().size() + (e.faults().size() == 1 ? " fault" : " faults"));
             return 1;
@@ -127,7 +127,7 @@
             }
         } catch (Config.Invalid e) {
             exit(1, e.getMessage());
-        } catch (Operator.Faulty e) {
+        } catch (OperatorConfig.Faulty e) {
             e.faults().forEach(fault -> System.err.println(operator + ": " + fault));
             exit(1, operator + " cannot be used");
         } catch (Exception e) {
--- a/src/main/java/rushpin/config/FleetPlan.java
+++ b/src/main/java/rushpin/config/FleetPlan.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rushpin.config.Operator.Fault;
+import rushpin.config.OperatorConfig.Fault;
 import rushpin.failover.Geography;
 import rushpin.failover.Limits;
 
@@ -71,14 +71,14 @@
     }
 
     /** Throws if a process can't go over from this to the next while it runs: one voter comes and one goes at most. */
-    public void checkNext(FleetPlan next) throws Operator.Faulty {
+    public void checkNext(FleetPlan next) throws OperatorConfig.Faulty {
         List<String> now = new ArrayList<>(addresses().keySet()),
                 then = new ArrayList<>(next.addresses().keySet());
         List<String> gone = new ArrayList<>(now), come = new ArrayList<>(then);
         gone.removeAll(then);
         come.removeAll(now);
         if (gone.size() > 1 || come.size() > 1) {
-            throw new Operator.Faulty(List.of(new Fault(
+            throw new OperatorConfig.Faulty(List.of(new Fault(
                     "fleet.voter",
                     0,
                     "changes from " + String.join(", ", now) + " to " + String.join(", ", then)
--- a/src/main/java/rushpin/config/Keys.java
+++ b/src/main/java/rushpin/config/Keys.java
@@ -14,11 +14,11 @@
     private final TomlTable table;
     private final String path;
     private final int line;
-    private final List<Operator.Fault> faults;
+    private final List<OperatorConfig.Fault> faults;
     private final Collection<String> known = new TreeSet<>();
 
     /** A table at a path; {@code line} is where it begins. */
-    Keys(TomlTable table, String path, int line, List<Operator.Fault> faults) {
+    Keys(TomlTable table, String path, int line, List<OperatorConfig.Fault> faults) {
         this.table = table;
         this.path = path;
         this.line = line;
@@ -35,7 +35,7 @@
     }
 
     void fault(String key, String found, String allowed) {
-        faults.add(new Operator.Fault(key.isEmpty() ? path : path(key), line(key), found, allowed));
+        faults.add(new OperatorConfig.Fault(key.isEmpty() ? path : path(key), line(key), found, allowed));
     }
 
     boolean has(String key) {
--- a/src/main/java/rushpin/config/Operator.java
+++ b/src/main/java/rushpin/config/OperatorConfig.java
@@ -16,7 +16,7 @@
  * @param records where traffic is written down; null for nowhere
  * @param fleet what this process shares with others; null for nothing
  */
-public record Operator(
+public record OperatorConfig(
         Listener listener,
         Path state,
         ResourceLimits total,
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -15,7 +15,7 @@
 import java.util.function.ToLongFunction;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
-import rushpin.config.Operator.Fault;
+import rushpin.config.OperatorConfig.Fault;
 import rushpin.gateway.Ports.Counter;
 import rushpin.gateway.Ports.Settings;
 import rushpin.membership.Member;
@@ -58,12 +58,12 @@
      *
      * @param platform the platform's JSON; null where a file is only checked and none is at hand
      */
-    public static Operator read(Path file, Config platform) throws Operator.Faulty {
+    public static OperatorConfig read(Path file, Config platform) throws OperatorConfig.Faulty {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new Operator.Faulty(List.of(
+            throw new OperatorConfig.Faulty(List.of(
                     new Fault("", 0, "the operator's file " + file + " cannot be read: " + e.getMessage(), "")));
         }
         Path folder = file.toAbsolutePath().getParent();
@@ -71,14 +71,14 @@
     }
 
     /** Reads the file's text; other files are named from {@code folder}. */
-    public static Operator parse(String text, Path folder, Config platform) throws Operator.Faulty {
+    public static OperatorConfig parse(String text, Path folder, Config platform) throws OperatorConfig.Faulty {
         return new OperatorFile(folder, platform).read(text);
     }
 
-    private Operator read(String text) throws Operator.Faulty {
+    private OperatorConfig read(String text) throws OperatorConfig.Faulty {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new Operator.Faulty(toml.errors().stream()
+            throw new OperatorConfig.Faulty(toml.errors().stream()
                     .map(e -> new Fault(
                             "",
                             e.position().line(),
@@ -98,8 +98,8 @@
                         ByteBudget.most(memory) / 2,
                         Math.max(8, sockets / 16)),
                 new ResourceLimits(MOST, MOST, MOST, MOST));
-        Operator.Listener listener =
-                Operator.Listener.valueOf(process.word("listener", "own", List.of("own", "reuseport", "inherited"))
+        OperatorConfig.Listener listener =
+                OperatorConfig.Listener.valueOf(process.word("listener", "own", List.of("own", "reuseport", "inherited"))
                         .toUpperCase(Locale.ROOT));
         String state = process.text("state", false);
         process.done();
@@ -128,9 +128,9 @@
         }
         if (!faults.isEmpty()) {
             faults.sort((a, b) -> Integer.compare(a.line(), b.line()));
-            throw new Operator.Faulty(faults);
+            throw new OperatorConfig.Faulty(faults);
         }
-        return new Operator(
+        return new OperatorConfig(
                 listener,
                 state == null ? null : folder.resolve(state),
                 total,
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import rushpin.config.Config;
 import rushpin.config.FleetPlan;
-import rushpin.config.Operator;
+import rushpin.config.OperatorConfig;
 import rushpin.lifecycle.Lifecycle;
 import rushpin.net.ByteBudget;
 import rushpin.net.ClientServer;
@@ -33,7 +33,7 @@
     private final Clock clock;
     private final ClientServer clients;
     private final Services services;
-    private final Operator.Listener listener;
+    private final OperatorConfig.Listener listener;
     private final Lifecycle lifecycle;
     /** Where operators' calls end; null where there is no console. */
     private final Desk desk;
@@ -48,21 +48,21 @@
     }
 
     /** A node with the pools of an operator's file, or with the platform's one where that is null. */
-    public EdgeNode(Config config, Operator operator) {
+    public EdgeNode(Config config, OperatorConfig operator) {
         this(config, operator, new Clock());
     }
 
     /** As above, by a clock of one's own. */
-    EdgeNode(Config config, Operator operator, Clock clock) {
+    EdgeNode(Config config, OperatorConfig operator, Clock clock) {
         this(config, operator, clock, null);
     }
 
     /** As above, with what operators' calls go to; null for none. */
-    public EdgeNode(Config config, Operator operator, Desk desk) {
+    public EdgeNode(Config config, OperatorConfig operator, Desk desk) {
         this(config, operator, new Clock(), desk);
     }
 
-    private EdgeNode(Config config, Operator operator, Clock clock, Desk desk) {
+    private EdgeNode(Config config, OperatorConfig operator, Clock clock, Desk desk) {
         this.clock = clock;
         this.desk = desk;
         ByteBudget bytes = new ByteBudget(operator == null ? config.memory() : config.memory() / 2);
@@ -73,7 +73,7 @@
         // Who gives a node a console replaces its process while it serves.
         listener = operator != null
                 ? operator.listener()
-                : desk == null ? Operator.Listener.OWN : Operator.Listener.REUSEPORT;
+                : desk == null ? OperatorConfig.Listener.OWN : OperatorConfig.Listener.REUSEPORT;
         together = operator == null || operator.fleet() == null
                 ? null
                 : new Together(operator.fleet(), services::agree, services::permit);
@@ -82,7 +82,7 @@
             services.watch(together::saw);
         }
         lifecycle = new Lifecycle(
-                new Lifecycle.Bounds(DRAIN_GRACE, DRAIN_MOST), listener != Operator.Listener.OWN, this, now());
+                new Lifecycle.Bounds(DRAIN_GRACE, DRAIN_MOST), listener != OperatorConfig.Listener.OWN, this, now());
     }
 
     /** Begins to serve; returns when it listens. */
@@ -132,7 +132,7 @@
     }
 
     /** Goes over to new settings, read and checked whole. Clients and what they have asked stay. */
-    public void reload(Config changed, Operator operator) throws Operator.Faulty {
+    public void reload(Config changed, OperatorConfig operator) throws OperatorConfig.Faulty {
         FleetPlan fleet = operator == null ? null : operator.fleet();
         if (together != null && fleet != null) {
             together.plan().checkNext(fleet);
@@ -153,7 +153,7 @@
         CompletableFuture<Void> left =
                 together == null ? CompletableFuture.completedFuture(null) : together.leave(drained);
         loop.execute(() -> {
-            if (desk != null && listener == Operator.Listener.REUSEPORT) {
+            if (desk != null && listener == OperatorConfig.Listener.REUSEPORT) {
                 // Alone, it goes on taking those who still come for a moment; else they are the other process's.
                 lifecycle.shared(desk.others() > 0);
             }
--- a/src/main/java/rushpin/node/PlatformService.java
+++ b/src/main/java/rushpin/node/PlatformService.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.concurrent.CompletableFuture;
 import rushpin.config.Config;
-import rushpin.config.Operator;
+import rushpin.config.OperatorConfig;
 import rushpin.config.PoolPlan;
 import rushpin.net.ByteBudget;
 import rushpin.net.Front;
@@ -50,7 +50,7 @@
      * is for the next start.
      */
     @Override
-    public void reload(Config changed, Operator operator) {
+    public void reload(Config changed, OperatorConfig operator) {
         loop.execute(() -> {
             pool.move(PoolPlan.platform(changed));
             pool.retune(changed.names(), changed.settings());
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -21,7 +21,7 @@
 import rushpin.config.Config;
 import rushpin.config.ResourceLimits;
 import rushpin.config.GroupPlan;
-import rushpin.config.Operator;
+import rushpin.config.OperatorConfig;
 import rushpin.config.PoolPlan;
 import rushpin.gateway.Ports.ListKind;
 import rushpin.membership.AddressOwners;
@@ -67,7 +67,7 @@
     /** For the life of the process, like the state folder; null where nothing is recorded. */
     private Recorder recorder;
 
-    private Operator operator;
+    private OperatorConfig operator;
     private RouteTable table;
     /** The newest of the fleet; null for none. */
     private Standing agreed;
@@ -81,7 +81,7 @@
     private int generation;
 
     /** Opens nothing yet; {@code ended} hears on the listening side's loop of each name that no pool has any more. */
-    PooledServices(Operator operator, String node, EventLoop front, Clock clock, Consumer<String> ended, Desk console) {
+    PooledServices(OperatorConfig operator, String node, EventLoop front, Clock clock, Consumer<String> ended, Desk console) {
         this.console = console;
         this.operator = operator;
         this.node = node;
@@ -116,7 +116,7 @@
     }
 
     /** The whole of a checked file takes the place of the one before; on the listening side's loop. */
-    private void apply(Operator next) {
+    private void apply(OperatorConfig next) {
         operator = next;
         for (Kind kind : Kind.values()) {
             lenders[kind.ordinal()].resize(of(next.total(), kind));
@@ -404,7 +404,7 @@
     }
 
     @Override
-    public void reload(Config changed, Operator next) {
+    public void reload(Config changed, OperatorConfig next) {
         if (next == null) {
             throw new IllegalArgumentException("the process was started with an operator's file");
         }
--- a/src/main/java/rushpin/node/Services.java
+++ b/src/main/java/rushpin/node/Services.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import rushpin.config.Config;
-import rushpin.config.Operator;
+import rushpin.config.OperatorConfig;
 import rushpin.net.Front;
 import rushpin.net.Refusal;
 
@@ -20,7 +20,7 @@
     boolean ready();
 
     /** Goes over to new settings, checked whole; {@code operator} is null where there is no such file. */
-    void reload(Config changed, Operator operator);
+    void reload(Config changed, OperatorConfig operator);
 
     /**
      * Takes an app server out, or puts it back. Completes with false if none of that id was ever listed, and
--- a/src/test/java/rushpin/config/OperatorFileTest.java
+++ b/src/test/java/rushpin/config/OperatorFileTest.java
@@ -42,8 +42,8 @@
     }
 
     private List<String> faults(String text) {
-        return assertThrows(Operator.Faulty.class, () -> OperatorFile.parse(text, folder, null)).faults().stream()
-                .map(Operator.Fault::toString)
+        return assertThrows(OperatorConfig.Faulty.class, () -> OperatorFile.parse(text, folder, null)).faults().stream()
+                .map(OperatorConfig.Fault::toString)
                 .toList();
     }
 
@@ -57,7 +57,7 @@
 
     @Test
     void theExampleIsGood() throws Exception {
-        Operator read = OperatorFile.read(Path.of("deploy/rushpin.toml"), null);
+        OperatorConfig read = OperatorFile.read(Path.of("deploy/rushpin.toml"), null);
         assertEquals(
                 List.of("lookups", "bookings", "gates", "cranes"),
                 read.pools().stream().map(PoolPlan::name).toList());
@@ -72,7 +72,7 @@
 
     @Test
     void defaultsAreHalfOfAnEvenPart() throws Exception {
-        Operator read = OperatorFile.parse("[process]\nrequests = 100\nconnections = 40\n" + POOLS, folder, null);
+        OperatorConfig read = OperatorFile.parse("[process]\nrequests = 100\nconnections = 40\n" + POOLS, folder, null);
         for (PoolPlan pool : read.pools()) {
             assertEquals(25, pool.guaranteed().requests());
             assertEquals(10, pool.guaranteed().connections());
@@ -125,7 +125,7 @@
 
     @Test
     void aFileThatCannotBeReadIsOneFault() {
-        assertThrows(Operator.Faulty.class, () -> OperatorFile.read(folder.resolve("none.toml"), null));
+        assertThrows(OperatorConfig.Faulty.class, () -> OperatorFile.read(folder.resolve("none.toml"), null));
     }
 
     @ParameterizedTest
@@ -457,10 +457,10 @@
         three.checkNext(four);
         five.checkNext(four);
         three.checkNext(other);
-        assertTrue(assertThrows(Operator.Faulty.class, () -> three.checkNext(five))
+        assertTrue(assertThrows(OperatorConfig.Faulty.class, () -> three.checkNext(five))
                 .getMessage()
                 .contains("at a time"));
-        assertThrows(Operator.Faulty.class, () -> five.checkNext(three));
+        assertThrows(OperatorConfig.Faulty.class, () -> five.checkNext(three));
         assertEquals(List.of("fleet.zone"), three.forNextStart(other));
     }
 }
