--- a/src/main/java/rushpin/config/FleetPlan.java
+++ b/src/main/java/rushpin/config/FleetConfig.java
@@ -27,7 +27,7 @@
  * @param limits what plans keep to
  * @param groups of app servers that take a number of connections from all processes together
  */
-public record FleetPlan(
+public record FleetConfig(
         String name,
         String zone,
         String region,
@@ -40,18 +40,18 @@
         List<Voter> voters,
         Geography geography,
         Limits limits,
-        List<GroupPlan> groups) {
+        List<GroupConfig> groups) {
     /** One of those who agree; the address is how <em>this</em> process reaches it. */
     public record Voter(String name, InetSocketAddress address) {}
 
     /** Copies. */
-    public FleetPlan {
+    public FleetConfig {
         voters = List.copyOf(voters);
         groups = List.copyOf(groups);
     }
 
     /** A group by its name; null for none. */
-    public GroupPlan group(String called) {
+    public GroupConfig group(String called) {
         return groups.stream()
                 .filter(each -> each.name().equals(called))
                 .findFirst()
@@ -71,7 +71,7 @@
     }
 
     /** Throws if a process can't go over from this to the next while it runs: one voter comes and one goes at most. */
-    public void checkNext(FleetPlan next) throws OperatorConfig.Faulty {
+    public void checkNext(FleetConfig next) throws OperatorConfig.Faulty {
         List<String> now = new ArrayList<>(addresses().keySet()),
                 then = new ArrayList<>(next.addresses().keySet());
         List<String> gone = new ArrayList<>(now), come = new ArrayList<>(then);
@@ -88,8 +88,8 @@
     }
 
     /** What a running process goes over to: voters, regions, limits and groups are the next's, all else stays. */
-    public FleetPlan taking(FleetPlan next) {
-        return new FleetPlan(
+    public FleetConfig taking(FleetConfig next) {
+        return new FleetConfig(
                 name,
                 zone,
                 region,
@@ -106,7 +106,7 @@
     }
 
     /** Keys that differ and are taken with the next start only. */
-    public List<String> forNextStart(FleetPlan next) {
+    public List<String> forNextStart(FleetConfig next) {
         List<String> keys = new ArrayList<>();
         note(keys, "name", name, next.name);
         note(keys, "zone", zone, next.zone);
--- a/src/main/java/rushpin/config/FleetKeys.java
+++ b/src/main/java/rushpin/config/FleetKeys.java
@@ -24,7 +24,7 @@
 
     private FleetKeys() {}
 
-    static FleetPlan read(Keys fleet, Path folder, Config platform) {
+    static FleetConfig read(Keys fleet, Path folder, Config platform) {
         String said = name(fleet, "name", false);
         String name = said == null && platform != null ? platform.name() : said;
         if (said == null && name != null && !isName(name)) {
@@ -37,20 +37,20 @@
         long lease = fleet.whole("lease-ms", 3_000, 300, 600_000);
         long effect = fleet.whole("effect-ms", 1_000, 0, 600_000);
         long drift = fleet.whole("drift-percent", 1, 0, 20);
-        List<FleetPlan.Voter> voters = voters(fleet);
+        List<FleetConfig.Voter> voters = voters(fleet);
         // A word for one, or tables for all: then the process's own is the one that lists its zone.
         Geography geography = fleet.isText(REGION) ? new Geography(List.of()) : geography(fleet);
         String region = fleet.isText(REGION)
                 ? name(fleet, REGION, false)
                 : geography == null || zone == null ? null : region(fleet, geography, zone);
         Limits limits = limits(fleet.table(ZONES));
-        List<GroupPlan> groups = GroupKeys.read(fleet, lease);
+        List<GroupConfig> groups = GroupKeys.read(fleet, lease);
         fleet.done();
         if (name != null && !voters.isEmpty()) {
             checkPlace(
                     fleet, name, voters.stream().anyMatch(voter -> voter.name().equals(name)));
         }
-        return new FleetPlan(
+        return new FleetConfig(
                 name,
                 zone,
                 region == null ? "local" : region,
@@ -148,7 +148,7 @@
         }
     }
 
-    private static List<FleetPlan.Voter> voters(Keys fleet) {
+    private static List<FleetConfig.Voter> voters(Keys fleet) {
         List<Keys> tables = fleet.tables(VOTER, MOST_VOTERS);
         if (tables.size() < LEAST_VOTERS) {
             fleet.fault(
@@ -158,7 +158,7 @@
                             : "has " + tables.size() + (tables.size() == 1 ? " entry" : " entries"),
                     "3 or 5 tables [[fleet.voter]]; 4 on the way from one to the other");
         }
-        List<FleetPlan.Voter> voters = new ArrayList<>();
+        List<FleetConfig.Voter> voters = new ArrayList<>();
         Map<String, Integer> names = new HashMap<>();
         Map<InetSocketAddress, String> addresses = new HashMap<>();
         for (Keys table : tables) {
@@ -176,7 +176,7 @@
                 table.fault("address", "voter " + other + " is reached at " + address + " too", "each address once");
             }
             if (name != null && address != null) {
-                voters.add(new FleetPlan.Voter(name, address));
+                voters.add(new FleetConfig.Voter(name, address));
             }
         }
         return voters;
--- a/src/main/java/rushpin/config/GroupPlan.java
+++ b/src/main/java/rushpin/config/GroupConfig.java
@@ -14,7 +14,7 @@
  * @param halfOpen after so long, nanoseconds, servers end a connection on which nothing comes
  * @param tenants who has a part of its own, in the order of the file
  */
-public record GroupPlan(
+public record GroupConfig(
         String name, int most, int reserve, int own, long forget, long longest, long halfOpen, List<Tenant> tenants) {
     /** The tenant of all that belong to no other; the operator may give it a table like any. */
     public static final String OTHERS = "others";
@@ -22,7 +22,7 @@
     public static final int MOST = 1_000_000;
 
     /** Copies, with a tenant for all that belong to no other. */
-    public GroupPlan {
+    public GroupConfig {
         List<Tenant> all = new ArrayList<>(tenants);
         if (all.stream().noneMatch(tenant -> tenant.name().equals(OTHERS))) {
             all.add(new Tenant(OTHERS, 0, 1, MOST, List.of(), List.of()));
--- a/src/main/java/rushpin/config/GroupKeys.java
+++ b/src/main/java/rushpin/config/GroupKeys.java
@@ -11,14 +11,14 @@
             MOST_TENANTS = 63,
             MOST_PLANS = 64,
             MOST_CUSTOMERS = 64,
-            MOST = GroupPlan.MOST;
+            MOST = GroupConfig.MOST;
     private static final long MS = 1_000_000L, HALF_OPEN_MS = 10_000, FORGET_MS = 60_000, LONGEST_MS = 30_000;
     private static final String CUSTOMERS = "customers", PLANS = "plans";
 
     private GroupKeys() {}
 
-    static List<GroupPlan> read(Keys fleet, long leaseMs) {
-        List<GroupPlan> groups = new ArrayList<>();
+    static List<GroupConfig> read(Keys fleet, long leaseMs) {
+        List<GroupConfig> groups = new ArrayList<>();
         Map<String, String> names = new HashMap<>();
         for (Keys table : fleet.tables("group", MOST_GROUPS)) {
             String name = FleetKeys.name(table, "name", true);
@@ -38,8 +38,8 @@
             long longest = table.whole("longest-ms", LONGEST_MS, 1, 3_600_000);
             // An idle connection is closed well before, by a look each second.
             long halfOpen = table.whole("half-open-ms", HALF_OPEN_MS, 2_000, 3_600_000);
-            List<GroupPlan.Tenant> tenants = tenants(table);
-            long floors = tenants.stream().mapToLong(GroupPlan.Tenant::floor).sum();
+            List<GroupConfig.Tenant> tenants = tenants(table);
+            long floors = tenants.stream().mapToLong(GroupConfig.Tenant::floor).sum();
             if (most > 0 && floors > most - reserve) {
                 table.fault(
                         "tenant",
@@ -48,14 +48,14 @@
             }
             table.done();
             if (name != null) {
-                groups.add(new GroupPlan(name, most, reserve, own, forget * MS, longest * MS, halfOpen * MS, tenants));
+                groups.add(new GroupConfig(name, most, reserve, own, forget * MS, longest * MS, halfOpen * MS, tenants));
             }
         }
         return groups;
     }
 
-    private static List<GroupPlan.Tenant> tenants(Keys group) {
-        List<GroupPlan.Tenant> tenants = new ArrayList<>();
+    private static List<GroupConfig.Tenant> tenants(Keys group) {
+        List<GroupConfig.Tenant> tenants = new ArrayList<>();
         Map<String, String> names = new HashMap<>(), plans = new HashMap<>();
         Map<Long, String> customers = new HashMap<>();
         for (Keys table : group.tables("tenant", MOST_TENANTS)) {
@@ -78,7 +78,7 @@
                             "16 digits of 0-9 and a-f, as the cookie has them");
                 }
             }
-            if (!table.has(PLANS) && !table.has(CUSTOMERS) && name != null && !name.equals(GroupPlan.OTHERS)) {
+            if (!table.has(PLANS) && !table.has(CUSTOMERS) && name != null && !name.equals(GroupConfig.OTHERS)) {
                 named = List.of(name);
             }
             table.done();
@@ -100,7 +100,7 @@
                     table.fault(CUSTOMERS, "a customer is tenant " + other + "'s too", "each customer once in a group");
                 }
             }
-            tenants.add(new GroupPlan.Tenant(name, floor, weight, cap, named, own));
+            tenants.add(new GroupConfig.Tenant(name, floor, weight, cap, named, own));
         }
         return tenants;
     }
--- a/src/main/java/rushpin/config/OperatorConfig.java
+++ b/src/main/java/rushpin/config/OperatorConfig.java
@@ -20,10 +20,10 @@
         Listener listener,
         Path state,
         ResourceLimits total,
-        List<PoolPlan> pools,
+        List<PoolConfig> pools,
         List<Route> routes,
         Keeping records,
-        FleetPlan fleet) {
+        FleetConfig fleet) {
     /** Whose listening socket the process serves on. */
     public enum Listener {
         /** Its own, and nobody else's. */
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -104,14 +104,14 @@
         String state = process.text("state", false);
         process.done();
         Keeping records = root.has("records") ? records(root.table("records")) : null;
-        FleetPlan fleet = root.has("fleet") ? FleetKeys.read(root.table("fleet"), folder, platform) : null;
+        FleetConfig fleet = root.has("fleet") ? FleetKeys.read(root.table("fleet"), folder, platform) : null;
         List<Keys> tables = root.tables("pool", MOST_POOLS);
         if (tables.isEmpty()) {
             root.fault("pool", "there is none", "one table [[pool]] for each service, " + MOST_POOLS + " at most");
         }
-        List<PoolPlan> plans = new ArrayList<>();
+        List<PoolConfig> plans = new ArrayList<>();
         for (Keys pool : tables) {
-            PoolPlan plan = pool(pool, total, Math.max(1, tables.size()));
+            PoolConfig plan = pool(pool, total, Math.max(1, tables.size()));
             if (plan != null) {
                 plans.add(plan);
             }
@@ -167,7 +167,7 @@
                 at.whole("connects", otherwise.connects(), 1, most.connects()));
     }
 
-    private PoolPlan pool(Keys pool, ResourceLimits total, int count) {
+    private PoolConfig pool(Keys pool, ResourceLimits total, int count) {
         int before = faults.size();
         String name = pool.text("name", true);
         if (name != null && (!name.matches("[a-z0-9][a-z0-9-]*") || name.length() > MOST_NAME)) {
@@ -234,7 +234,7 @@
                 config.names(),
                 (space == null ? name : space) + ".",
                 host);
-        return new PoolPlan(
+        return new PoolConfig(
                 name,
                 upstream,
                 first ? countingFirst(config.settings()) : config.settings(),
@@ -423,7 +423,7 @@
         return path;
     }
 
-    private void checkSums(Keys process, ResourceLimits total, List<PoolPlan> plans) {
+    private void checkSums(Keys process, ResourceLimits total, List<PoolConfig> plans) {
         checkSum(process, "requests", total, plans, ResourceLimits::requests);
         checkSum(process, "connections", total, plans, ResourceLimits::connections);
         checkSum(process, "body-bytes", total, plans, ResourceLimits::bytes);
@@ -440,7 +440,7 @@
     }
 
     private static void checkSum(
-            Keys process, String key, ResourceLimits total, List<PoolPlan> plans, ToLongFunction<ResourceLimits> of) {
+            Keys process, String key, ResourceLimits total, List<PoolConfig> plans, ToLongFunction<ResourceLimits> of) {
         long sum = plans.stream()
                 .mapToLong(plan -> of.applyAsLong(plan.guaranteed()))
                 .sum();
@@ -453,11 +453,11 @@
     }
 
     /** A pool's group is one of the fleet's, no other pool's, and its tenants are told by plans that the pool knows. */
-    private void checkGroups(List<PoolPlan> plans, FleetPlan fleet) {
+    private void checkGroups(List<PoolConfig> plans, FleetConfig fleet) {
         Map<String, String> taken = new HashMap<>();
-        for (PoolPlan plan : plans) {
+        for (PoolConfig plan : plans) {
             Keys at = pools.get(plan.name());
-            GroupPlan group = fleet == null || plan.group() == null ? null : fleet.group(plan.group());
+            GroupConfig group = fleet == null || plan.group() == null ? null : fleet.group(plan.group());
             if (plan.group() == null) {
                 continue;
             }
@@ -470,7 +470,7 @@
                                 : String.join(
                                         ", ",
                                         fleet.groups().stream()
-                                                .map(GroupPlan::name)
+                                                .map(GroupConfig::name)
                                                 .toList()));
                 continue;
             }
@@ -479,7 +479,7 @@
                 at.fault("group", "pool " + other + " has group " + plan.group() + " too", "each group in one pool");
             }
             List<String> known = plan.upstream().names().plans();
-            for (GroupPlan.Tenant tenant : group.tenants()) {
+            for (GroupConfig.Tenant tenant : group.tenants()) {
                 for (String of : tenant.plans()) {
                     if (!known.contains(of)) {
                         at.fault(
@@ -505,10 +505,10 @@
     }
 
     /** What two pools must not have in common. */
-    private void checkApart(List<PoolPlan> plans) {
+    private void checkApart(List<PoolConfig> plans) {
         Map<SocketAddress, String> servers = new HashMap<>();
         Set<String> spaces = new HashSet<>();
-        for (PoolPlan plan : plans) {
+        for (PoolConfig plan : plans) {
             Upstream upstream = plan.upstream();
             if (upstream.counter() != null && !spaces.add(upstream.counter() + " " + upstream.countPrefix())) {
                 pools.get(plan.name())
--- a/src/main/java/rushpin/config/PoolPlan.java
+++ b/src/main/java/rushpin/config/PoolConfig.java
@@ -15,7 +15,7 @@
  * @param ownLoop whether it has an event loop to itself
  * @param guaranteed what it may use whatever the others do; null for the platform's one pool, which has all
  */
-public record PoolPlan(
+public record PoolConfig(
         String name,
         Upstream upstream,
         Settings settings,
@@ -26,7 +26,7 @@
         XdsPlan xds,
         String group) {
     /** A pool whose servers discovery tells. */
-    public PoolPlan(
+    public PoolConfig(
             String name,
             Upstream upstream,
             Settings settings,
@@ -38,12 +38,12 @@
     }
 
     /** The platform's one pool. */
-    public static PoolPlan platform(Config config) {
-        return new PoolPlan("", config.upstream(), config.settings(), config.seed(), config.known(), false, null);
+    public static PoolConfig platform(Config config) {
+        return new PoolConfig("", config.upstream(), config.settings(), config.seed(), config.known(), false, null);
     }
 
     /** Whether a running pool of this plan can go over to another by moving its addresses alone. */
-    public boolean differsOnlyInAddresses(PoolPlan other) {
+    public boolean differsOnlyInAddresses(PoolConfig other) {
         return name.equals(other.name)
                 && ownLoop == other.ownLoop
                 && settings.equals(other.settings)
--- a/src/main/java/rushpin/node/Divisions.java
+++ b/src/main/java/rushpin/node/Divisions.java
@@ -12,7 +12,7 @@
 import rushpin.accord.Budget;
 import rushpin.accord.Command;
 import rushpin.accord.Report;
-import rushpin.config.GroupPlan;
+import rushpin.config.GroupConfig;
 import rushpin.pooling.Divider;
 import rushpin.pooling.Rules;
 
@@ -40,7 +40,7 @@
             long fence,
             Map<Long, String> sessions,
             Map<String, Budget> budgets,
-            List<GroupPlan> groups,
+            List<GroupConfig> groups,
             long at) {}
 
     private record Heard(long session, long sequence, List<Report.Need> needs, long at) {}
@@ -114,7 +114,7 @@
         drafts.accept(all);
     }
 
-    private Optional<Command.Divide> next(Look look, GroupPlan group) {
+    private Optional<Command.Divide> next(Look look, GroupConfig group) {
         Optional<Budget> inForce = Optional.ofNullable(look.budgets().get(group.name()));
         // Two of the figures never go down: whoever is cut off goes by those that it was told.
         // When a lease ends a connection carries its request to the end, and then is closed.
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import rushpin.config.Config;
-import rushpin.config.FleetPlan;
+import rushpin.config.FleetConfig;
 import rushpin.config.OperatorConfig;
 import rushpin.lifecycle.Lifecycle;
 import rushpin.net.ByteBudget;
@@ -133,7 +133,7 @@
 
     /** Goes over to new settings, read and checked whole. Clients and what they have asked stay. */
     public void reload(Config changed, OperatorConfig operator) throws OperatorConfig.Faulty {
-        FleetPlan fleet = operator == null ? null : operator.fleet();
+        FleetConfig fleet = operator == null ? null : operator.fleet();
         if (together != null && fleet != null) {
             together.plan().checkNext(fleet);
         }
--- a/src/main/java/rushpin/node/GroupSide.java
+++ b/src/main/java/rushpin/node/GroupSide.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import rushpin.budget.Ration;
-import rushpin.config.GroupPlan;
+import rushpin.config.GroupConfig;
 import rushpin.gateway.Ports.Request;
 import rushpin.net.GroupGate;
 import rushpin.net.ServerPool;
@@ -44,7 +44,7 @@
     private final GroupGate gate;
     private final Consumer<Account> accounts;
     private final Future<?> beat;
-    private GroupPlan group;
+    private GroupConfig group;
     /** Tenants by plan, as the settings number them, and by customer. */
     private String[] byPlan;
 
@@ -57,7 +57,7 @@
      * @param plans as the settings number them
      * @param accounts hears, on the loop; must not block
      */
-    GroupSide(GroupPlan group, List<String> plans, ServerPool servers, EventLoop loop, Consumer<Account> accounts) {
+    GroupSide(GroupConfig group, List<String> plans, ServerPool servers, EventLoop loop, Consumer<Account> accounts) {
         this.plans = plans;
         this.accounts = accounts;
         last = new Numbered(group.name(), 0, Permit.NONE);
@@ -68,7 +68,7 @@
     }
 
     /** Goes over to other tenants; requests that are out count for whom they began. */
-    void change(GroupPlan next) {
+    void change(GroupConfig next) {
         group = next;
         gate.atLeast(group.halfOpen(), group.longest());
         byPlan = new String[plans.size()];
@@ -76,9 +76,9 @@
             String plan = plans.get(i);
             byPlan[i] = group.tenants().stream()
                     .filter(tenant -> tenant.plans().contains(plan))
-                    .map(GroupPlan.Tenant::name)
+                    .map(GroupConfig.Tenant::name)
                     .findFirst()
-                    .orElse(GroupPlan.OTHERS);
+                    .orElse(GroupConfig.OTHERS);
         }
         byCustomer = new HashMap<>();
         group.tenants().forEach(tenant -> tenant.customers().forEach(each -> byCustomer.put(each, tenant.name())));
@@ -86,7 +86,7 @@
 
     private String tenant(Request of) {
         String own = byCustomer.get(of.customer());
-        return own != null ? own : of.plan() >= 0 && of.plan() < byPlan.length ? byPlan[of.plan()] : GroupPlan.OTHERS;
+        return own != null ? own : of.plan() >= 0 && of.plan() < byPlan.length ? byPlan[of.plan()] : GroupConfig.OTHERS;
     }
 
     /** From now on this holds. */
--- a/src/main/java/rushpin/node/PlatformService.java
+++ b/src/main/java/rushpin/node/PlatformService.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import rushpin.config.Config;
 import rushpin.config.OperatorConfig;
-import rushpin.config.PoolPlan;
+import rushpin.config.PoolConfig;
 import rushpin.net.ByteBudget;
 import rushpin.net.Front;
 import rushpin.net.Refusal;
@@ -19,7 +19,7 @@
 
     PlatformService(Config config, EventLoop loop, Clock clock, ByteBudget bytes, Desk desk) {
         this.loop = loop;
-        pool = new Pool(PoolPlan.platform(config), loop, loop, clock, Budgets.whole(config.sockets(), bytes), null);
+        pool = new Pool(PoolConfig.platform(config), loop, loop, clock, Budgets.whole(config.sockets(), bytes), null);
         if (desk != null) {
             pool.serveDesk(desk);
         }
@@ -52,7 +52,7 @@
     @Override
     public void reload(Config changed, OperatorConfig operator) {
         loop.execute(() -> {
-            pool.move(PoolPlan.platform(changed));
+            pool.move(PoolConfig.platform(changed));
             pool.retune(changed.names(), changed.settings());
         });
     }
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import rushpin.accord.Plan;
-import rushpin.config.GroupPlan;
-import rushpin.config.PoolPlan;
+import rushpin.config.GroupConfig;
+import rushpin.config.PoolConfig;
 import rushpin.console.ProcessRegistry;
 import rushpin.console.ProcessMetrics;
 import rushpin.gateway.Gateway;
@@ -73,7 +73,7 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final PoolPlan plan;
+    private final PoolConfig plan;
     private final Budgets budgets;
     /** Where lists go first, if other pools have a word in them; their answer comes by {@link #apply}. */
     private final DiscoveryClient.Listener claims;
@@ -134,7 +134,7 @@
      * @param claims null where the list is nobody else's concern
      */
     Pool(
-            PoolPlan plan,
+            PoolConfig plan,
             EventLoop loop,
             EventLoop clients,
             Clock clock,
@@ -174,7 +174,7 @@
     }
 
     /** Has what is open at its servers kept to the permits for a group of them; before the start. */
-    GroupSide keepTo(GroupPlan group, Consumer<GroupSide.Account> accounts) {
+    GroupSide keepTo(GroupConfig group, Consumer<GroupSide.Account> accounts) {
         return new GroupSide(group, names.plans(), servers, loop, accounts);
     }
 
@@ -404,7 +404,7 @@
     }
 
     /** Goes over to other addresses; requests, attempts, the module and its list stay as they are. */
-    void move(PoolPlan changed) {
+    void move(PoolConfig changed) {
         if (discovery != null) {
             discovery.move(changed.upstream().discovery());
         }
@@ -538,7 +538,7 @@
         return plan.name();
     }
 
-    PoolPlan plan() {
+    PoolConfig plan() {
         return plan;
     }
 
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -20,9 +20,9 @@
 import rushpin.budget.Share;
 import rushpin.config.Config;
 import rushpin.config.ResourceLimits;
-import rushpin.config.GroupPlan;
+import rushpin.config.GroupConfig;
 import rushpin.config.OperatorConfig;
-import rushpin.config.PoolPlan;
+import rushpin.config.PoolConfig;
 import rushpin.gateway.Ports.ListKind;
 import rushpin.membership.AddressOwners;
 import rushpin.membership.ServerListUpdate;
@@ -123,15 +123,15 @@
         }
         Map<String, Running> before = new LinkedHashMap<>(running);
         running.clear();
-        List<PoolPlan> fresh = new ArrayList<>();
-        for (PoolPlan plan : next.pools()) {
+        List<PoolConfig> fresh = new ArrayList<>();
+        for (PoolConfig plan : next.pools()) {
             Running known = before.get(plan.name());
             if (known != null && known.pool().plan().differsOnlyInAddresses(plan)) {
                 before.remove(plan.name());
                 running.put(plan.name(), known);
                 known.pool().loop().execute(() -> known.pool().move(plan));
                 if (known.side() != null) {
-                    GroupPlan group = next.fleet().group(plan.group());
+                    GroupConfig group = next.fleet().group(plan.group());
                     known.pool().loop().execute(() -> known.side().change(group));
                 }
                 reserve(known, plan);
@@ -144,7 +144,7 @@
         table = new RouteTable(next.routes());
     }
 
-    private void begin(PoolPlan plan) {
+    private void begin(PoolConfig plan) {
         EventLoopGroup own = plan.ownLoop() ? new WatchedLoopGroup() : null;
         EventLoop loop = own == null ? front : own.next();
         String key = plan.name() + "#" + generation++;
@@ -165,7 +165,7 @@
         if (watcher != null) {
             pool.witness(new Witness(plan.name(), plan.upstream().names(), plan.settings(), clock::now, watcher));
         }
-        GroupPlan group = plan.group() == null ? null : operator.fleet().group(plan.group());
+        GroupConfig group = plan.group() == null ? null : operator.fleet().group(plan.group());
         if (group != null && accounts == null) {
             System.out.println("pool " + plan.name() + " keeps to no permits: a table [fleet] is for the next start");
         }
@@ -241,7 +241,7 @@
         };
     }
 
-    private void reserve(Running of, PoolPlan plan) {
+    private void reserve(Running of, PoolConfig plan) {
         for (Kind kind : Kind.values()) {
             long units = of(plan.guaranteed(), kind);
             Share share = of.budgets().of(kind.ordinal());
--- a/src/main/java/rushpin/node/Together.java
+++ b/src/main/java/rushpin/node/Together.java
@@ -24,7 +24,7 @@
 import rushpin.accord.Report;
 import rushpin.accord.Terms;
 import rushpin.accord.Who;
-import rushpin.config.FleetPlan;
+import rushpin.config.FleetConfig;
 import rushpin.net.Trouble;
 import rushpin.peer.Failure;
 import rushpin.peer.Mailbox;
@@ -86,7 +86,7 @@
         /** What came of a look at what is wanted of groups of servers. */
         record Divided(List<Command.Divide> drafts) implements Note {}
 
-        record Change(FleetPlan next) implements Note {}
+        record Change(FleetConfig next) implements Note {}
 
         record Leave() implements Note {}
 
@@ -120,7 +120,7 @@
     /** What is held by lines that were said, with its fences. */
     private final Map<String, Long> held = new TreeMap<>();
 
-    private volatile FleetPlan plan;
+    private volatile FleetConfig plan;
     private SessionClient client;
     private Line line;
     private Future<?> timer;
@@ -156,7 +156,7 @@
      * Opens nothing yet; {@code agreed} is told each plan that is newer than all before, and whether it may be stale, and
      * {@code permits} what may be open to each group of servers, both on the task's thread.
      */
-    Together(FleetPlan plan, Consumer<Standing> agreed, Consumer<GroupSide.Numbered> permits) {
+    Together(FleetConfig plan, Consumer<Standing> agreed, Consumer<GroupSide.Numbered> permits) {
         this.plan = plan;
         allotments = new Allotments(permits);
         this.agreed = agreed;
@@ -235,12 +235,12 @@
     }
 
     /** What this process goes by now. */
-    FleetPlan plan() {
+    FleetConfig plan() {
         return plan;
     }
 
-    /** Goes over to what a running process takes, checked by {@link FleetPlan#checkNext}; the rest is for the next start. */
-    void change(FleetPlan next) {
+    /** Goes over to what a running process takes, checked by {@link FleetConfig#checkNext}; the rest is for the next start. */
+    void change(FleetConfig next) {
         plan.forNextStart(next).forEach(key -> System.out.println("changed " + key + " is for the next start"));
         plan = plan.taking(next);
         mailbox.offer(new Note.Change(plan));
--- a/src/main/java/rushpin/node/Voter.java
+++ b/src/main/java/rushpin/node/Voter.java
@@ -39,7 +39,7 @@
 import rushpin.accord.log.Carrier;
 import rushpin.accord.log.Folder;
 import rushpin.accord.log.Replica;
-import rushpin.config.FleetPlan;
+import rushpin.config.FleetConfig;
 import rushpin.net.Trouble;
 import rushpin.peer.Ballots;
 import rushpin.peer.Busy;
@@ -91,7 +91,7 @@
     /** Log time between two looks at what is granted, nanoseconds: it is as long as there are processes. */
     private static final long GRANTS = 200_000_000L;
 
-    private final FleetPlan plan;
+    private final FleetConfig plan;
     private final Terms terms;
     private final Pace pace;
     private final Consumer<Decision> hearer;
@@ -147,7 +147,7 @@
      * Opens nothing yet; {@code hearer} is told what its log decides, on the log's thread, and {@code evidence} what
      * processes report while this one makes the plans, on the desk's; neither may block.
      */
-    Voter(FleetPlan plan, Terms terms, Sockets sockets, Consumer<Decision> hearer, Consumer<Report> evidence) {
+    Voter(FleetConfig plan, Terms terms, Sockets sockets, Consumer<Decision> hearer, Consumer<Report> evidence) {
         this.plan = plan;
         this.terms = terms;
         this.hearer = hearer;
@@ -166,7 +166,7 @@
         server = new PeerServer(listen, MOST_STREAMS + MORE_CONNECTIONS, this, desk, sockets);
     }
 
-    private static Map<String, InetSocketAddress> others(FleetPlan plan) {
+    private static Map<String, InetSocketAddress> others(FleetConfig plan) {
         Map<String, InetSocketAddress> others = plan.addresses();
         others.remove(plan.name());
         return others;
@@ -345,7 +345,7 @@
     }
 
     /** Other voters or addresses. */
-    void change(FleetPlan next) {
+    void change(FleetConfig next) {
         thread.execute(() -> {
             names = Set.copyOf(next.addresses().keySet());
             links.move(others(next));
--- a/src/test/java/rushpin/config/OperatorFileTest.java
+++ b/src/test/java/rushpin/config/OperatorFileTest.java
@@ -60,7 +60,7 @@
         OperatorConfig read = OperatorFile.read(Path.of("deploy/rushpin.toml"), null);
         assertEquals(
                 List.of("lookups", "bookings", "gates", "cranes"),
-                read.pools().stream().map(PoolPlan::name).toList());
+                read.pools().stream().map(PoolConfig::name).toList());
         assertEquals(6, read.routes().size());
         assertEquals(2, read.pools().get(2).xds().servers().size());
         assertEquals(
@@ -73,7 +73,7 @@
     @Test
     void defaultsAreHalfOfAnEvenPart() throws Exception {
         OperatorConfig read = OperatorFile.parse("[process]\nrequests = 100\nconnections = 40\n" + POOLS, folder, null);
-        for (PoolPlan pool : read.pools()) {
+        for (PoolConfig pool : read.pools()) {
             assertEquals(25, pool.guaranteed().requests());
             assertEquals(10, pool.guaranteed().connections());
             assertEquals(false, pool.ownLoop());
@@ -192,7 +192,7 @@
 
     @Test
     void aPoolMayTakeItsServersFromManagementServersOrFromAFile() throws Exception {
-        PoolPlan streamed = OperatorFile.parse(
+        PoolConfig streamed = OperatorFile.parse(
                         xds(
                                 "servers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nform = \"sotw\"\n"
                                         + "cluster = \"c\"\nsubscribe = \"all\"\nnode = \"n\"\nmost-removed-percent = 40\nguard-ms = 5000\n"),
@@ -205,7 +205,7 @@
         assertEquals(0.4, streamed.xds().rules().mostRemoved());
         assertEquals(5_000_000_000L, streamed.xds().rules().guard());
         assertNull(streamed.upstream().discovery());
-        PoolPlan filed = OperatorFile.parse(xds("path = \"x.yaml\"\n"), folder, null)
+        PoolConfig filed = OperatorFile.parse(xds("path = \"x.yaml\"\n"), folder, null)
                 .pools()
                 .get(0);
         assertEquals(folder.resolve("x.yaml"), filed.xds().path());
@@ -263,15 +263,15 @@
     void aFleetHasDefaultsAndVotersHaveAPlaceOfTheirOwn() throws Exception {
         assertNull(OperatorFile.parse(POOLS, folder, null).fleet());
         String own = "name = \"n0\"\nzone = \"a\"\nlisten = \"127.0.0.1:7000\"\nstate = \"s\"\n";
-        FleetPlan voter = OperatorFile.parse(fleet(own, 3), folder, null).fleet();
+        FleetConfig voter = OperatorFile.parse(fleet(own, 3), folder, null).fleet();
         assertTrue(voter.votes());
         assertEquals(List.of("n0", "n1", "n2"), List.copyOf(voter.addresses().keySet()));
         assertEquals(folder.resolve("s"), voter.state());
-        FleetPlan other = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"a\"\n", 5), folder, null)
+        FleetConfig other = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"a\"\n", 5), folder, null)
                 .fleet();
         assertFalse(other.votes());
         assertEquals(
-                new FleetPlan(
+                new FleetConfig(
                         "n9",
                         "a",
                         "local",
@@ -295,9 +295,9 @@
         String own = "name = \"n9\"\nzone = \"a\"\n";
         String pooled = fleet(own + group + tenant, 3)
                 .replace("name = \"a\"\nsettings", "name = \"a\"\ngroup = \"book\"\nsettings");
-        GroupPlan read = OperatorFile.parse(pooled, folder, null).fleet().group("book");
+        GroupConfig read = OperatorFile.parse(pooled, folder, null).fleet().group("book");
         assertEquals(
-                new GroupPlan(
+                new GroupConfig(
                         "book",
                         10,
                         1,
@@ -305,7 +305,7 @@
                         60_000_000_000L,
                         30_000_000_000L,
                         10_000_000_000L,
-                        List.of(new GroupPlan.Tenant("big", 9, 2, GroupPlan.MOST, List.of("bulk"), List.of()))),
+                        List.of(new GroupConfig.Tenant("big", 9, 2, GroupConfig.MOST, List.of("bulk"), List.of()))),
                 read);
         only(
                 pooled.replace("floor = 9", "floor = 10"),
@@ -337,7 +337,7 @@
     @Test
     void regionsAreListedInOrderAndTheProcessesOwnFollows() throws Exception {
         String zones = "[fleet.zones]\nreserve-percent = 20\nmost-left-percent = 50\nhold-s = 60\nstep-s = 1\n";
-        FleetPlan plan = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"a\"\n" + REGIONS + zones, 3), folder, null)
+        FleetConfig plan = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"a\"\n" + REGIONS + zones, 3), folder, null)
                 .fleet();
         assertEquals("east", plan.region());
         assertEquals(List.of("b", "a", "c"), plan.geography().zones());
@@ -349,9 +349,9 @@
                         plan.limits().hold(),
                         plan.limits().step()));
         // They are the planner's at once; all else of the file is for the next start.
-        FleetPlan old = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"c\"\nregion = \"north\"\n", 3), folder, null)
+        FleetConfig old = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"c\"\nregion = \"north\"\n", 3), folder, null)
                 .fleet();
-        FleetPlan taken = old.taking(plan);
+        FleetConfig taken = old.taking(plan);
         assertEquals(plan.geography(), taken.geography());
         assertEquals(plan.limits(), taken.limits());
         assertEquals("c north", taken.zone() + " " + taken.region());
@@ -449,11 +449,11 @@
     @Test
     void whileItRunsOneVoterComesAndOneGoesAtMost() throws Exception {
         String keys = "name = \"n9\"\nzone = \"a\"\n";
-        FleetPlan three = OperatorFile.parse(fleet(keys, 3), folder, null).fleet();
-        FleetPlan four = OperatorFile.parse(fleet(keys, 4), folder, null).fleet();
-        FleetPlan five = OperatorFile.parse(fleet(keys, 5), folder, null).fleet();
+        FleetConfig three = OperatorFile.parse(fleet(keys, 3), folder, null).fleet();
+        FleetConfig four = OperatorFile.parse(fleet(keys, 4), folder, null).fleet();
+        FleetConfig five = OperatorFile.parse(fleet(keys, 5), folder, null).fleet();
         String moved = fleet(keys, 3).replace("n2", "n5").replace("zone = \"a\"", "zone = \"b\"");
-        FleetPlan other = OperatorFile.parse(moved, folder, null).fleet();
+        FleetConfig other = OperatorFile.parse(moved, folder, null).fleet();
         three.checkNext(four);
         five.checkNext(four);
         three.checkNext(other);
--- a/src/test/java/rushpin/node/DivisionsTest.java
+++ b/src/test/java/rushpin/node/DivisionsTest.java
@@ -12,12 +12,12 @@
 import rushpin.accord.Budget;
 import rushpin.accord.Command;
 import rushpin.accord.Report;
-import rushpin.config.GroupPlan;
+import rushpin.config.GroupConfig;
 
 /** The task of who divides connections: whose reports it keeps, and what they become. */
 class DivisionsTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final GroupPlan YARD = new GroupPlan("yard", 20, 0, 1, 9 * SECOND, SECOND, SECOND, List.of());
+    private static final GroupConfig YARD = new GroupConfig("yard", 20, 0, 1, 9 * SECOND, SECOND, SECOND, List.of());
 
     private final LinkedBlockingQueue<List<Command.Divide>> drafts = new LinkedBlockingQueue<>();
 
@@ -32,7 +32,7 @@
                 List.of(),
                 List.of(),
                 List.of(),
-                List.of(new Report.Need("yard", "", 0, 0), new Report.Need("yard", GroupPlan.OTHERS, wanted, wanted)));
+                List.of(new Report.Need("yard", "", 0, 0), new Report.Need("yard", GroupConfig.OTHERS, wanted, wanted)));
     }
 
     /** The parts of processes 1 to 4, which are all there, in a first division. */
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -136,14 +136,14 @@
                 "rushpin.node.Witness",
                 "rushpin.node.Gathered",
                 "rushpin.config.FleetKeys",
-                "rushpin.config.FleetPlan",
+                "rushpin.config.FleetConfig",
                 "rushpin.pooling.",
                 "rushpin.budget.Ration",
                 "GroupGate",
                 "ServerPool$Turn",
                 "GroupSide",
                 "rushpin.config.GroupKeys",
-                "rushpin.config.GroupPlan")) {
+                "rushpin.config.GroupConfig")) {
             assertFalse(loaded.stream().anyMatch(line -> line.contains(off)), off + " was loaded");
         }
     }
