--- a/src/main/java/rushpin/config/FleetKeys.java
+++ b/src/main/java/rushpin/config/FleetTableReader.java
@@ -12,7 +12,7 @@
 import rushpin.membership.discovery.ServerListReader;
 
 /** The table {@code [fleet]} of the operator's file. */
-final class FleetKeys {
+final class FleetTableReader {
     private static final int LEAST_VOTERS = 3, MOST_VOTERS = 5, MOST_NAME = 64;
     private static final long MS = 1_000_000L, SECOND = 1_000 * MS, MOST_ERA = 1L << 20;
     /** A hundredth in millionths. */
@@ -22,9 +22,9 @@
 
     private static final String VOTER = "voter", LISTEN = "listen", STATE = "state", REGION = "region", ZONES = "zones";
 
-    private FleetKeys() {}
+    private FleetTableReader() {}
 
-    static FleetConfig read(Keys fleet, Path folder, Config platform) {
+    static FleetConfig read(TableReader fleet, Path folder, Config platform) {
         String said = name(fleet, "name", false);
         String name = said == null && platform != null ? platform.name() : said;
         if (said == null && name != null && !isName(name)) {
@@ -44,7 +44,7 @@
                 ? name(fleet, REGION, false)
                 : geography == null || zone == null ? null : region(fleet, geography, zone);
         Limits limits = limits(fleet.table(ZONES));
-        List<GroupConfig> groups = GroupKeys.read(fleet, lease);
+        List<GroupConfig> groups = GroupTableReader.read(fleet, lease);
         fleet.done();
         if (name != null && !voters.isEmpty()) {
             checkPlace(
@@ -67,11 +67,11 @@
     }
 
     /** Regions with their zones; null with a fault. */
-    private static Geography geography(Keys fleet) {
+    private static Geography geography(TableReader fleet) {
         List<Geography.Region> regions = new ArrayList<>();
         Map<String, String> zones = new HashMap<>(), names = new HashMap<>();
         boolean whole = true;
-        for (Keys table : fleet.tables(REGION, MOST_REGIONS)) {
+        for (TableReader table : fleet.tables(REGION, MOST_REGIONS)) {
             String name = name(table, "name", true);
             if (name != null && names.putIfAbsent(name, name) != null) {
                 table.fault("name", "region " + name + " stands there twice", "each name once");
@@ -107,7 +107,7 @@
     }
 
     /** The region that the process's zone is listed in; null where none are listed, or with a fault. */
-    private static String region(Keys fleet, Geography geography, String zone) {
+    private static String region(TableReader fleet, Geography geography, String zone) {
         String own = geography.regions().stream()
                 .filter(each -> each.zones().contains(zone))
                 .map(Geography.Region::name)
@@ -123,7 +123,7 @@
     }
 
     /** The table {@code [fleet.zones]}; without it all is as usual. */
-    private static Limits limits(Keys keys) {
+    private static Limits limits(TableReader keys) {
         Limits usual = Limits.USUAL;
         long reserve = keys.whole("reserve-percent", usual.reserve() / TENTHS, 0, 90);
         long left = keys.whole("most-left-percent", usual.left() / TENTHS, 1, 100);
@@ -134,7 +134,7 @@
     }
 
     /** What a voter must have, and who is none must not. */
-    private static void checkPlace(Keys fleet, String name, boolean votes) {
+    private static void checkPlace(TableReader fleet, String name, boolean votes) {
         if (votes && !fleet.has(LISTEN)) {
             fleet.fault(LISTEN, "is missing and " + name + " is a voter", "host:port, where the others reach it");
         }
@@ -148,8 +148,8 @@
         }
     }
 
-    private static List<FleetConfig.Voter> voters(Keys fleet) {
-        List<Keys> tables = fleet.tables(VOTER, MOST_VOTERS);
+    private static List<FleetConfig.Voter> voters(TableReader fleet) {
+        List<TableReader> tables = fleet.tables(VOTER, MOST_VOTERS);
         if (tables.size() < LEAST_VOTERS) {
             fleet.fault(
                     VOTER,
@@ -161,7 +161,7 @@
         List<FleetConfig.Voter> voters = new ArrayList<>();
         Map<String, Integer> names = new HashMap<>();
         Map<InetSocketAddress, String> addresses = new HashMap<>();
-        for (Keys table : tables) {
+        for (TableReader table : tables) {
             String name = name(table, "name", true);
             InetSocketAddress address = address(table, "address");
             if (!table.has("address")) {
@@ -191,7 +191,7 @@
     }
 
     /** Names go into what is agreed on, which takes these letters alone. */
-    static String name(Keys at, String key, boolean must) {
+    static String name(TableReader at, String key, boolean must) {
         String text = at.text(key, must);
         if (text == null || isName(text)) {
             return text;
@@ -200,7 +200,7 @@
         return null;
     }
 
-    private static InetSocketAddress address(Keys at, String key) {
+    private static InetSocketAddress address(TableReader at, String key) {
         String text = at.text(key, false);
         if (text == null) {
             return null;
--- a/src/main/java/rushpin/config/GroupKeys.java
+++ b/src/main/java/rushpin/config/GroupTableReader.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** The tables {@code [[fleet.group]]} of the operator's file. */
-final class GroupKeys {
+final class GroupTableReader {
     private static final int MOST_GROUPS = 16,
             MOST_TENANTS = 63,
             MOST_PLANS = 64,
@@ -15,13 +15,13 @@
     private static final long MS = 1_000_000L, HALF_OPEN_MS = 10_000, FORGET_MS = 60_000, LONGEST_MS = 30_000;
     private static final String CUSTOMERS = "customers", PLANS = "plans";
 
-    private GroupKeys() {}
+    private GroupTableReader() {}
 
-    static List<GroupConfig> read(Keys fleet, long leaseMs) {
+    static List<GroupConfig> read(TableReader fleet, long leaseMs) {
         List<GroupConfig> groups = new ArrayList<>();
         Map<String, String> names = new HashMap<>();
-        for (Keys table : fleet.tables("group", MOST_GROUPS)) {
-            String name = FleetKeys.name(table, "name", true);
+        for (TableReader table : fleet.tables("group", MOST_GROUPS)) {
+            String name = FleetTableReader.name(table, "name", true);
             if (name != null && names.putIfAbsent(name, name) != null) {
                 table.fault("name", "group " + name + " stands there twice", "each name once");
             }
@@ -54,12 +54,12 @@
         return groups;
     }
 
-    private static List<GroupConfig.Tenant> tenants(Keys group) {
+    private static List<GroupConfig.Tenant> tenants(TableReader group) {
         List<GroupConfig.Tenant> tenants = new ArrayList<>();
         Map<String, String> names = new HashMap<>(), plans = new HashMap<>();
         Map<Long, String> customers = new HashMap<>();
-        for (Keys table : group.tables("tenant", MOST_TENANTS)) {
-            String name = FleetKeys.name(table, "name", true);
+        for (TableReader table : group.tables("tenant", MOST_TENANTS)) {
+            String name = FleetTableReader.name(table, "name", true);
             int floor = (int) table.whole("floor", 0, 0, MOST);
             int weight = (int) table.whole("weight", 1, 1, 1_000);
             int cap = (int) table.whole("cap", MOST, 1, MOST);
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -45,7 +45,7 @@
     private final Path folder;
     private final Config platform;
     private final List<Fault> faults = new ArrayList<>();
-    private final Map<String, Keys> pools = new LinkedHashMap<>();
+    private final Map<String, TableReader> pools = new LinkedHashMap<>();
     private final Map<String, Config> settings = new HashMap<>();
 
     private OperatorFile(Path folder, Config platform) {
@@ -86,8 +86,8 @@
                             ""))
                     .toList());
         }
-        Keys root = new Keys(toml, "", 0, faults);
-        Keys process = root.table("process");
+        TableReader root = new TableReader(toml, "", 0, faults);
+        TableReader process = root.table("process");
         int sockets = platform == null ? 1024 : platform.sockets();
         long memory = platform == null ? 128L << 20 : platform.memory();
         ResourceLimits total = grants(
@@ -104,13 +104,13 @@
         String state = process.text("state", false);
         process.done();
         Keeping records = root.has("records") ? records(root.table("records")) : null;
-        FleetConfig fleet = root.has("fleet") ? FleetKeys.read(root.table("fleet"), folder, platform) : null;
-        List<Keys> tables = root.tables("pool", MOST_POOLS);
+        FleetConfig fleet = root.has("fleet") ? FleetTableReader.read(root.table("fleet"), folder, platform) : null;
+        List<TableReader> tables = root.tables("pool", MOST_POOLS);
         if (tables.isEmpty()) {
             root.fault("pool", "there is none", "one table [[pool]] for each service, " + MOST_POOLS + " at most");
         }
         List<PoolConfig> plans = new ArrayList<>();
-        for (Keys pool : tables) {
+        for (TableReader pool : tables) {
             PoolConfig plan = pool(pool, total, Math.max(1, tables.size()));
             if (plan != null) {
                 plans.add(plan);
@@ -121,7 +121,7 @@
         checkSums(process, total, plans);
         checkApart(plans);
         checkGroups(plans, fleet);
-        for (Map.Entry<String, Keys> pool : pools.entrySet()) {
+        for (Map.Entry<String, TableReader> pool : pools.entrySet()) {
             if (routes.stream().noneMatch(route -> route.pool().equals(pool.getKey()))) {
                 pool.getValue().fault("name", "no [[route]] leads to pool " + pool.getKey(), "one at least");
             }
@@ -141,7 +141,7 @@
     }
 
     /** Where traffic is written down; faults are told of a key that pseudonyms can't be made with. */
-    private Keeping records(Keys at) {
+    private Keeping records(TableReader at) {
         String to = at.text("folder", true), key = at.text("pseudonym-key", true);
         long file = at.whole("file-bytes", Keeping.FILE_BYTES, 1L << 16, 1L << 30);
         long most = at.whole("most-bytes", Keeping.MOST_BYTES, 1L << 18, MOST);
@@ -159,7 +159,7 @@
                 : new Keeping(folder.resolve(to), folder.resolve(key), file, most, perSecond);
     }
 
-    private static ResourceLimits grants(Keys at, ResourceLimits otherwise, ResourceLimits most) {
+    private static ResourceLimits grants(TableReader at, ResourceLimits otherwise, ResourceLimits most) {
         return new ResourceLimits(
                 at.whole("requests", otherwise.requests(), 1, most.requests()),
                 at.whole("connections", otherwise.connections(), 1, most.connections()),
@@ -167,7 +167,7 @@
                 at.whole("connects", otherwise.connects(), 1, most.connects()));
     }
 
-    private PoolConfig pool(Keys pool, ResourceLimits total, int count) {
+    private PoolConfig pool(TableReader pool, ResourceLimits total, int count) {
         int before = faults.size();
         String name = pool.text("name", true);
         if (name != null && (!name.matches("[a-z0-9][a-z0-9-]*") || name.length() > MOST_NAME)) {
@@ -191,8 +191,8 @@
         String group = pool.text("group", false);
         boolean first = pool.flag("count-first");
         boolean inXds = pool.has("xds");
-        XdsPlan xds = inXds && name != null ? XdsKeys.read(pool.table("xds"), name, folder, platform) : null;
-        Keys guaranteed = pool.table("guaranteed");
+        XdsPlan xds = inXds && name != null ? XdsTableReader.read(pool.table("xds"), name, folder, platform) : null;
+        TableReader guaranteed = pool.table("guaranteed");
         ResourceLimits part = grants(
                 guaranteed,
                 new ResourceLimits(
@@ -276,7 +276,7 @@
         return Math.max(1, total / 2 / count);
     }
 
-    private Config settings(Keys pool, String from) {
+    private Config settings(TableReader pool, String from) {
         if (from.equals(PLATFORM)) {
             if (platform == null) {
                 pool.fault(
@@ -298,7 +298,7 @@
         return known;
     }
 
-    private SocketAddress address(Keys pool, String key, String text, SocketAddress otherwise) {
+    private SocketAddress address(TableReader pool, String key, String text, SocketAddress otherwise) {
         if (text == null) {
             return otherwise;
         }
@@ -313,10 +313,10 @@
         }
     }
 
-    private List<Route> routes(Keys root) {
+    private List<Route> routes(TableReader root) {
         List<Route> routes = new ArrayList<>();
-        List<Keys> at = new ArrayList<>();
-        for (Keys table : root.tables("route", MOST_ROUTES)) {
+        List<TableReader> at = new ArrayList<>();
+        for (TableReader table : root.tables("route", MOST_ROUTES)) {
             Route route = route(table);
             if (route != null) {
                 routes.add(route);
@@ -334,13 +334,13 @@
         return routes;
     }
 
-    private Route route(Keys table) {
+    private Route route(TableReader table) {
         int before = faults.size();
         String pool = table.text("pool", true);
         if (pool != null && !pools.containsKey(pool)) {
             table.fault(
                     "pool",
-                    "no [[pool]] is called " + pool + Keys.nearest(pool, pools.keySet()),
+                    "no [[pool]] is called " + pool + TableReader.nearest(pool, pools.keySet()),
                     String.join(", ", pools.keySet()));
         }
         String host = host(table, table.text("host", false));
@@ -358,7 +358,7 @@
             checkClass(table, pool, requestClass);
         }
         Map<String, String> headers = new LinkedHashMap<>();
-        Keys named = table.table("headers");
+        TableReader named = table.table("headers");
         for (String key : named.free()) {
             String value = named.text(key, true);
             if (!key.matches("[A-Za-z0-9!#$%&'*+.^_`|~-]+")) {
@@ -371,19 +371,19 @@
         return faults.size() > before ? null : new Route(pool, host, path, prefix, method, requestClass, headers);
     }
 
-    private void checkClass(Keys table, String pool, String requestClass) {
+    private void checkClass(TableReader table, String pool, String requestClass) {
         String from = pools.get(pool).text("settings", false);
         Config config = from == null ? null : from.equals(PLATFORM) ? platform : settings.get(from);
         if (config != null && !config.names().classes().contains(requestClass)) {
             table.fault(
                     "class",
                     "pool " + pool + " has no class " + requestClass
-                            + Keys.nearest(requestClass, config.names().classes()),
+                            + TableReader.nearest(requestClass, config.names().classes()),
                     String.join(", ", config.names().classes()));
         }
     }
 
-    private static String host(Keys table, String host) {
+    private static String host(TableReader table, String host) {
         if (host == null) {
             return null;
         }
@@ -403,7 +403,7 @@
         return null;
     }
 
-    private static String path(Keys table, String key) {
+    private static String path(TableReader table, String key) {
         String path = table.text(key, false);
         if (path == null) {
             return null;
@@ -423,7 +423,7 @@
         return path;
     }
 
-    private void checkSums(Keys process, ResourceLimits total, List<PoolConfig> plans) {
+    private void checkSums(TableReader process, ResourceLimits total, List<PoolConfig> plans) {
         checkSum(process, "requests", total, plans, ResourceLimits::requests);
         checkSum(process, "connections", total, plans, ResourceLimits::connections);
         checkSum(process, "body-bytes", total, plans, ResourceLimits::bytes);
@@ -440,7 +440,7 @@
     }
 
     private static void checkSum(
-            Keys process, String key, ResourceLimits total, List<PoolConfig> plans, ToLongFunction<ResourceLimits> of) {
+            TableReader process, String key, ResourceLimits total, List<PoolConfig> plans, ToLongFunction<ResourceLimits> of) {
         long sum = plans.stream()
                 .mapToLong(plan -> of.applyAsLong(plan.guaranteed()))
                 .sum();
@@ -456,7 +456,7 @@
     private void checkGroups(List<PoolConfig> plans, FleetConfig fleet) {
         Map<String, String> taken = new HashMap<>();
         for (PoolConfig plan : plans) {
-            Keys at = pools.get(plan.name());
+            TableReader at = pools.get(plan.name());
             GroupConfig group = fleet == null || plan.group() == null ? null : fleet.group(plan.group());
             if (plan.group() == null) {
                 continue;
--- a/src/main/java/rushpin/config/Keys.java
+++ b/src/main/java/rushpin/config/TableReader.java
@@ -10,7 +10,7 @@
 import org.tomlj.TomlTable;
 
 /** One table of the operator's file: reads known keys, and tells a fault of what is none. */
-final class Keys {
+final class TableReader {
     private final TomlTable table;
     private final String path;
     private final int line;
@@ -18,7 +18,7 @@
     private final Collection<String> known = new TreeSet<>();
 
     /** A table at a path; {@code line} is where it begins. */
-    Keys(TomlTable table, String path, int line, List<OperatorConfig.Fault> faults) {
+    TableReader(TomlTable table, String path, int line, List<OperatorConfig.Fault> faults) {
         this.table = table;
         this.path = path;
         this.line = line;
@@ -123,19 +123,19 @@
     }
 
     /** A table below; one without keys where there is none. */
-    Keys table(String key) {
+    TableReader table(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
             fault(key, "found " + kind(value), "a table, [" + path(key) + "]");
         }
         TomlTable below = value instanceof TomlTable found ? found : Toml.parse("");
-        return new Keys(below, path(key), line(key), faults);
+        return new TableReader(below, path(key), line(key), faults);
     }
 
     /** The tables of a list of tables. */
-    List<Keys> tables(String key, int most) {
+    List<TableReader> tables(String key, int most) {
         Object value = value(key);
-        List<Keys> all = new ArrayList<>();
+        List<TableReader> all = new ArrayList<>();
         if (value == null) {
             return all;
         }
@@ -147,7 +147,7 @@
             fault(key, "has " + array.size() + " entries", most + " at most");
         }
         for (int i = 0; i < Math.min(most, array.size()); i++) {
-            all.add(new Keys(
+            all.add(new TableReader(
                     array.getTable(i),
                     path(key) + "[" + (i + 1) + "]",
                     array.inputPositionOf(i).line(),
--- a/src/main/java/rushpin/config/XdsKeys.java
+++ b/src/main/java/rushpin/config/XdsTableReader.java
@@ -12,15 +12,15 @@
 import rushpin.net.xds.XdsPlan;
 
 /** The table {@code [pool.xds]} of the operator's file. */
-final class XdsKeys {
+final class XdsTableReader {
     private static final int MOST_SERVERS = 8;
     private static final long MS = 1_000_000L, MIB = 1L << 20;
     /** Servers that went with a large update keep their start for so long. */
     private static final long REMEMBER = 60_000 * MS;
 
-    private XdsKeys() {}
+    private XdsTableReader() {}
 
-    static XdsPlan read(Keys xds, String pool, Path folder, Config platform) {
+    static XdsPlan read(TableReader xds, String pool, Path folder, Config platform) {
         String path = xds.text("path", false);
         List<InetSocketAddress> servers = new ArrayList<>();
         for (String each : xds.texts("servers", MOST_SERVERS)) {
@@ -66,7 +66,7 @@
                 new ClusterView.Rules(removed / 100.0, removed == 100 ? 0 : guard * MS, warming * MS, REMEMBER));
     }
 
-    private static Path file(Keys xds, String key, Path folder) {
+    private static Path file(TableReader xds, String key, Path folder) {
         String text = xds.text(key, false);
         if (text == null) {
             return null;
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -135,14 +135,14 @@
                 "rushpin.node.Voter",
                 "rushpin.node.Witness",
                 "rushpin.node.Gathered",
-                "rushpin.config.FleetKeys",
+                "rushpin.config.FleetTableReader",
                 "rushpin.config.FleetConfig",
                 "rushpin.pooling.",
                 "rushpin.budget.Ration",
                 "GroupGate",
                 "ServerPool$Turn",
                 "GroupSide",
-                "rushpin.config.GroupKeys",
+                "rushpin.config.GroupTableReader",
                 "rushpin.config.GroupConfig")) {
             assertFalse(loaded.stream().anyMatch(line -> line.contains(off)), off + " was loaded");
         }
