--- a/src/main/java/rushpin/config/GroupConfig.java
+++ b/src/main/java/rushpin/config/GroupConfig.java
@@ -6,7 +6,7 @@
 /**
  * A table {@code [[fleet.group]]}: app servers that take a number of connections from all processes together.
  *
- * @param most that number
+ * @param maxConnections that number
  * @param reserve how many of them are nobody's: for operators, and for what a pause may slip in
  * @param own how many of its part a process that is cut off keeps beyond its lease
  * @param forget for how long it does so, nanoseconds from its last asking that was answered; no shorter than the lease
@@ -15,7 +15,7 @@
  * @param tenants who has a part of its own, in the order of the file
  */
 public record GroupConfig(
-        String name, int most, int reserve, int own, long forget, long longest, long halfOpen, List<Tenant> tenants) {
+        String name, int maxConnections, int reserve, int own, long forget, long longest, long halfOpen, List<Tenant> tenants) {
     /** The tenant of all that belong to no other; the operator may give it a table like any. */
     public static final String OTHERS = "others";
     /** No fewer connections than there can be. */
--- a/src/main/java/rushpin/node/Divisions.java
+++ b/src/main/java/rushpin/node/Divisions.java
@@ -123,7 +123,7 @@
                 inForce.map(each -> each.figures().halfOpen()).orElse(0L));
         long forget = Math.max(
                 group.forget(), inForce.map(each -> each.figures().forget()).orElse(0L));
-        Budget.Figures figures = new Budget.Figures(group.most(), group.reserve(), group.own(), halfOpen, forget);
+        Budget.Figures figures = new Budget.Figures(group.maxConnections(), group.reserve(), group.own(), halfOpen, forget);
         List<Rules.Tenant> tenants = group.tenants().stream()
                 .map(tenant -> new Rules.Tenant(tenant.name(), tenant.floor(), tenant.weight(), tenant.cap()))
                 .sorted(Comparator.comparing(Rules.Tenant::name))
@@ -139,7 +139,7 @@
                         own.stream().filter(need -> !need.tenant().isEmpty()).toList());
             }
         }
-        Rules rules = new Rules(figures, tenants, Math.max(1, group.most() * LEAST / HUNDRED), CALM);
+        Rules rules = new Rules(figures, tenants, Math.max(1, group.maxConnections() * LEAST / HUNDRED), CALM);
         return Divider.next(inForce, Divider.Sight.of(look.sessions().keySet(), inForce, told), rules, look.at())
                 .map(draft -> new Command.Divide(
                         look.session(),
