--- a/src/main/java/rushpin/cli/Main.java
+++ b/src/main/java/rushpin/cli/Main.java
@@ -18,21 +18,25 @@
 import rushpin.node.LibraryLines;
 import rushpin.node.Rehearsal;
 
-/** The program: {@code serve} runs a real edge node, {@code drill} the decisions on the simulator's wire. */
+/**
+ * The command line: {@code serve} runs an edge node, {@code check} checks an operator's file, {@code rig} and
+ * {@code model} run scenarios and simulations, {@code drill} connects the gateway to the simulator's adapter.
+ */
 public final class Main {
-    /** How long a start's rehearsal is: so many requests, or so many milliseconds where these take longer. */
-    private static final int REHEARSED = 1_000;
+    /** The number of requests of the warm-up before a start. */
+    private static final int WARM_UP_REQUESTS = 1_000;
+    /** Milliseconds after which the warm-up ends even if requests are left. */
+    private static final long WARM_UP_MS = 2_000;
 
-    private static final long REHEARSAL_MS = 2_000;
     private static final String USAGE =
             "usage: rushpin.jar serve [--operator FILE] | check FILE | rig [NAME] | model | drill";
 
     private Main() {}
 
-    /** Picks the word. */
+    /** Runs the command that the first argument names. */
     public static void main(String[] args) {
-        String word = args.length == 0 ? "" : args[0];
-        switch (word) {
+        String command = args.length == 0 ? "" : args[0];
+        switch (command) {
             case "serve" -> serve(System.getenv("GW_CONFIG"), operator(args));
             case "drill" -> Drill.main(args);
             case "check" -> Runtime.getRuntime().halt(check(args));
@@ -42,7 +46,7 @@
         }
     }
 
-    /** The operator's file that a start names, or null. */
+    /** The operator's file that {@code --operator} or else the environment names; null for none. */
     private static Path operator(String[] args) {
         if (args.length == 3 && args[1].equals("--operator")) {
             return Path.of(args[2]);
@@ -50,11 +54,11 @@
         if (args.length != 1) {
             exit(2, USAGE);
         }
-        String named = System.getenv("RUSHPIN_OPERATOR");
-        return named == null || named.isBlank() ? null : Path.of(named);
+        String path = System.getenv("RUSHPIN_OPERATOR");
+        return path == null || path.isBlank() ? null : Path.of(path);
     }
 
-    /** Prints all faults of an operator's file; 0 if there are none. */
+    /** Prints all faults of an operator's file; returns the exit code, 0 if there are none. */
     private static int check(String[] args) {
         if (args.length != 2) {
             System.err.println(USAGE);
@@ -82,12 +86,13 @@
             exit(2, "GW_CONFIG must name the configuration file");
             return;
         }
-        // Said outright, or Netty looks for the other libraries first, which takes a part of the start.
+        // Set explicitly: otherwise Netty looks for other logging libraries first, which slows the start.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         LibraryLines.plain();
         try {
             Path path = Path.of(file);
-            AtomicReference<EdgeNode> serving = new AtomicReference<>(), started = new AtomicReference<>();
+            AtomicReference<EdgeNode> serving = new AtomicReference<>();
+            AtomicReference<EdgeNode> started = new AtomicReference<>();
             AtomicInteger hangups = new AtomicInteger();
             AtomicReference<Desk> desk = new AtomicReference<>();
             AtomicReference<Config> running = new AtomicReference<>();
@@ -96,24 +101,25 @@
                 reload(started.get(), path, operator, desk.get(), running);
             });
             Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(serving.get()), "stop"));
-            String folder = System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"));
+            String temporary = System.getenv().getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir"));
             Config first = Config.read(path);
             SocketAddress console = Config.console(first, System.getenv("GW_CONSOLE"));
             if (console != null) {
-                desk.set(Desk.in(Path.of(folder).resolve("rushpin")));
-                // Operators are answered from the start on, though it be that nothing is ready.
+                desk.set(Desk.in(Path.of(temporary).resolve("rushpin")));
+                // The console answers from here on, before the node is ready.
                 System.out.println("console on " + new Console(console, desk.get(), serving::get).address());
             }
             if (operator != null) {
-                // A fault is told before the rehearsal, not after it.
+                // Faults are reported before the warm-up, not after it.
                 OperatorFile.read(operator, first);
             }
-            long begun = System.nanoTime();
-            int rehearsed = Rehearsal.hold(first, REHEARSED, REHEARSAL_MS, Path.of(folder));
-            System.out.println(
-                    "rehearsed with " + rehearsed + " requests in " + (System.nanoTime() - begun) / 1_000_000 + " ms");
-            // The file is read again: a signal may have come meanwhile. One that comes from now on is heard at the end.
-            int before = hangups.get();
+            long warmUpStart = System.nanoTime();
+            int requests = Rehearsal.hold(first, WARM_UP_REQUESTS, WARM_UP_MS, Path.of(temporary));
+            System.out.println("rehearsed with " + requests + " requests in "
+                    + (System.nanoTime() - warmUpStart) / 1_000_000 + " ms");
+            // The file is read again, as a signal may have arrived during the warm-up. Later ones are handled at the
+            // end.
+            int hangupsBefore = hangups.get();
             Config config = Config.read(path);
             EdgeNode node =
                     new EdgeNode(config, operator == null ? null : OperatorFile.read(operator, config), desk.get());
@@ -122,7 +128,7 @@
             node.start();
             System.out.println("serving on " + node.address());
             started.set(node);
-            if (hangups.get() != before) {
+            if (hangups.get() != hangupsBefore) {
                 reload(node, path, operator, desk.get(), running);
             }
         } catch (Config.Invalid e) {
@@ -136,27 +142,27 @@
     }
 
     /**
-     * Java has no public way to hear of a signal, and without a handler this one ends the JVM. The compiler's
-     * word on this interface cannot be turned off; it is no lint.
+     * Handles SIGHUP. Java has no public interface for signals, and without a handler SIGHUP ends the JVM. The
+     * compiler's warning about the internal interface can't be suppressed.
      *
-     * <p>A signal that the process was started to ignore, as by nohup, stays ignored by the JVM: that is told.
+     * <p>A process that was started to ignore SIGHUP, as by nohup, goes on to ignore it; this is logged.
      */
-    private static void onHangup(Runnable then) {
-        sun.misc.SignalHandler before = sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> then.run());
-        if (before == sun.misc.SignalHandler.SIG_IGN) {
+    private static void onHangup(Runnable action) {
+        sun.misc.SignalHandler previous = sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> action.run());
+        if (previous == sun.misc.SignalHandler.SIG_IGN) {
             System.out.println(
                     "SIGHUP is ignored, as this process was started so: no configuration will be read again");
         }
     }
 
-    /** A file that cannot be used costs one line; the settings that the node has stay as they are. */
+    /** Reads the configuration again. If it can't be used, one line is logged and the running settings stay. */
     private static void reload(EdgeNode node, Path file, Path operator, Desk desk, AtomicReference<Config> running) {
         if (node == null) {
-            // It will be read when the node has started.
+            // The file is read when the node has started.
             return;
         }
         try {
-            // One at a time: signals may follow each other faster than the file is read.
+            // One reload at a time: signals may arrive faster than the file is read.
             synchronized (node) {
                 Config config = Config.readAgain(file, running.get());
                 node.reload(config, operator == null ? null : OperatorFile.read(operator, config));
@@ -174,7 +180,7 @@
         }
     }
 
-    /** Ends a planned restart with 0: the platform reads any other status as a failure of the node. */
+    /** Drains and ends with status 0: the platform takes any other status for a failure of the node. */
     private static void stop(EdgeNode node) {
         try {
             if (node != null) {
@@ -185,7 +191,7 @@
             }
             Runtime.getRuntime().halt(0);
         } catch (Exception e) {
-            System.err.println("the drain did not end: " + e);
+            System.err.println("the drain failed: " + e);
             Runtime.getRuntime().halt(1);
         }
     }
--- a/src/main/java/rushpin/cli/RigCommand.java
+++ b/src/main/java/rushpin/cli/RigCommand.java
@@ -10,25 +10,25 @@
 import rushpin.rig.Rig;
 import rushpin.rig.Scenario;
 
-/** {@code rig NAME}: plays a scenario on loopback, with stand-ins of this program. */
+/** {@code rig NAME}: runs a scenario on loopback, with fake clients and servers of this program. */
 @Command(
         name = "rig",
         mixinStandardHelpOptions = true,
-        description = "Plays a scenario; without a name, lists them. Exit 0: holds, 1: falls short, 2: wrong words.")
+        description = "Runs a scenario; without a name, lists them. Exit 0: holds, 1: falls short, 2: wrong arguments.")
 final class RigCommand implements Callable<Integer> {
-    /** A process takes some 150 MB. */
-    private static final int FLEET_MOST = 60;
+    /** The largest fleet, in processes; each takes some 150 MB. */
+    private static final int MAX_FLEET_SIZE = 60;
 
     @Parameters(index = "0", arity = "0..1", paramLabel = "NAME", description = "The scenario.")
     private String name;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Where all chance comes from (1).")
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Seed of all random choices (1).")
     private long seed;
 
-    @Option(names = "--short", description = "30 s at most.")
+    @Option(names = "--short", description = "A short run of at most 30 s.")
     private boolean isShort;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "Writes the report there too.")
+    @Option(names = "--json", paramLabel = "FILE", description = "Also writes the report to this file.")
     private Path json;
 
     @Option(names = "--other", paramLabel = "JAR", description = "cost: another build to compare with.")
@@ -38,14 +38,14 @@
             names = "--flood",
             paramLabel = "N",
             defaultValue = "5",
-            description = "pools: how many times its quota the flooded pool is asked for (5).")
+            description = "pools: load on the flooded pool, as a multiple of its quota (5).")
     private double flood;
 
     @Option(
             names = "--size",
             paramLabel = "N",
             defaultValue = "0",
-            description = "cost: of [fleet], off and on, at 5, 20 and 60 processes up to N instead.")
+            description = "cost: measures [fleet] instead, off and on, with 5, 20 and 60 processes, up to N.")
     private int size;
 
     static int run(String[] args) {
@@ -55,16 +55,16 @@
     @Override
     public Integer call() throws Exception {
         if (name == null) {
-            Rig.all().forEach(one -> System.out.printf("%-8s %s%n", one.name(), one.line()));
+            Rig.all().forEach(each -> System.out.printf("%-8s %s%n", each.name(), each.line()));
             return 0;
         }
         Scenario scenario = Rig.named(name);
         if (scenario == null) {
-            System.err.println("there is no scenario " + name + "; rig alone lists them");
+            System.err.println("there is no scenario " + name + "; rig without a name lists them");
             return 2;
         }
-        if (size < 0 || size > FLEET_MOST) {
-            System.err.println("--size " + size + " is not among 0 to " + FLEET_MOST);
+        if (size < 0 || size > MAX_FLEET_SIZE) {
+            System.err.println("--size is " + size + "; allowed: 0 to " + MAX_FLEET_SIZE);
             return 2;
         }
         Report report = scenario.play(new Scenario.Options(seed, isShort, other, flood, size));
--- a/src/main/java/rushpin/config/Config.java
+++ b/src/main/java/rushpin/config/Config.java
@@ -23,18 +23,18 @@
 import rushpin.net.Upstream;
 
 /**
- * What an edge node is told at its start.
+ * The platform's configuration of an edge node, read from its JSON file.
  *
  * @param name the node's name, the same after a restart
- * @param counter where the counter listens; null where there is none
- * @param sockets how many descriptors the process may hold
- * @param memory how many bytes it may take
- * @param known the list of app servers as last had before this start
- * @param connectTimeout span after which a connection counts as not made
- * @param keepAlive span after which an app server closes an idle connection
- * @param names the names that stand for the settings' indices
- * @param console where operators call; null where nobody does
- * @param keys the keys that the file has, at its top and in the settings' tables
+ * @param counter the counter's address; null if there is none
+ * @param sockets the number of file descriptors that the process may hold
+ * @param memory the number of bytes that the process may use
+ * @param known the server list as last known before this start
+ * @param connectTimeout nanoseconds after which an attempt to connect has failed
+ * @param keepAlive nanoseconds after which an app server closes an idle connection
+ * @param names the names for the settings' indices
+ * @param console the address of the operators' console; null for none
+ * @param keys the file's keys, at its top level and in the tables of the settings
  */
 public record Config(
         String name,
@@ -52,7 +52,7 @@
         SocketAddress console,
         Set<String> keys) {
 
-    /** A configuration of a node that no operator calls. */
+    /** Creates a configuration without a console. */
     public Config(
             String name,
             SocketAddress listen,
@@ -83,11 +83,11 @@
                 Set.of());
     }
 
-    /** A configuration that cannot be used; the message is one plain line that names the key. */
+    /** Thrown for a configuration that cannot be used; the message is one line that names the key. */
     public static final class Invalid extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** Says what is wrong. */
+        /** Creates the exception with a message of one line. */
         public Invalid(String message) {
             super(message);
         }
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Reads the file again. Beside its own faults, one that lacks a key which it had is taken for a part of a file: a
-     * default in that key's place would be nobody's choice.
+     * Reads the file again. A file without a key that the running configuration has is rejected as well: it may be only
+     * partly written, and the default for that key would replace a deliberate value.
      */
     public static Config readAgain(Path file, Config running) throws Invalid {
         Config read = read(file);
@@ -113,7 +113,7 @@
         return read;
     }
 
-    /** Tables' keys alone: what the entries of a list have differs by what they are. */
+    /** Top-level keys and those of tables. Keys inside lists are left out, as entries may differ in theirs. */
     private static Set<String> keysOf(JsonNode root) {
         Set<String> keys = new HashSet<>();
         root.fieldNames().forEachRemaining(keys::add);
@@ -128,12 +128,14 @@
         return Set.copyOf(keys);
     }
 
-    /** Reads a file of the same form for one pool: where it need not say, {@code listen}, {@code discovery}, ... */
+    /** Reads a file of the same form for one pool, where {@code listen}, {@code discovery} and others are optional. */
     public static Config readPool(Path file) throws Invalid {
         return parse(text(file), true);
     }
 
-    /** The settings of a file of this form as path=value pairs, as the module reads them; checked like a pool's. */
+    /**
+     * Reads the settings of a file of this form as path=value pairs, as the gateway reads them; checked like a pool's.
+     */
     public static Map<String, String> settingsPairs(Path file) throws Invalid {
         String text = text(file);
         parse(text, true);
@@ -154,12 +156,12 @@
         }
     }
 
-    /** Reads a configuration's text. */
+    /** Parses a configuration's text. */
     public static Config parse(String text) throws Invalid {
         return parse(text, false);
     }
 
-    /** Reads a configuration's text, for a pool or for the whole process. */
+    /** Parses a configuration's text, for a pool or for the whole process. */
     private static Config parse(String text, boolean pool) throws Invalid {
         try {
             return parse(Json.read(text), pool);
@@ -233,7 +235,7 @@
             throw new Invalid(String.join("; ", faults));
         }
         for (String key : positive(names)) {
-            // As it stands, no word in quotes: what came of a slip of the pen is not to be guessed.
+            // A number in quotes is refused: it is likely a mistake, and its meaning must not be guessed.
             if (number(pairs, key) < (key.endsWith("attempts") ? 1 : Double.MIN_VALUE) || textual(settings, key)) {
                 throw new Invalid("settings." + key + " is " + pairs.get(key) + ": allowed is a number "
                         + (key.endsWith("attempts") ? "from 1" : "above 0"));
@@ -258,16 +260,18 @@
         } catch (IllegalArgumentException e) {
             throw new Invalid("settings." + e.getMessage());
         }
-        boolean counted = read.counter().present();
+        boolean hasCounter = read.counter().present();
         return new Config(
                 root.path("name").asText(""),
                 addressOf(root, "listen", pool),
                 addressOf(root, "discovery", pool),
-                counted ? addressOf(root, "counter", pool) : null,
+                hasCounter ? addressOf(root, "counter", pool) : null,
                 pool && !root.hasNonNull("seed") ? 0 : seed(ServerListReader.present(root, "seed")),
                 root.path("limits").path("sockets").asInt(256),
                 root.path("limits").path("memory_mb").asLong(64) << 20,
-                root.hasNonNull("known") ? ServerListReader.read(root.get("known"), names) : new ServerListUpdate(0, true, List.of()),
+                root.hasNonNull("known")
+                        ? ServerListReader.read(root.get("known"), names)
+                        : new ServerListUpdate(0, true, List.of()),
                 (long) number(pairs, "caps.connect-timeout-ns"),
                 (long) number(pairs, "caps.keepalive-ns"),
                 names,
@@ -276,6 +280,7 @@
                 keysOf(root));
     }
 
+    /** Keys whose number must be above 0. */
     private static List<String> positive(Names names) {
         List<String> keys = new ArrayList<>(List.of("caps.max-attempts"));
         for (int i = 0; i < names.classes().size(); i++) {
@@ -288,7 +293,7 @@
         return settings.at("/" + key.replace('.', '/')).isTextual();
     }
 
-    /** Figures that may be left out, and must be figures where they stand. */
+    /** Keys that are optional, and whose value must be a number if they are present. */
     private static List<String> optional(Names names) {
         List<String> keys = new ArrayList<>(List.of("caps.max-retry-after-ns"));
         for (int i = 0; i < names.classes().size(); i++) {
@@ -302,7 +307,7 @@
         return keys;
     }
 
-    /** Where operators call: what the environment says goes before the file; null where neither says anything. */
+    /** The address of the console: the environment's takes precedence over the file's; null if neither gives one. */
     public static SocketAddress console(Config file, String environment) throws Invalid {
         if (environment == null || environment.isBlank()) {
             return file.console();
@@ -315,11 +320,12 @@
         }
     }
 
-    private static SocketAddress addressOf(JsonNode root, String key, boolean mayLack) throws ServerListReader.Malformed {
-        return mayLack && !root.hasNonNull(key) ? null : ServerListReader.address(root, key);
+    private static SocketAddress addressOf(JsonNode root, String key, boolean isOptional)
+            throws ServerListReader.Malformed {
+        return isOptional && !root.hasNonNull(key) ? null : ServerListReader.address(root, key);
     }
 
-    /** What the sockets towards app servers, counter and discovery need of this. */
+    /** The part that the connections to app servers, counter and discovery need. */
     public Upstream upstream() {
         return new Upstream(
                 discovery,
@@ -362,7 +368,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Said below, as for a number that is none of use.
+            // Reported below, as an unusable number is.
         }
         throw new Invalid("settings." + key + " is not a number from 0: " + pairs.get(key));
     }
--- a/src/main/java/rushpin/config/FleetConfig.java
+++ b/src/main/java/rushpin/config/FleetConfig.java
@@ -11,21 +11,21 @@
 import rushpin.failover.Limits;
 
 /**
- * The table {@code [fleet]} of the operator's file: which processes share what, and what this one is among them.
+ * The table {@code [fleet]} of the operator's file: the fleet that this process belongs to, and its role in it.
  *
- * @param name the process's, the same over its restarts
- * @param zone where it stands
- * @param region what its zone belongs to
- * @param era the fleet's founding, an operator's number: the high bits of every fence
- * @param listen where a voter is reached by others; null for a process that is none
- * @param state a voter's folder, which outlives the process; null for a process that is none
- * @param lease how long a session is alive for its holder, nanoseconds
- * @param effect the longest that an effect lasts that was begun under a lease, nanoseconds
- * @param drift the most by which a clock runs fast or slow, in millionths
- * @param voters who agrees on what, in the order of the file
+ * @param name the name of this process, the same after a restart
+ * @param zone the zone of this process
+ * @param region the region of its zone
+ * @param era the number of the fleet's founding, chosen by the operator: the high bits of every fencing token
+ * @param listen the address where other processes reach this voter; null if it is no voter
+ * @param state the voter's state folder, which outlives the process; null if it is no voter
+ * @param lease the lease of a session for its holder, nanoseconds
+ * @param effect the longest time that an effect lasts which was begun under a lease, nanoseconds
+ * @param drift the largest clock drift, fast or slow, in millionths
+ * @param voters the voters, in the order of the file
  * @param geography regions with their zones, in the order of the file, which is that of preference; may be empty
- * @param limits what plans keep to
- * @param groups of app servers that take a number of connections from all processes together
+ * @param limits the limits for plans of the fleet
+ * @param groups the groups of app servers whose number of connections is limited over all processes
  */
 public record FleetConfig(
         String name,
@@ -41,53 +41,57 @@
         Geography geography,
         Limits limits,
         List<GroupConfig> groups) {
-    /** One of those who agree; the address is how <em>this</em> process reaches it. */
+    /** A voter; the address is the one at which <em>this</em> process reaches it. */
     public record Voter(String name, InetSocketAddress address) {}
 
-    /** Copies. */
+    /** Copies the lists. */
     public FleetConfig {
         voters = List.copyOf(voters);
         groups = List.copyOf(groups);
     }
 
-    /** A group by its name; null for none. */
-    public GroupConfig group(String called) {
+    /** The group of a name; null if there is none. */
+    public GroupConfig group(String groupName) {
         return groups.stream()
-                .filter(each -> each.name().equals(called))
+                .filter(each -> each.name().equals(groupName))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** Whether this process is one of those who agree. */
+    /** Whether this process is a voter. */
     public boolean votes() {
         return voters.stream().anyMatch(voter -> voter.name().equals(name));
     }
 
-    /** Voters' addresses by their names; a host that is a name is not looked up. */
+    /** The voters' addresses by name; host names are not resolved. */
     public Map<String, InetSocketAddress> addresses() {
         Map<String, InetSocketAddress> all = new TreeMap<>();
         voters.forEach(voter -> all.put(voter.name(), voter.address()));
         return all;
     }
 
-    /** Throws if a process can't go over from this to the next while it runs: one voter comes and one goes at most. */
+    /** Throws if a running process can't change to the next configuration: one voter may be added and one removed. */
     public void checkNext(FleetConfig next) throws OperatorConfig.Faulty {
-        List<String> now = new ArrayList<>(addresses().keySet()),
-                then = new ArrayList<>(next.addresses().keySet());
-        List<String> gone = new ArrayList<>(now), come = new ArrayList<>(then);
-        gone.removeAll(then);
-        come.removeAll(now);
-        if (gone.size() > 1 || come.size() > 1) {
+        List<String> oldNames = new ArrayList<>(addresses().keySet());
+        List<String> newNames = new ArrayList<>(next.addresses().keySet());
+        List<String> removed = new ArrayList<>(oldNames);
+        List<String> added = new ArrayList<>(newNames);
+        removed.removeAll(newNames);
+        added.removeAll(oldNames);
+        if (removed.size() > 1 || added.size() > 1) {
             throw new OperatorConfig.Faulty(List.of(new Fault(
                     "fleet.voter",
                     0,
-                    "changes from " + String.join(", ", now) + " to " + String.join(", ", then)
+                    "changes from " + String.join(", ", oldNames) + " to " + String.join(", ", newNames)
                             + " while the process runs",
-                    "one voter that comes and one that goes at a time")));
+                    "one voter added and one removed at a time")));
         }
     }
 
-    /** What a running process goes over to: voters, regions, limits and groups are the next's, all else stays. */
+    /**
+     * What a running process changes to: voters, regions, limits and groups of the next configuration, the rest of
+     * this.
+     */
     public FleetConfig taking(FleetConfig next) {
         return new FleetConfig(
                 name,
@@ -105,23 +109,23 @@
                 next.groups);
     }
 
-    /** Keys that differ and are taken with the next start only. */
+    /** The changed keys that take effect at the next start only. */
     public List<String> forNextStart(FleetConfig next) {
         List<String> keys = new ArrayList<>();
-        note(keys, "name", name, next.name);
-        note(keys, "zone", zone, next.zone);
-        note(keys, "region", region, next.region);
-        note(keys, "era", era, next.era);
-        note(keys, "listen", listen, next.listen);
-        note(keys, "state", state, next.state);
-        note(keys, "lease-ms", lease, next.lease);
-        note(keys, "effect-ms", effect, next.effect);
-        note(keys, "drift-percent", drift, next.drift);
+        addIfChanged(keys, "name", name, next.name);
+        addIfChanged(keys, "zone", zone, next.zone);
+        addIfChanged(keys, "region", region, next.region);
+        addIfChanged(keys, "era", era, next.era);
+        addIfChanged(keys, "listen", listen, next.listen);
+        addIfChanged(keys, "state", state, next.state);
+        addIfChanged(keys, "lease-ms", lease, next.lease);
+        addIfChanged(keys, "effect-ms", effect, next.effect);
+        addIfChanged(keys, "drift-percent", drift, next.drift);
         return keys;
     }
 
-    private static void note(List<String> keys, String key, Object now, Object then) {
-        if (now == null ? then != null : !now.equals(then)) {
+    private static void addIfChanged(List<String> keys, String key, Object before, Object after) {
+        if (before == null ? after != null : !before.equals(after)) {
             keys.add("fleet." + key);
         }
     }
--- a/src/main/java/rushpin/config/FleetTableReader.java
+++ b/src/main/java/rushpin/config/FleetTableReader.java
@@ -11,34 +11,44 @@
 import rushpin.failover.Limits;
 import rushpin.membership.discovery.ServerListReader;
 
-/** The table {@code [fleet]} of the operator's file. */
+/** Reads the table {@code [fleet]} of the operator's file. */
 final class FleetTableReader {
-    private static final int LEAST_VOTERS = 3, MOST_VOTERS = 5, MOST_NAME = 64;
-    private static final long MS = 1_000_000L, SECOND = 1_000 * MS, MOST_ERA = 1L << 20;
-    /** A hundredth in millionths. */
-    private static final int PERCENT = 10_000;
-    /** A hundredth in thousandths. */
-    private static final int TENTHS = 10, MOST_REGIONS = 32;
+    private static final int MIN_VOTERS = 3;
+    private static final int MAX_VOTERS = 5;
+    private static final int MAX_NAME_LENGTH = 64;
+    private static final long MS = 1_000_000L;
+    private static final long SECOND = 1_000 * MS;
+    private static final long MAX_ERA = 1L << 20;
+    /** One percent in millionths. */
+    private static final int MILLIONTHS_PER_PERCENT = 10_000;
+    /** One percent in thousandths. */
+    private static final int THOUSANDTHS_PER_PERCENT = 10;
 
-    private static final String VOTER = "voter", LISTEN = "listen", STATE = "state", REGION = "region", ZONES = "zones";
+    private static final int MAX_REGIONS = 32;
+
+    private static final String VOTER = "voter";
+    private static final String LISTEN = "listen";
+    private static final String STATE = "state";
+    private static final String REGION = "region";
+    private static final String ZONES = "zones";
 
     private FleetTableReader() {}
 
     static FleetConfig read(TableReader fleet, Path folder, Config platform) {
-        String said = name(fleet, "name", false);
-        String name = said == null && platform != null ? platform.name() : said;
-        if (said == null && name != null && !isName(name)) {
-            fleet.fault("name", "is missing, and the platform's, \"" + name + "\", is none", names());
+        String ownName = name(fleet, "name", false);
+        String name = ownName == null && platform != null ? platform.name() : ownName;
+        if (ownName == null && name != null && !isName(name)) {
+            fleet.fault("name", "is missing, and the platform's, \"" + name + "\", is not allowed", allowedNames());
         }
         String zone = name(fleet, "zone", true);
-        long era = fleet.whole("era", 1, 1, MOST_ERA);
+        long era = fleet.whole("era", 1, 1, MAX_ERA);
         InetSocketAddress listen = address(fleet, LISTEN);
         String state = fleet.text(STATE, false);
         long lease = fleet.whole("lease-ms", 3_000, 300, 600_000);
         long effect = fleet.whole("effect-ms", 1_000, 0, 600_000);
         long drift = fleet.whole("drift-percent", 1, 0, 20);
         List<FleetConfig.Voter> voters = voters(fleet);
-        // A word for one, or tables for all: then the process's own is the one that lists its zone.
+        // Either a name, or tables for all regions: then the region is the one that lists the process's zone.
         Geography geography = fleet.isText(REGION) ? new Geography(List.of()) : geography(fleet);
         String region = fleet.isText(REGION)
                 ? name(fleet, REGION, false)
@@ -47,7 +57,7 @@
         List<GroupConfig> groups = GroupTableReader.read(fleet, lease);
         fleet.done();
         if (name != null && !voters.isEmpty()) {
-            checkPlace(
+            checkVoterKeys(
                     fleet, name, voters.stream().anyMatch(voter -> voter.name().equals(name)));
         }
         return new FleetConfig(
@@ -59,19 +69,20 @@
                 state == null ? null : folder.resolve(state),
                 lease * MS,
                 effect * MS,
-                (int) drift * PERCENT,
+                (int) drift * MILLIONTHS_PER_PERCENT,
                 voters,
                 geography,
                 limits,
                 groups);
     }
 
-    /** Regions with their zones; null with a fault. */
+    /** Reads the regions with their zones; null if there is a fault. */
     private static Geography geography(TableReader fleet) {
         List<Geography.Region> regions = new ArrayList<>();
-        Map<String, String> zones = new HashMap<>(), names = new HashMap<>();
-        boolean whole = true;
-        for (TableReader table : fleet.tables(REGION, MOST_REGIONS)) {
+        Map<String, String> zones = new HashMap<>();
+        Map<String, String> names = new HashMap<>();
+        boolean isValid = true;
+        for (TableReader table : fleet.tables(REGION, MAX_REGIONS)) {
             String name = name(table, "name", true);
             if (name != null && names.putIfAbsent(name, name) != null) {
                 table.fault("name", "region " + name + " stands there twice", "each name once");
@@ -83,30 +94,31 @@
                         ZONES, "is missing", "a list of 1 to " + Plan.MOST_ZONES + " zones, in order of preference");
             }
             table.done();
-            whole &= name != null && !listed.isEmpty();
+            isValid &= name != null && !listed.isEmpty();
             for (String zone : listed) {
-                String where = name == null ? "another" : name, other = zones.putIfAbsent(zone, where);
+                String region = name == null ? "another" : name;
+                String other = zones.putIfAbsent(zone, region);
                 if (!isName(zone)) {
-                    table.fault(ZONES, "found \"" + zone + "\"", names());
+                    table.fault(ZONES, "found \"" + zone + "\"", allowedNames());
                 } else if (other != null) {
                     table.fault(
                             ZONES,
                             "zone " + zone + " stands in region " + other + " too",
                             "each zone once over all regions");
                 }
-                whole &= other == null && isName(zone);
+                isValid &= other == null && isName(zone);
             }
-            if (whole) {
+            if (isValid) {
                 regions.add(new Geography.Region(name, listed));
             }
         }
         if (zones.size() > Plan.MOST_ZONES) {
-            fleet.fault(REGION, "has " + zones.size() + " zones over all", Plan.MOST_ZONES + " at most");
+            fleet.fault(REGION, "has " + zones.size() + " zones over all regions", Plan.MOST_ZONES + " at most");
         }
-        return whole ? new Geography(regions) : null;
+        return isValid ? new Geography(regions) : null;
     }
 
-    /** The region that the process's zone is listed in; null where none are listed, or with a fault. */
+    /** The region that lists the process's zone; null if there are no regions, or with a fault if none lists it. */
     private static String region(TableReader fleet, Geography geography, String zone) {
         String own = geography.regions().stream()
                 .filter(each -> each.zones().contains(zone))
@@ -122,35 +134,39 @@
         return own;
     }
 
-    /** The table {@code [fleet.zones]}; without it all is as usual. */
+    /** Reads the table {@code [fleet.zones]}; absent keys have their defaults. */
     private static Limits limits(TableReader keys) {
-        Limits usual = Limits.USUAL;
-        long reserve = keys.whole("reserve-percent", usual.reserve() / TENTHS, 0, 90);
-        long left = keys.whole("most-left-percent", usual.left() / TENTHS, 1, 100);
-        long hold = keys.whole("hold-s", usual.hold() / SECOND, 1, 3_600);
-        long step = keys.whole("step-s", usual.step() / SECOND, 1, 600);
+        Limits defaults = Limits.USUAL;
+        long reserve = keys.whole("reserve-percent", defaults.reserve() / THOUSANDTHS_PER_PERCENT, 0, 90);
+        long left = keys.whole("most-left-percent", defaults.left() / THOUSANDTHS_PER_PERCENT, 1, 100);
+        long hold = keys.whole("hold-s", defaults.hold() / SECOND, 1, 3_600);
+        long step = keys.whole("step-s", defaults.step() / SECOND, 1, 600);
         keys.done();
-        return usual.with((int) left * TENTHS, (int) reserve * TENTHS, hold * SECOND, step * SECOND);
+        return defaults.with(
+                (int) left * THOUSANDTHS_PER_PERCENT,
+                (int) reserve * THOUSANDTHS_PER_PERCENT,
+                hold * SECOND,
+                step * SECOND);
     }
 
-    /** What a voter must have, and who is none must not. */
-    private static void checkPlace(TableReader fleet, String name, boolean votes) {
-        if (votes && !fleet.has(LISTEN)) {
+    /** Checks the keys that a voter must have and other processes must not have. */
+    private static void checkVoterKeys(TableReader fleet, String name, boolean isVoter) {
+        if (isVoter && !fleet.has(LISTEN)) {
             fleet.fault(LISTEN, "is missing and " + name + " is a voter", "host:port, where the others reach it");
         }
-        if (votes && !fleet.has(STATE)) {
+        if (isVoter && !fleet.has(STATE)) {
             fleet.fault(STATE, "is missing and " + name + " is a voter", "a folder that outlives the process");
         }
         for (String key : List.of(LISTEN, STATE)) {
-            if (!votes && fleet.has(key)) {
+            if (!isVoter && fleet.has(key)) {
                 fleet.fault(key, "is there and " + name + " is no voter", "in the files of voters alone");
             }
         }
     }
 
     private static List<FleetConfig.Voter> voters(TableReader fleet) {
-        List<TableReader> tables = fleet.tables(VOTER, MOST_VOTERS);
-        if (tables.size() < LEAST_VOTERS) {
+        List<TableReader> tables = fleet.tables(VOTER, MAX_VOTERS);
+        if (tables.size() < MIN_VOTERS) {
             fleet.fault(
                     VOTER,
                     tables.isEmpty()
@@ -182,26 +198,26 @@
         return voters;
     }
 
-    private static String names() {
-        return "up to " + MOST_NAME + " of a-z, A-Z, 0-9, '.', '-', '_' and ':'";
+    private static String allowedNames() {
+        return "up to " + MAX_NAME_LENGTH + " of a-z, A-Z, 0-9, '.', '-', '_' and ':'";
     }
 
     private static boolean isName(String text) {
-        return text.length() <= MOST_NAME && text.matches("[a-zA-Z0-9._:-]+");
+        return text.length() <= MAX_NAME_LENGTH && text.matches("[a-zA-Z0-9._:-]+");
     }
 
-    /** Names go into what is agreed on, which takes these letters alone. */
-    static String name(TableReader at, String key, boolean must) {
-        String text = at.text(key, must);
+    /** Reads a name; names go into the replicated log, which allows only these characters. */
+    static String name(TableReader table, String key, boolean isRequired) {
+        String text = table.text(key, isRequired);
         if (text == null || isName(text)) {
             return text;
         }
-        at.fault(key, "found \"" + text + "\"", names());
+        table.fault(key, "found \"" + text + "\"", allowedNames());
         return null;
     }
 
-    private static InetSocketAddress address(TableReader at, String key) {
-        String text = at.text(key, false);
+    private static InetSocketAddress address(TableReader table, String key) {
+        String text = table.text(key, false);
         if (text == null) {
             return null;
         }
@@ -209,15 +225,15 @@
             InetSocketAddress address = ServerListReader.address(text, key);
             String host = address.getHostString();
             if (address.getPort() > 0) {
-                // A name is looked up by who connects, as often as it has to.
+                // A host name is resolved by the caller at each attempt to connect.
                 return host.matches("[0-9.]+|.*:.*")
                         ? address
                         : InetSocketAddress.createUnresolved(host, address.getPort());
             }
         } catch (ServerListReader.Malformed e) {
-            // Said below.
+            // Reported below.
         }
-        at.fault(key, "found \"" + text + "\"", "host:port with a port from 1 to 65535");
+        table.fault(key, "found \"" + text + "\"", "host:port with a port from 1 to 65535");
         return null;
     }
 }
--- a/src/main/java/rushpin/config/GroupTableReader.java
+++ b/src/main/java/rushpin/config/GroupTableReader.java
@@ -5,50 +5,59 @@
 import java.util.List;
 import java.util.Map;
 
-/** The tables {@code [[fleet.group]]} of the operator's file. */
+/** Reads the tables {@code [[fleet.group]]} of the operator's file. */
 final class GroupTableReader {
-    private static final int MOST_GROUPS = 16,
-            MOST_TENANTS = 63,
-            MOST_PLANS = 64,
-            MOST_CUSTOMERS = 64,
-            MOST = GroupConfig.MOST;
-    private static final long MS = 1_000_000L, HALF_OPEN_MS = 10_000, FORGET_MS = 60_000, LONGEST_MS = 30_000;
-    private static final String CUSTOMERS = "customers", PLANS = "plans";
+    private static final int MAX_GROUPS = 16;
+    private static final int MAX_TENANTS = 63;
+    private static final int MAX_PLANS = 64;
+    private static final int MAX_CUSTOMERS = 64;
+    private static final int MAX_CONNECTIONS = GroupConfig.MAX_CONNECTIONS;
+    private static final long MS = 1_000_000L;
+    /** The default of {@code half-open-ms}. */
+    private static final long HALF_OPEN_MS = 10_000;
+    /** The default of {@code forget-ms}, if the lease is no longer. */
+    private static final long FORGET_MS = 60_000;
+    /** The default of {@code longest-ms}. */
+    private static final long LONGEST_MS = 30_000;
+
+    private static final String CUSTOMERS = "customers";
+    private static final String PLANS = "plans";
 
     private GroupTableReader() {}
 
     static List<GroupConfig> read(TableReader fleet, long leaseMs) {
         List<GroupConfig> groups = new ArrayList<>();
         Map<String, String> names = new HashMap<>();
-        for (TableReader table : fleet.tables("group", MOST_GROUPS)) {
+        for (TableReader table : fleet.tables("group", MAX_GROUPS)) {
             String name = FleetTableReader.name(table, "name", true);
             if (name != null && names.putIfAbsent(name, name) != null) {
                 table.fault("name", "group " + name + " stands there twice", "each name once");
             }
-            int most = (int) table.whole("most-connections", 0, 1, MOST);
+            int maxConnections = (int) table.whole("most-connections", 0, 1, MAX_CONNECTIONS);
             if (!table.has("most-connections")) {
-                table.fault("most-connections", "is missing", "a whole number from 1 to " + MOST);
+                table.fault("most-connections", "is missing", "a whole number from 1 to " + MAX_CONNECTIONS);
             }
-            int reserve = (int) table.whole("reserve", 1, 0, MOST);
-            if (most > 0 && reserve >= most) {
-                table.fault("reserve", "found " + reserve, "less than most-connections, " + most);
+            int reserve = (int) table.whole("reserve", 1, 0, MAX_CONNECTIONS);
+            if (maxConnections > 0 && reserve >= maxConnections) {
+                table.fault("reserve", "found " + reserve, "less than most-connections, " + maxConnections);
             }
-            int own = (int) table.whole("own", 1, 0, MOST);
+            int own = (int) table.whole("own", 1, 0, MAX_CONNECTIONS);
             long forget = table.whole("forget-ms", Math.max(FORGET_MS, leaseMs), leaseMs, 3_600_000);
             long longest = table.whole("longest-ms", LONGEST_MS, 1, 3_600_000);
-            // An idle connection is closed well before, by a look each second.
+            // The node closes idle connections well before this, by a check each second.
             long halfOpen = table.whole("half-open-ms", HALF_OPEN_MS, 2_000, 3_600_000);
             List<GroupConfig.Tenant> tenants = tenants(table);
             long floors = tenants.stream().mapToLong(GroupConfig.Tenant::floor).sum();
-            if (most > 0 && floors > most - reserve) {
+            if (maxConnections > 0 && floors > maxConnections - reserve) {
                 table.fault(
                         "tenant",
                         "the floors add up to " + floors,
-                        "most-connections less reserve, " + (most - reserve) + ", at most");
+                        "most-connections less reserve, " + (maxConnections - reserve) + ", at most");
             }
             table.done();
             if (name != null) {
-                groups.add(new GroupConfig(name, most, reserve, own, forget * MS, longest * MS, halfOpen * MS, tenants));
+                groups.add(new GroupConfig(
+                        name, maxConnections, reserve, own, forget * MS, longest * MS, halfOpen * MS, tenants));
             }
         }
         return groups;
@@ -56,21 +65,22 @@
 
     private static List<GroupConfig.Tenant> tenants(TableReader group) {
         List<GroupConfig.Tenant> tenants = new ArrayList<>();
-        Map<String, String> names = new HashMap<>(), plans = new HashMap<>();
+        Map<String, String> names = new HashMap<>();
+        Map<String, String> plans = new HashMap<>();
         Map<Long, String> customers = new HashMap<>();
-        for (TableReader table : group.tables("tenant", MOST_TENANTS)) {
+        for (TableReader table : group.tables("tenant", MAX_TENANTS)) {
             String name = FleetTableReader.name(table, "name", true);
-            int floor = (int) table.whole("floor", 0, 0, MOST);
+            int floor = (int) table.whole("floor", 0, 0, MAX_CONNECTIONS);
             int weight = (int) table.whole("weight", 1, 1, 1_000);
-            int cap = (int) table.whole("cap", MOST, 1, MOST);
+            int cap = (int) table.whole("cap", MAX_CONNECTIONS, 1, MAX_CONNECTIONS);
             if (cap < floor) {
                 table.fault("cap", "found " + cap, "its floor, " + floor + ", at least");
             }
-            List<String> named = table.texts(PLANS, MOST_PLANS);
-            List<Long> own = new ArrayList<>();
-            for (String customer : table.texts(CUSTOMERS, MOST_CUSTOMERS)) {
+            List<String> tenantPlans = table.texts(PLANS, MAX_PLANS);
+            List<Long> tenantCustomers = new ArrayList<>();
+            for (String customer : table.texts(CUSTOMERS, MAX_CUSTOMERS)) {
                 if (customer.matches("[0-9a-f]{16}") && Long.parseUnsignedLong(customer, 16) >= 0) {
-                    own.add(Long.parseUnsignedLong(customer, 16));
+                    tenantCustomers.add(Long.parseUnsignedLong(customer, 16));
                 } else {
                     table.fault(
                             CUSTOMERS,
@@ -79,7 +89,7 @@
                 }
             }
             if (!table.has(PLANS) && !table.has(CUSTOMERS) && name != null && !name.equals(GroupConfig.OTHERS)) {
-                named = List.of(name);
+                tenantPlans = List.of(name);
             }
             table.done();
             if (name == null) {
@@ -88,19 +98,19 @@
             if (names.putIfAbsent(name, name) != null) {
                 table.fault("name", "tenant " + name + " stands there twice", "each name once");
             }
-            for (String plan : named) {
+            for (String plan : tenantPlans) {
                 String other = plans.putIfAbsent(plan, name);
                 if (other != null) {
                     table.fault(PLANS, "plan " + plan + " is tenant " + other + "'s too", "each plan once in a group");
                 }
             }
-            for (Long customer : own) {
+            for (Long customer : tenantCustomers) {
                 String other = customers.putIfAbsent(customer, name);
                 if (other != null) {
                     table.fault(CUSTOMERS, "a customer is tenant " + other + "'s too", "each customer once in a group");
                 }
             }
-            tenants.add(new GroupConfig.Tenant(name, floor, weight, cap, named, own));
+            tenants.add(new GroupConfig.Tenant(name, floor, weight, cap, tenantPlans, tenantCustomers));
         }
         return tenants;
     }
--- a/src/main/java/rushpin/config/OperatorConfig.java
+++ b/src/main/java/rushpin/config/OperatorConfig.java
@@ -6,15 +6,15 @@
 import rushpin.traffic.Keeping;
 
 /**
- * The operator's file, checked whole.
+ * The operator's configuration, read from its file and checked whole.
  *
- * @param listener whose listening socket the process serves on
- * @param state the folder that outlives the process; null for none
- * @param total what the process deals out to its pools
+ * @param listener which listening socket the process serves on
+ * @param state the state folder, which outlives the process; null for none
+ * @param total the limits that the process shares out to its pools
  * @param pools the pools, each name once
- * @param routes which requests go to which of them, without ties
- * @param records where traffic is written down; null for nowhere
- * @param fleet what this process shares with others; null for nothing
+ * @param routes which requests go to which pool, without ties
+ * @param records where traffic is recorded; null for not at all
+ * @param fleet the fleet that this process belongs to; null for none
  */
 public record OperatorConfig(
         Listener listener,
@@ -24,17 +24,17 @@
         List<Route> routes,
         Keeping records,
         FleetConfig fleet) {
-    /** Whose listening socket the process serves on. */
+    /** Which listening socket the process serves on. */
     public enum Listener {
-        /** Its own, and nobody else's. */
+        /** Its own socket, exclusively. */
         OWN,
-        /** Its own, beside those of other processes at the same address. */
+        /** Its own socket, with {@code SO_REUSEPORT}: other processes may listen on the same address. */
         REUSEPORT,
-        /** The one that its supervisor has passed it as standard input. */
+        /** The socket that its supervisor passes as standard input. */
         INHERITED
     }
 
-    /** A fault in the file. */
+    /** A fault in the file; {@code line} 0 and empty texts are left out of the message. */
     public record Fault(String key, int line, String found, String allowed) {
         @Override
         public String toString() {
@@ -45,12 +45,12 @@
         }
     }
 
-    /** A file that cannot be used, with all its faults; nothing of it was taken. */
+    /** Thrown for a file that cannot be used, with all its faults; nothing of the file is applied. */
     public static final class Faulty extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient List<Fault> faults;
 
-        /** Names the faults, in the order of the file. */
+        /** Creates the exception for faults in the order of the file. */
         public Faulty(List<Fault> faults) {
             super(
                     faults.size() == 1
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -32,20 +32,29 @@
 import rushpin.traffic.Recorder;
 
 /**
- * Reads the operator's file (TOML 1.0) and the settings it names, whole: all faults are told at once, and with one of
- * them nothing of the file is taken.
+ * Reads and checks the operator's file (TOML 1.0) and the settings files that it names. All faults are reported
+ * together, and a file with a fault is rejected whole.
  */
 public final class OperatorFile {
-    /** Bounds that keep a slip of the pen from becoming a process that never starts. */
-    private static final int MOST_POOLS = 32, MOST_ROUTES = 1_000, MOST_NAME = 32;
-
-    private static final long MOST = 1L << 40;
-    private static final String PLATFORM = "platform", NONE = "none";
+    // Bounds, so that a typing error can't make a process that never finishes its start.
+    private static final int MAX_POOLS = 32;
+    private static final int MAX_ROUTES = 1_000;
+    private static final int MAX_NAME_LENGTH = 32;
+    private static final long MAX_AMOUNT = 1L << 40;
+    /** The value of {@code settings} for the platform's own settings. */
+    private static final String PLATFORM = "platform";
+    /** The value of {@code discovery} and {@code counter} for none. */
+    private static final String NONE = "none";
 
+    /** The folder of the file, against which its relative paths are resolved. */
     private final Path folder;
+    /** The platform's configuration; null if a file is only checked. */
     private final Config platform;
+
     private final List<Fault> faults = new ArrayList<>();
+    /** The tables of the pools, by name. */
     private final Map<String, TableReader> pools = new LinkedHashMap<>();
+    /** The settings files read so far, by name. */
     private final Map<String, Config> settings = new HashMap<>();
 
     private OperatorFile(Path folder, Config platform) {
@@ -56,7 +65,7 @@
     /**
      * Reads the file.
      *
-     * @param platform the platform's JSON; null where a file is only checked and none is at hand
+     * @param platform the platform's configuration; null if a file is only checked and there is none
      */
     public static OperatorConfig read(Path file, Config platform) throws OperatorConfig.Faulty {
         String text;
@@ -70,7 +79,7 @@
         return parse(text, folder, platform);
     }
 
-    /** Reads the file's text; other files are named from {@code folder}. */
+    /** Parses the file's text; relative paths in it begin at {@code folder}. */
     public static OperatorConfig parse(String text, Path folder, Config platform) throws OperatorConfig.Faulty {
         return new OperatorFile(folder, platform).read(text);
     }
@@ -90,37 +99,37 @@
         TableReader process = root.table("process");
         int sockets = platform == null ? 1024 : platform.sockets();
         long memory = platform == null ? 128L << 20 : platform.memory();
-        ResourceLimits total = grants(
+        ResourceLimits total = limits(
                 process,
                 new ResourceLimits(
                         sockets,
                         Descriptors.of(sockets).servers(),
                         ByteBudget.most(memory) / 2,
                         Math.max(8, sockets / 16)),
-                new ResourceLimits(MOST, MOST, MOST, MOST));
-        OperatorConfig.Listener listener =
-                OperatorConfig.Listener.valueOf(process.word("listener", "own", List.of("own", "reuseport", "inherited"))
+                new ResourceLimits(MAX_AMOUNT, MAX_AMOUNT, MAX_AMOUNT, MAX_AMOUNT));
+        OperatorConfig.Listener listener = OperatorConfig.Listener.valueOf(
+                process.word("listener", "own", List.of("own", "reuseport", "inherited"))
                         .toUpperCase(Locale.ROOT));
         String state = process.text("state", false);
         process.done();
         Keeping records = root.has("records") ? records(root.table("records")) : null;
         FleetConfig fleet = root.has("fleet") ? FleetTableReader.read(root.table("fleet"), folder, platform) : null;
-        List<TableReader> tables = root.tables("pool", MOST_POOLS);
+        List<TableReader> tables = root.tables("pool", MAX_POOLS);
         if (tables.isEmpty()) {
-            root.fault("pool", "there is none", "one table [[pool]] for each service, " + MOST_POOLS + " at most");
+            root.fault("pool", "there is none", "one table [[pool]] for each service, " + MAX_POOLS + " at most");
         }
-        List<PoolConfig> plans = new ArrayList<>();
+        List<PoolConfig> configs = new ArrayList<>();
         for (TableReader pool : tables) {
-            PoolConfig plan = pool(pool, total, Math.max(1, tables.size()));
-            if (plan != null) {
-                plans.add(plan);
+            PoolConfig config = pool(pool, total, Math.max(1, tables.size()));
+            if (config != null) {
+                configs.add(config);
             }
         }
         List<Route> routes = routes(root);
         root.done();
-        checkSums(process, total, plans);
-        checkApart(plans);
-        checkGroups(plans, fleet);
+        checkSums(process, total, configs);
+        checkApart(configs);
+        checkGroups(configs, fleet);
         for (Map.Entry<String, TableReader> pool : pools.entrySet()) {
             if (routes.stream().noneMatch(route -> route.pool().equals(pool.getKey()))) {
                 pool.getValue().fault("name", "no [[route]] leads to pool " + pool.getKey(), "one at least");
@@ -134,47 +143,51 @@
                 listener,
                 state == null ? null : folder.resolve(state),
                 total,
-                List.copyOf(plans),
+                List.copyOf(configs),
                 List.copyOf(routes),
                 records,
                 fleet);
     }
 
-    /** Where traffic is written down; faults are told of a key that pseudonyms can't be made with. */
-    private Keeping records(TableReader at) {
-        String to = at.text("folder", true), key = at.text("pseudonym-key", true);
-        long file = at.whole("file-bytes", Keeping.FILE_BYTES, 1L << 16, 1L << 30);
-        long most = at.whole("most-bytes", Keeping.MOST_BYTES, 1L << 18, MOST);
-        int perSecond = (int) at.whole("most-per-second", Keeping.MOST_PER_SECOND, 1, 1_000_000);
-        if (most < 3 * file) {
-            at.fault("most-bytes", "found " + most, "three times records.file-bytes, " + 3 * file + ", or more");
+    /** Reads where traffic is recorded; an unusable key for pseudonyms is a fault. */
+    private Keeping records(TableReader table) {
+        String target = table.text("folder", true);
+        String key = table.text("pseudonym-key", true);
+        long fileBytes = table.whole("file-bytes", Keeping.FILE_BYTES, 1L << 16, 1L << 30);
+        long maxBytes = table.whole("most-bytes", Keeping.MOST_BYTES, 1L << 18, MAX_AMOUNT);
+        int perSecond = (int) table.whole("most-per-second", Keeping.MOST_PER_SECOND, 1, 1_000_000);
+        if (maxBytes < 3 * fileBytes) {
+            table.fault(
+                    "most-bytes",
+                    "found " + maxBytes,
+                    "three times records.file-bytes, " + 3 * fileBytes + ", or more");
         }
         String why = key == null ? null : Recorder.fault(folder.resolve(key));
         if (why != null) {
-            at.fault("pseudonym-key", key + " " + why, "a file of 16 bytes or more, the same at all nodes");
+            table.fault("pseudonym-key", key + " " + why, "a file of 16 bytes or more, the same at all nodes");
         }
-        at.done();
-        return to == null || key == null
+        table.done();
+        return target == null || key == null
                 ? null
-                : new Keeping(folder.resolve(to), folder.resolve(key), file, most, perSecond);
+                : new Keeping(folder.resolve(target), folder.resolve(key), fileBytes, maxBytes, perSecond);
     }
 
-    private static ResourceLimits grants(TableReader at, ResourceLimits otherwise, ResourceLimits most) {
+    private static ResourceLimits limits(TableReader table, ResourceLimits defaults, ResourceLimits max) {
         return new ResourceLimits(
-                at.whole("requests", otherwise.requests(), 1, most.requests()),
-                at.whole("connections", otherwise.connections(), 1, most.connections()),
-                at.whole("body-bytes", otherwise.bytes(), 1, most.bytes()),
-                at.whole("connects", otherwise.connects(), 1, most.connects()));
+                table.whole("requests", defaults.requests(), 1, max.requests()),
+                table.whole("connections", defaults.connections(), 1, max.connections()),
+                table.whole("body-bytes", defaults.bytes(), 1, max.bytes()),
+                table.whole("connects", defaults.connects(), 1, max.connects()));
     }
 
     private PoolConfig pool(TableReader pool, ResourceLimits total, int count) {
         int before = faults.size();
         String name = pool.text("name", true);
-        if (name != null && (!name.matches("[a-z0-9][a-z0-9-]*") || name.length() > MOST_NAME)) {
+        if (name != null && (!name.matches("[a-z0-9][a-z0-9-]*") || name.length() > MAX_NAME_LENGTH)) {
             pool.fault(
                     "name",
                     "found \"" + name + "\"",
-                    "up to " + MOST_NAME + " of a-z, 0-9 and '-', a letter or digit first");
+                    "up to " + MAX_NAME_LENGTH + " of a-z, 0-9 and '-', a letter or digit first");
         } else if (name != null && pools.putIfAbsent(name, pool) != null) {
             pool.fault("name", "pool " + name + " stands there twice", "each name once");
         }
@@ -183,17 +196,20 @@
         String discovery = pool.text("discovery", false);
         String counter = pool.text("counter", false);
         String space = pool.text("counter-space", false);
-        if (space != null && (!space.matches("[A-Za-z0-9-]*") || space.length() > MOST_NAME)) {
-            pool.fault("counter-space", "found \"" + space + "\"", "up to " + MOST_NAME + " letters, digits and '-'");
+        if (space != null && (!space.matches("[A-Za-z0-9-]*") || space.length() > MAX_NAME_LENGTH)) {
+            pool.fault(
+                    "counter-space",
+                    "found \"" + space + "\"",
+                    "up to " + MAX_NAME_LENGTH + " letters, digits and '-'");
         }
         String host = pool.text("host", false);
         String loop = pool.word("loop", "shared", List.of("shared", "own"));
         String group = pool.text("group", false);
-        boolean first = pool.flag("count-first");
-        boolean inXds = pool.has("xds");
-        XdsPlan xds = inXds && name != null ? XdsTableReader.read(pool.table("xds"), name, folder, platform) : null;
+        boolean countsFirst = pool.flag("count-first");
+        boolean hasXds = pool.has("xds");
+        XdsPlan xds = hasXds && name != null ? XdsTableReader.read(pool.table("xds"), name, folder, platform) : null;
         TableReader guaranteed = pool.table("guaranteed");
-        ResourceLimits part = grants(
+        ResourceLimits guarantee = limits(
                 guaranteed,
                 new ResourceLimits(
                         half(total.requests(), count),
@@ -202,22 +218,23 @@
                         half(total.connects(), count)),
                 total);
         guaranteed.done();
-        SocketAddress watched = config == null ? null : address(pool, "discovery", discovery, config.discovery());
-        SocketAddress counts = config == null ? null : address(pool, "counter", counter, config.counter());
-        if (inXds && discovery != null) {
+        SocketAddress discoveryAddress =
+                config == null ? null : address(pool, "discovery", discovery, config.discovery());
+        SocketAddress counterAddress = config == null ? null : address(pool, "counter", counter, config.counter());
+        if (hasXds && discovery != null) {
             pool.fault("discovery", "there is an [xds] table too", "one source of servers");
         }
         pool.done();
         if (config == null || name == null || faults.size() > before) {
             return null;
         }
-        if (config.settings().counter().present() && counts == null) {
+        if (config.settings().counter().present() && counterAddress == null) {
             pool.fault("counter", "the settings have a counter and no address is given", "host:port");
             return null;
         }
-        if (inXds) {
-            watched = null;
-        } else if (watched == null && config.known().members().stream().noneMatch(Member::isReady)) {
+        if (hasXds) {
+            discoveryAddress = null;
+        } else if (discoveryAddress == null && config.known().members().stream().noneMatch(Member::isReady)) {
             pool.fault(
                     "discovery",
                     "there is none and the settings list no server that is ready",
@@ -225,8 +242,8 @@
             return null;
         }
         Upstream upstream = new Upstream(
-                watched,
-                config.settings().counter().present() ? counts : null,
+                discoveryAddress,
+                config.settings().counter().present() ? counterAddress : null,
                 config.settings().counter().timeout(),
                 config.connectTimeout(),
                 config.keepAlive(),
@@ -237,41 +254,43 @@
         return new PoolConfig(
                 name,
                 upstream,
-                first ? countingFirst(config.settings()) : config.settings(),
+                countsFirst ? countingFirst(config.settings()) : config.settings(),
                 seed(config, name),
                 config.known(),
                 loop.equals("own"),
-                part,
+                guarantee,
                 xds,
                 group);
     }
 
-    private static Settings countingFirst(Settings of) {
+    /** The settings with {@code count-first}: the counter is asked before a request is sent. */
+    private static Settings countingFirst(Settings settings) {
         Counter counter = new Counter(
-                of.counter().present(),
-                of.counter().timeout(),
-                of.counter().settles(),
-                of.counter().largest(),
+                settings.counter().present(),
+                settings.counter().timeout(),
+                settings.counter().settles(),
+                settings.counter().largest(),
                 true);
         return new Settings(
-                of.me(),
-                of.siblings(),
-                of.zone(),
-                of.tick(),
-                of.sizesTell(),
-                of.reports(),
-                of.classes(),
-                of.plans(),
-                of.limits(),
+                settings.me(),
+                settings.siblings(),
+                settings.zone(),
+                settings.tick(),
+                settings.sizesTell(),
+                settings.reports(),
+                settings.classes(),
+                settings.plans(),
+                settings.limits(),
                 counter,
-                of.rules());
+                settings.rules());
     }
 
-    /** Chance of its own for each pool of each node and each start: the platform's seed is new with each. */
+    /** A seed that differs by pool, node and start: the platform's seed is new for each node and start. */
     private long seed(Config config, String name) {
         return (platform == null ? config : platform).seed() ^ name.hashCode() * 0x9E3779B97F4A7C15L;
     }
 
+    /** The default guarantee of a pool: half of an even share. */
     private static long half(long total, int count) {
         return Math.max(1, total / 2 / count);
     }
@@ -298,9 +317,9 @@
         return known;
     }
 
-    private SocketAddress address(TableReader pool, String key, String text, SocketAddress otherwise) {
+    private SocketAddress address(TableReader pool, String key, String text, SocketAddress defaultAddress) {
         if (text == null) {
-            return otherwise;
+            return defaultAddress;
         }
         if (text.equals(NONE)) {
             return null;
@@ -315,19 +334,20 @@
 
     private List<Route> routes(TableReader root) {
         List<Route> routes = new ArrayList<>();
-        List<TableReader> at = new ArrayList<>();
-        for (TableReader table : root.tables("route", MOST_ROUTES)) {
+        List<TableReader> sources = new ArrayList<>();
+        for (TableReader table : root.tables("route", MAX_ROUTES)) {
             Route route = route(table);
             if (route != null) {
                 routes.add(route);
-                at.add(table);
+                sources.add(table);
             }
         }
         for (RouteTable.Tie tie : RouteTable.ties(routes)) {
-            at.get(tie.second())
+            sources.get(tie.second())
                     .fault(
                             "",
-                            "ties with the route at line " + at.get(tie.first()).line("")
+                            "ties with the route at line "
+                                    + sources.get(tie.first()).line("")
                                     + ": a request may match both and neither is the more specific",
                             "another host, path, method or class, or more headers in one of them");
         }
@@ -358,13 +378,13 @@
             checkClass(table, pool, requestClass);
         }
         Map<String, String> headers = new LinkedHashMap<>();
-        TableReader named = table.table("headers");
-        for (String key : named.free()) {
-            String value = named.text(key, true);
+        TableReader headerTable = table.table("headers");
+        for (String key : headerTable.allKeys()) {
+            String value = headerTable.text(key, true);
             if (!key.matches("[A-Za-z0-9!#$%&'*+.^_`|~-]+")) {
-                named.fault(key, "is no header's name", "letters, digits and !#$%&'*+.^_`|~-");
+                headerTable.fault(key, "is not a header name", "letters, digits and !#$%&'*+.^_`|~-");
             } else if (headers.put(key.toLowerCase(Locale.ROOT), value) != null) {
-                named.fault(key, "stands there twice", "each header once, in upper or lower case");
+                headerTable.fault(key, "stands there twice", "each header once, in upper or lower case");
             }
         }
         table.done();
@@ -394,7 +414,7 @@
                 return host;
             }
         } catch (Reading.Ambiguous e) {
-            // Said below.
+            // Reported below.
         }
         table.fault(
                 "host",
@@ -423,48 +443,55 @@
         return path;
     }
 
-    private void checkSums(TableReader process, ResourceLimits total, List<PoolConfig> plans) {
-        checkSum(process, "requests", total, plans, ResourceLimits::requests);
-        checkSum(process, "connections", total, plans, ResourceLimits::connections);
-        checkSum(process, "body-bytes", total, plans, ResourceLimits::bytes);
-        checkSum(process, "connects", total, plans, ResourceLimits::connects);
-        long servers =
-                platform == null ? MOST : Descriptors.of(platform.sockets()).servers();
+    private void checkSums(TableReader process, ResourceLimits total, List<PoolConfig> configs) {
+        checkSum(process, "requests", total, configs, ResourceLimits::requests);
+        checkSum(process, "connections", total, configs, ResourceLimits::connections);
+        checkSum(process, "body-bytes", total, configs, ResourceLimits::bytes);
+        checkSum(process, "connects", total, configs, ResourceLimits::connects);
+        long servers = platform == null
+                ? MAX_AMOUNT
+                : Descriptors.of(platform.sockets()).servers();
         if (total.connections() > servers) {
             process.fault(
                     "connections",
                     "found " + total.connections(),
                     servers + " at most: of " + platform.sockets()
-                            + " descriptors clients and the process itself have the others");
+                            + " descriptors, clients and the process itself take the others");
         }
     }
 
     private static void checkSum(
-            TableReader process, String key, ResourceLimits total, List<PoolConfig> plans, ToLongFunction<ResourceLimits> of) {
-        long sum = plans.stream()
-                .mapToLong(plan -> of.applyAsLong(plan.guaranteed()))
+            TableReader process,
+            String key,
+            ResourceLimits total,
+            List<PoolConfig> configs,
+            ToLongFunction<ResourceLimits> amount) {
+        long sum = configs.stream()
+                .mapToLong(config -> amount.applyAsLong(config.guaranteed()))
                 .sum();
-        if (sum > of.applyAsLong(total)) {
+        if (sum > amount.applyAsLong(total)) {
             process.fault(
                     key,
                     "the pools' guaranteed parts add up to " + sum,
-                    of.applyAsLong(total) + " at most, which is " + process.path(key));
+                    amount.applyAsLong(total) + " at most, which is " + process.path(key));
         }
     }
 
-    /** A pool's group is one of the fleet's, no other pool's, and its tenants are told by plans that the pool knows. */
-    private void checkGroups(List<PoolConfig> plans, FleetConfig fleet) {
+    /**
+     * Checks that a pool's group is one of the fleet's, is in no other pool, and has tenants with plans of the pool.
+     */
+    private void checkGroups(List<PoolConfig> configs, FleetConfig fleet) {
         Map<String, String> taken = new HashMap<>();
-        for (PoolConfig plan : plans) {
-            TableReader at = pools.get(plan.name());
-            GroupConfig group = fleet == null || plan.group() == null ? null : fleet.group(plan.group());
-            if (plan.group() == null) {
+        for (PoolConfig config : configs) {
+            TableReader table = pools.get(config.name());
+            GroupConfig group = fleet == null || config.group() == null ? null : fleet.group(config.group());
+            if (config.group() == null) {
                 continue;
             }
             if (group == null) {
-                at.fault(
+                table.fault(
                         "group",
-                        "no [[fleet.group]] is called " + plan.group(),
+                        "no [[fleet.group]] is called " + config.group(),
                         fleet == null || fleet.groups().isEmpty()
                                 ? "a table [[fleet.group]]"
                                 : String.join(
@@ -474,28 +501,29 @@
                                                 .toList()));
                 continue;
             }
-            String other = taken.putIfAbsent(plan.group(), plan.name());
+            String other = taken.putIfAbsent(config.group(), config.name());
             if (other != null) {
-                at.fault("group", "pool " + other + " has group " + plan.group() + " too", "each group in one pool");
+                table.fault(
+                        "group", "pool " + other + " has group " + config.group() + " too", "each group in one pool");
             }
-            List<String> known = plan.upstream().names().plans();
+            List<String> known = config.upstream().names().plans();
             for (GroupConfig.Tenant tenant : group.tenants()) {
-                for (String of : tenant.plans()) {
-                    if (!known.contains(of)) {
-                        at.fault(
+                for (String plan : tenant.plans()) {
+                    if (!known.contains(plan)) {
+                        table.fault(
                                 "group",
-                                "tenant " + tenant.name() + " of group " + group.name() + " names plan " + of
+                                "tenant " + tenant.name() + " of group " + group.name() + " names plan " + plan
                                         + ", which the pool's settings don't",
                                 String.join(", ", known));
                     }
                 }
             }
-            long longest = plan.settings().classes().stream()
-                    .mapToLong(one -> one.deadline())
+            long longest = config.settings().classes().stream()
+                    .mapToLong(requestClass -> requestClass.deadline())
                     .max()
                     .orElse(0);
             if (longest > group.longest()) {
-                at.fault(
+                table.fault(
                         "group",
                         "a request may take " + longest / 1_000_000 + " ms and longest-ms of group " + group.name()
                                 + " is " + group.longest() / 1_000_000,
@@ -504,30 +532,31 @@
         }
     }
 
-    /** What two pools must not have in common. */
-    private void checkApart(List<PoolConfig> plans) {
+    /** Checks that no two pools share an address of an app server or names at the counter. */
+    private void checkApart(List<PoolConfig> configs) {
         Map<SocketAddress, String> servers = new HashMap<>();
         Set<String> spaces = new HashSet<>();
-        for (PoolConfig plan : plans) {
-            Upstream upstream = plan.upstream();
+        for (PoolConfig config : configs) {
+            Upstream upstream = config.upstream();
             if (upstream.counter() != null && !spaces.add(upstream.counter() + " " + upstream.countPrefix())) {
-                pools.get(plan.name())
+                pools.get(config.name())
                         .fault(
                                 "counter-space",
                                 "another pool counts under the same names at " + upstream.counter(),
                                 "a counter-space of its own for each pool");
             }
-            ServerListUpdate known = upstream.discovery() == null ? plan.known() : new ServerListUpdate(0, true, List.of());
+            ServerListUpdate known =
+                    upstream.discovery() == null ? config.known() : new ServerListUpdate(0, true, List.of());
             for (Member member : known.members()) {
-                String other = servers.putIfAbsent(member.address(), plan.name());
-                if (other != null && !other.equals(plan.name())) {
-                    pools.get(plan.name())
+                String other = servers.putIfAbsent(member.address(), config.name());
+                if (other != null && !other.equals(config.name())) {
+                    pools.get(config.name())
                             .fault(
                                     "settings",
                                     "server " + member.server().id() + " at " + member.address() + " belongs to pool "
                                             + other + " too",
-                                    "each address in one pool: two that"
-                                            + " don't know of each other's sends would push a cold server over");
+                                    "each address in one pool: two pools that"
+                                            + " don't know of each other's requests would overload a cold server");
                 }
             }
         }
--- a/src/main/java/rushpin/config/PoolConfig.java
+++ b/src/main/java/rushpin/config/PoolConfig.java
@@ -7,13 +7,14 @@
 import rushpin.net.xds.XdsPlan;
 
 /**
- * All that a pool is made from.
+ * The configuration of one pool.
  *
- * @param name as the operator calls it; empty for the platform's one pool
- * @param group the group of app servers that its own are, by the fleet's name for it; null for none
- * @param xds where its servers come from in place of discovery; null for none
- * @param ownLoop whether it has an event loop to itself
- * @param guaranteed what it may use whatever the others do; null for the platform's one pool, which has all
+ * @param name the operator's name for it; empty for the platform's single pool
+ * @param known the server list at start; the whole list if there is no discovery
+ * @param ownLoop whether the pool has an event loop of its own
+ * @param guaranteed what it may use whatever other pools use; null for the platform's single pool, which may use all
+ * @param xds the xDS source of its servers, in place of discovery; null for none
+ * @param group the fleet's name for the group of app servers that the pool uses; null for none
  */
 public record PoolConfig(
         String name,
@@ -25,7 +26,7 @@
         ResourceLimits guaranteed,
         XdsPlan xds,
         String group) {
-    /** A pool whose servers discovery tells. */
+    /** Creates the configuration of a pool whose servers come from discovery. */
     public PoolConfig(
             String name,
             Upstream upstream,
@@ -37,12 +38,12 @@
         this(name, upstream, settings, seed, known, ownLoop, guaranteed, null, null);
     }
 
-    /** The platform's one pool. */
+    /** The configuration of the platform's single pool. */
     public static PoolConfig platform(Config config) {
         return new PoolConfig("", config.upstream(), config.settings(), config.seed(), config.known(), false, null);
     }
 
-    /** Whether a running pool of this plan can go over to another by moving its addresses alone. */
+    /** Whether a running pool can change to another configuration by changing its addresses alone. */
     public boolean differsOnlyInAddresses(PoolConfig other) {
         return name.equals(other.name)
                 && ownLoop == other.ownLoop
--- a/src/main/java/rushpin/config/ResourceLimits.java
+++ b/src/main/java/rushpin/config/ResourceLimits.java
@@ -1,11 +1,11 @@
 package rushpin.config;
 
 /**
- * Amounts of what the process deals out to its pools.
+ * Limits on the resources that the pools of a process share: of the process, or the part guaranteed to a pool.
  *
- * @param requests requests open at once, in all classes
- * @param connections connections to app servers, idle ones too
- * @param bytes bytes of requests' bodies
- * @param connects connections that are being made
+ * @param requests concurrent requests, over all classes
+ * @param connections connections to app servers, idle ones included
+ * @param bytes bytes of request bodies held in memory
+ * @param connects connections being established
  */
 public record ResourceLimits(long requests, long connections, long bytes, long connects) {}
--- a/src/main/java/rushpin/console/ConsoleServer.java
+++ b/src/main/java/rushpin/console/ConsoleServer.java
@@ -22,16 +22,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Where operators call: one line a connection, answered by lines, on a thread of its own so that a busy node answers no
- * later. A caller that finishes no line is let go after {@value #PATIENCE_MS} ms, or when {@value #MOST} others are there.
+ * Serves operators' commands: one line for each connection, answered by lines. It has its own thread, so that a busy
+ * node answers without delay. A connection is closed after its answer, after {@value #TIMEOUT_MS} ms, or when it is the
+ * oldest of more than {@value #MAX_CONNECTIONS}.
  */
 public final class ConsoleServer implements AutoCloseable {
-    private static final int MOST = 8, MOST_LINE = 512;
-    private static final long PATIENCE_MS = 5_000;
+    private static final int MAX_CONNECTIONS = 8;
+    private static final int MAX_LINE_BYTES = 512;
+    private static final long TIMEOUT_MS = 5_000;
 
-    /** Answers calls. */
+    /** Answers commands. */
     public interface CommandHandler {
-        /** The answer to one line, its line ends too; called on the console's thread, which it must not hold up. */
+        /**
+         * Returns the answer to one line, with its line ends; called on the console's thread, which it must not block.
+         */
         CompletionStage<String> call(String line);
     }
 
@@ -43,13 +47,13 @@
                 return thread;
             },
             NioIoHandler.newFactory());
-    private final CommandHandler calls;
+    private final CommandHandler handler;
     private final Set<Channel> open = new LinkedHashSet<>();
     private final Channel listening;
 
-    /** Listens from now on. */
-    public ConsoleServer(SocketAddress at, CommandHandler calls) throws InterruptedException {
-        this.calls = calls;
+    /** Binds to the address and serves until closed. */
+    public ConsoleServer(SocketAddress address, CommandHandler handler) throws InterruptedException {
+        this.handler = handler;
         try {
             listening = new ServerBootstrap()
                     .group(group)
@@ -59,10 +63,12 @@
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            channel.pipeline().addLast(new LineBasedFrameDecoder(MOST_LINE, true, true), new Caller());
+                            channel.pipeline()
+                                    .addLast(
+                                            new LineBasedFrameDecoder(MAX_LINE_BYTES, true, true), new CallerHandler());
                         }
                     })
-                    .bind(at)
+                    .bind(address)
                     .sync()
                     .channel();
         } catch (RuntimeException | InterruptedException e) {
@@ -71,7 +77,7 @@
         }
     }
 
-    /** Where it listens. */
+    /** The address that it listens on. */
     public SocketAddress address() {
         return listening.localAddress();
     }
@@ -81,29 +87,29 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
-        private boolean called;
+    private final class CallerHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private boolean answered;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
             Channel channel = context.channel();
             open.add(channel);
-            if (open.size() > MOST) {
+            if (open.size() > MAX_CONNECTIONS) {
                 open.iterator().next().close();
             }
-            context.executor().schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
+            context.executor().schedule(() -> channel.close(), TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf line) {
-            if (called) {
+            if (answered) {
                 return;
             }
-            called = true;
-            calls.call(line.toString(StandardCharsets.UTF_8).trim()).whenComplete((answer, trouble) -> {
-                String text = trouble == null
+            answered = true;
+            handler.call(line.toString(StandardCharsets.UTF_8).trim()).whenComplete((answer, error) -> {
+                String text = error == null
                         ? answer
-                        : "error " + String.valueOf(trouble.getMessage()).replace('\n', ' ') + "\n";
+                        : "error " + String.valueOf(error.getMessage()).replace('\n', ' ') + "\n";
                 context.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8))
                         .addListener(ChannelFutureListener.CLOSE);
             });
@@ -114,12 +120,12 @@
             open.remove(context.channel());
         }
 
-        /** A line that is too long, or a caller that has gone. */
+        /** Reached by a line that is too long, or by a connection that broke. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            called = true;
+            answered = true;
             context.writeAndFlush(Unpooled.copiedBuffer(
-                            "error a line has " + MOST_LINE + " bytes at most\n", StandardCharsets.UTF_8))
+                            "error a line may have at most " + MAX_LINE_BYTES + " bytes\n", StandardCharsets.UTF_8))
                     .addListener(ChannelFutureListener.CLOSE);
         }
     }
--- a/src/main/java/rushpin/console/OutOfService.java
+++ b/src/main/java/rushpin/console/OutOfService.java
@@ -14,28 +14,30 @@
 import java.util.Set;
 
 /**
- * Which app servers operators have taken out, for all processes of one node: an empty file each in a folder that they
- * share. A file is made or removed whole, so two processes never undo each other's.
+ * Stores which app servers operators have disabled, for all processes of one node: one empty file for each, in a shared
+ * folder. Creating and deleting a file are atomic, so processes never undo each other's changes.
  *
- * <p>Bounds: {@value #MOST} servers; an id of {@value #LONGEST} characters, as it is written, at most.
+ * <p>Bounds: {@value #MAX_SERVERS} servers; file names, with the id URL-encoded, of up to {@value #MAX_FILE_NAME}
+ * characters.
  */
 public final class OutOfService {
-    private static final int MOST = 1_024, LONGEST = 200;
+    private static final int MAX_SERVERS = 1_024;
+    private static final int MAX_FILE_NAME = 200;
     private static final String PREFIX = "out-";
 
-    /** What is asked of the file system. */
+    /** The file operations, which tests replace by failing ones. */
     interface Disk {
-        /** The names of files of a folder that begin so. */
+        /** Lists the names of a folder's files that begin with a prefix. */
         List<String> names(Path folder, String prefix) throws IOException;
 
-        /** Makes an empty file. */
+        /** Creates an empty file. */
         void make(Path file) throws IOException;
 
-        /** Deletes a file, if it is there. */
+        /** Deletes a file if it exists. */
         void delete(Path file) throws IOException;
     }
 
-    /** The file system itself. */
+    /** The default file system. */
     static class SystemDisk implements Disk {
         @Override
         public List<String> names(Path folder, String prefix) throws IOException {
@@ -62,30 +64,30 @@
     private final Path folder;
     private final Disk disk;
 
-    /** Kept in a folder, which is made if it is not there. */
+    /** Stores the files in a folder, which is created if it doesn't exist. */
     public OutOfService(Path folder) throws IOException {
         this(folder, new SystemDisk());
     }
 
-    /** As above, on a given disk. */
+    /** As {@link #OutOfService(Path)}, with other file operations. */
     OutOfService(Path folder, Disk disk) throws IOException {
         this.folder = Files.createDirectories(folder);
         this.disk = disk;
     }
 
-    /** All that are out now. */
+    /** Reads the ids of all disabled servers. */
     public Set<String> read() throws IOException {
         Set<String> ids = new HashSet<>();
         for (String name : disk.names(folder, PREFIX)) {
             String id = id(name);
-            if (id != null && ids.size() < MOST) {
+            if (id != null && ids.size() < MAX_SERVERS) {
                 ids.add(id);
             }
         }
         return ids;
     }
 
-    /** Null for a file that was not written here: it must not put the others back in use. */
+    /** The id in a file name; null for a foreign file, which is ignored so that the other servers stay disabled. */
     private static String id(String name) {
         try {
             return URLDecoder.decode(name.substring(PREFIX.length()), StandardCharsets.UTF_8);
@@ -94,25 +96,25 @@
         }
     }
 
-    /** Takes one out, or puts it back; to say so again changes nothing, and nothing changes if it throws. */
+    /** Disables a server, or enables it. Idempotent; nothing changes if it throws. */
     public void set(String id, boolean out) throws IOException {
         String name = PREFIX + URLEncoder.encode(id, StandardCharsets.UTF_8);
         Path file = folder.resolve(name);
-        // Looked through first: what cannot be read again is not changed either.
+        // Read first: if the folder can't be read, nothing is changed.
         Set<String> before = read();
         if (!out) {
             disk.delete(file);
-        } else if (name.length() > LONGEST) {
-            throw new IOException("an id of " + id.length() + " characters is too long");
+        } else if (name.length() > MAX_FILE_NAME) {
+            throw new IOException("the id has " + id.length() + " characters and is too long");
         } else if (!before.contains(id)) {
-            if (before.size() >= MOST) {
-                throw new IOException(MOST + " app servers are out already");
+            if (before.size() >= MAX_SERVERS) {
+                throw new IOException(MAX_SERVERS + " app servers are disabled already");
             }
             make(file);
         }
     }
 
-    /** One that is made and reported as failed would take the server out behind the answer that nothing has changed. */
+    /** Creates a file; deletes it if that fails, as a failure promises that nothing has changed. */
     private void make(Path file) throws IOException {
         try {
             disk.make(file);
--- a/src/main/java/rushpin/console/ProcessMetrics.java
+++ b/src/main/java/rushpin/console/ProcessMetrics.java
@@ -6,89 +6,98 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What a process reports of itself, in the form of statsd: {@code NAME:VALUE|c} for counts since its start, {@code |g}
- * for what is now. Written by the pools' loops, read by the console's thread at any moment.
+ * The metrics of this process, in statsd's form: {@code NAME:VALUE|c} for counters since its start, {@code |g} for
+ * gauges. Thread-safe: the pools' event loops write them, the console's thread reads them.
  *
- * <p>Bounds: one entry for each class that the settings have named; beyond {@value #MOST_CLASSES} nothing is kept.
+ * <p>Bounds: {@value #MAX_CLASSES} classes; figures of further classes are not reported.
  */
 public final class ProcessMetrics {
-    private static final int MOST_CLASSES = 256;
+    private static final int MAX_CLASSES = 256;
     private static final String PREFIX = "node.";
 
-    /** How requests of one class ended, and how often they were tried. */
+    /** Counts how requests of one class ended, and their attempts. */
     public static final class ClassMetrics {
-        private final AtomicLong ok = new AtomicLong(),
-                shed = new AtomicLong(),
-                errors = new AtomicLong(),
-                tries = new AtomicLong();
+        private final AtomicLong ok = new AtomicLong();
+        private final AtomicLong shed = new AtomicLong();
+        private final AtomicLong errors = new AtomicLong();
+        private final AtomicLong tries = new AtomicLong();
 
-        /** A whole answer of an app server was passed on. */
+        /** Counts a request whose answer from an app server was passed on whole. */
         public void served() {
             ok.incrementAndGet();
         }
 
-        /** It was refused. */
+        /** Counts a refused request. */
         public void refused() {
             shed.incrementAndGet();
         }
 
-        /** It failed. */
+        /** Counts a failed request. */
         public void failed() {
             errors.incrementAndGet();
         }
 
-        /** An attempt was written whole to an app server. */
+        /** Counts an attempt that was written whole to an app server. */
         public void tried() {
             tries.incrementAndGet();
         }
     }
 
     private final Map<String, ClassMetrics> classes = new ConcurrentSkipListMap<>();
+    /** Takes the figures of classes beyond {@link #MAX_CLASSES}; not reported. */
     private final ClassMetrics rest = new ClassMetrics();
-    /** For each pool how many servers are listed and how many of them avoided. */
+    /** By pool: the number of listed servers, and how many of them are avoided. */
     private final Map<String, int[]> servers = new ConcurrentHashMap<>();
 
-    private final AtomicLong active = new AtomicLong(), applied = new AtomicLong(), rejected = new AtomicLong();
+    /** Requests taken and not completed. */
+    private final AtomicLong active = new AtomicLong();
+    /** Reloads of the configuration that were applied. */
+    private final AtomicLong applied = new AtomicLong();
+    /** Reloads of the configuration that were rejected. */
+    private final AtomicLong rejected = new AtomicLong();
 
-    /** The figures of a class, which begin at 0. */
+    /** The metrics of a class, which begin at 0. */
     public ClassMetrics of(String name) {
         ClassMetrics known = classes.get(name);
-        if (known == null && classes.size() < MOST_CLASSES) {
-            known = classes.computeIfAbsent(name, n -> new ClassMetrics());
+        if (known == null && classes.size() < MAX_CLASSES) {
+            known = classes.computeIfAbsent(name, unused -> new ClassMetrics());
         }
         return known == null ? rest : known;
     }
 
-    /** So many requests more are taken and not ended. */
-    public void open(int by) {
-        active.addAndGet(by);
+    /** Changes the number of requests that are taken and not completed. */
+    public void open(int change) {
+        active.addAndGet(change);
     }
 
-    /** So many app servers of a pool are listed, and so many of these avoided, by hand or by choice. */
-    public void servers(String pool, int inList, int avoid) {
-        servers.put(pool, new int[] {inList, avoid});
+    /**
+     * Sets how many app servers of a pool are listed, and how many of them are avoided, by operators or by the gateway.
+     */
+    public void servers(String pool, int listed, int avoided) {
+        servers.put(pool, new int[] {listed, avoided});
     }
 
-    /** A pool is no more. */
+    /** Removes a pool that has ended. */
     public void forget(String pool) {
         servers.remove(pool);
     }
 
-    /** A configuration was read again: taken, or turned down whole. */
-    public void configured(boolean taken) {
-        (taken ? applied : rejected).incrementAndGet();
+    /** Counts a reload of the configuration that was applied, or else rejected whole. */
+    public void configured(boolean wasApplied) {
+        (wasApplied ? applied : rejected).incrementAndGet();
     }
 
-    /** All figures, a line each. */
+    /** All metrics, one line each. */
     public String lines() {
         StringBuilder text = new StringBuilder(1_024);
-        classes.forEach((name, of) -> {
-            line(text, "ok." + name, of.ok, 'c');
-            line(text, "shed." + name, of.shed, 'c');
-            line(text, "errors." + name, of.errors, 'c');
-            line(text, "tries." + name, of.tries, 'c');
+        classes.forEach((name, metrics) -> {
+            line(text, "ok." + name, metrics.ok, 'c');
+            line(text, "shed." + name, metrics.shed, 'c');
+            line(text, "errors." + name, metrics.errors, 'c');
+            line(text, "tries." + name, metrics.tries, 'c');
         });
-        int listed = 0, avoided = 0;
+        int listed = 0;
+        int avoided = 0;
         for (int[] pool : servers.values()) {
             listed += pool[0];
             avoided += pool[1];
--- a/src/main/java/rushpin/console/ProcessRegistry.java
+++ b/src/main/java/rushpin/console/ProcessRegistry.java
@@ -16,76 +16,84 @@
 import java.util.UUID;
 
 /**
- * How many processes act as one node: each that serves holds a lock on a file of its own in the folder that they share.
- * The kernel lets go of it when a process ends, however that is. What one gives another stands there as a file for a moment.
+ * Counts the processes that act as one node, and passes units of quota between them. Each serving process holds a lock
+ * on a file of its own in a shared folder; the kernel releases the lock when the process ends, however it ends. A
+ * transfer is a file that exists until another process takes it.
  */
 public final class ProcessRegistry implements AutoCloseable {
-    private static final String PREFIX = "serves-", GIFT = "gave-";
-    private static final int MOST_GIFTS = 16_384;
-    private static final long GIFT_MS = 2_000;
+    private static final String SERVING_PREFIX = "serves-";
+    private static final String TRANSFER_PREFIX = "gave-";
+    private static final int MAX_TRANSFERS = 16_384;
+    /** Milliseconds after which a transfer that nobody took expires. */
+    private static final long TRANSFER_MS = 2_000;
 
-    private final Path folder, mine;
-    private FileChannel held;
-    private int given;
+    private final Path folder;
+    /** The file that this process locks while it serves. */
+    private final Path ownFile;
+    /** Open, with the lock, while this process is registered; else null. */
+    private FileChannel lockChannel;
+    /** The number of transfers that this process has left. */
+    private int transfersLeft;
 
-    /** Says nothing yet; the folder is made if it is not there. */
+    /** Registers nothing yet; creates the folder if it doesn't exist. */
     public ProcessRegistry(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
-        mine = folder.resolve(PREFIX + UUID.randomUUID());
+        ownFile = folder.resolve(SERVING_PREFIX + UUID.randomUUID());
     }
 
-    /** From now on this process is one of them, to its end. */
+    /** Registers this process until it closes the registry or ends. */
     public synchronized void serve() throws IOException {
-        if (held != null) {
+        if (lockChannel != null) {
             return;
         }
-        // Under its name only once it is locked: without a lock it would be taken for one that has ended.
-        Path making = folder.resolve("new-" + mine.getFileName());
-        FileChannel channel = FileChannel.open(making, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        // Renamed only once it is locked: without a lock, others would take its process for one that has ended.
+        Path draft = folder.resolve("new-" + ownFile.getFileName());
+        FileChannel channel = FileChannel.open(draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (channel.tryLock() == null) {
             channel.close();
-            throw new IOException(making + " is locked by another process");
+            throw new IOException(draft + " is locked by another process");
         }
-        Files.move(making, mine, StandardCopyOption.ATOMIC_MOVE);
-        held = channel;
+        Files.move(draft, ownFile, StandardCopyOption.ATOMIC_MOVE);
+        lockChannel = channel;
     }
 
-    /** What one process gives another of a customer's ceiling. */
+    /** Units of a customer's quota ceiling that one process transfers to another. */
     public record QuotaTransfer(long customer, int plan, int setSize, double units) {}
 
-    /** Leaves something for the same pool of the other processes: whoever comes first has all of it. */
-    public synchronized void give(String pool, List<QuotaTransfer> gifts) throws IOException {
-        if (gifts.isEmpty()) {
+    /** Leaves transfers for the same pool of the other processes: the first to look takes all of them. */
+    public synchronized void give(String pool, List<QuotaTransfer> transfers) throws IOException {
+        if (transfers.isEmpty()) {
             return;
         }
         StringBuilder text = new StringBuilder();
-        for (QuotaTransfer gift : gifts.subList(0, Math.min(MOST_GIFTS, gifts.size()))) {
-            text.append(gift.customer)
+        for (QuotaTransfer transfer : transfers.subList(0, Math.min(MAX_TRANSFERS, transfers.size()))) {
+            text.append(transfer.customer)
                     .append(' ')
-                    .append(gift.plan)
+                    .append(transfer.plan)
                     .append(' ')
-                    .append(gift.setSize)
+                    .append(transfer.setSize)
                     .append(' ')
-                    .append(gift.units)
+                    .append(transfer.units)
                     .append('\n');
         }
-        Path making = folder.resolve("new-" + UUID.randomUUID());
-        Files.writeString(making, text.append("end\n"));
-        // Whole under its name, or not there.
+        Path draft = folder.resolve("new-" + UUID.randomUUID());
+        Files.writeString(draft, text.append("end\n"));
+        // Renamed when complete, so that others never see a part of it.
         Files.move(
-                making,
-                folder.resolve(GIFT + pool + "." + mine.getFileName() + "-" + ++given),
+                draft,
+                folder.resolve(TRANSFER_PREFIX + pool + "." + ownFile.getFileName() + "-" + ++transfersLeft),
                 StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Takes what others have left; what nobody took in {@value #GIFT_MS} ms is nobody's any more. */
+    /** Takes what other processes have left for a pool; transfers older than {@value #TRANSFER_MS} ms are discarded. */
     public synchronized List<QuotaTransfer> take(String pool, long nowMs) throws IOException {
-        List<QuotaTransfer> gifts = new ArrayList<>();
-        String all = GIFT + pool + "." + PREFIX, own = GIFT + pool + "." + mine.getFileName();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, GIFT + "*")) {
+        List<QuotaTransfer> transfers = new ArrayList<>();
+        String allPrefix = TRANSFER_PREFIX + pool + "." + SERVING_PREFIX;
+        String ownPrefix = TRANSFER_PREFIX + pool + "." + ownFile.getFileName();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, TRANSFER_PREFIX + "*")) {
             for (Path file : files) {
                 String name = file.getFileName().toString();
-                if (!name.startsWith(all) || name.startsWith(own)) {
+                if (!name.startsWith(allPrefix) || name.startsWith(ownPrefix)) {
                     continue;
                 }
                 Path taken = folder.resolve("new-" + UUID.randomUUID());
@@ -97,19 +105,19 @@
                 long age = nowMs - Files.getLastModifiedTime(taken).toMillis();
                 List<String> lines = Files.readAllLines(taken);
                 Files.delete(taken);
-                if (age >= -GIFT_MS && age <= GIFT_MS) {
-                    read(lines, gifts);
+                if (age >= -TRANSFER_MS && age <= TRANSFER_MS) {
+                    read(lines, transfers);
                 }
             }
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
         }
-        return gifts;
+        return transfers;
     }
 
     private static void read(List<String> lines, List<QuotaTransfer> into) {
         if (lines.isEmpty()
-                || lines.size() > MOST_GIFTS + 1
+                || lines.size() > MAX_TRANSFERS + 1
                 || !lines.get(lines.size() - 1).equals("end")) {
             return;
         }
@@ -122,17 +130,17 @@
                             Long.parseLong(parts[0]), Integer.parseInt(parts[1]), Integer.parseInt(parts[2]), units));
                 }
             } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
-                // A line that nobody wrote so: a gift less does no harm.
+                // A malformed line is skipped: a lost transfer does no harm.
             }
         }
     }
 
-    /** How many others serve now; files of those that have ended are removed. */
+    /** Counts the other processes that serve now; removes the files of those that have ended. */
     public synchronized int others() throws IOException {
         int others = 0;
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, SERVING_PREFIX + "*")) {
             for (Path file : files) {
-                others += !file.equals(mine) && isHeld(file) ? 1 : 0;
+                others += !file.equals(ownFile) && isLocked(file) ? 1 : 0;
             }
         } catch (DirectoryIteratorException e) {
             throw e.getCause();
@@ -140,7 +148,7 @@
         return others;
     }
 
-    private static boolean isHeld(Path file) throws IOException {
+    private static boolean isLocked(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE);
                 FileLock lock = channel.tryLock()) {
             if (lock == null) {
@@ -149,7 +157,7 @@
             Files.deleteIfExists(file);
             return false;
         } catch (OverlappingFileLockException e) {
-            // Another node of this very process, as in tests.
+            // Another node in this same process, as in tests.
             return true;
         } catch (NoSuchFileException e) {
             return false;
@@ -158,10 +166,10 @@
 
     @Override
     public synchronized void close() throws IOException {
-        if (held != null) {
-            Files.deleteIfExists(mine);
-            held.close();
-            held = null;
+        if (lockChannel != null) {
+            Files.deleteIfExists(ownFile);
+            lockChannel.close();
+            lockChannel = null;
         }
     }
 }
--- a/src/main/java/rushpin/membership/AddressOwners.java
+++ b/src/main/java/rushpin/membership/AddressOwners.java
@@ -11,84 +11,85 @@
 import rushpin.gateway.Ports.ListKind;
 
 /**
- * One address belongs to one pool. Pools don't know of each other's sends: two that had the same server would together
- * push it over while it is cold, each within its own measure. The pool that had the address first keeps it; the other
- * one is told that its server is gone, and gets it when the first lets go. No I/O; one thread at a time.
+ * Assigns each app server address to at most one pool. Pools don't know of each other's requests: two pools that send
+ * to the same server, each within its own limit, would together overload it while it is cold. The pool that listed the
+ * address first owns it. Other pools are notified that their server is gone, and get it when the owner releases it. No
+ * I/O; not thread-safe.
  *
  * <p>Bounds: one entry for each address that a pool's list holds ready.
  */
 public final class AddressOwners {
-    /** A list for a pool, in place of the one that its source told or on top of it. */
+    /** An update for one pool: the pool's own list after conflicts were taken out, or a released address. */
     public record PoolUpdate(String pool, ServerListUpdate update, ListKind kind) {}
 
-    /** What comes of one list. */
+    /** The result of one list: updates for pools, and a log line for each address that another pool owns. */
     public record Admission(List<PoolUpdate> updates, List<String> conflicts) {}
 
-    private record Holder(String pool, String server) {}
-
-    private final Map<SocketAddress, Holder> holders = new HashMap<>();
-    /** The other way round: a change of one entry must not cost a look at all. */
-    private final Map<Holder, SocketAddress> places = new HashMap<>();
+    private record Owner(String pool, String server) {}
 
+    private final Map<SocketAddress, Owner> owners = new HashMap<>();
+    /** The inverse of {@link #owners}, so that a change of one entry needs no scan of all owners. */
+    private final Map<Owner, SocketAddress> addresses = new HashMap<>();
+    /** Members that wait for an address that another pool owns: by address, then by pool in order of arrival. */
     private final Map<SocketAddress, Map<String, Member>> waiting = new HashMap<>();
 
-    /** Takes a pool's list and says what that pool, and others, are told; the pool's own comes first. */
+    /** Takes a pool's list; returns the updates that follow for this pool, which comes first, and for other pools. */
     public Admission admit(String pool, ServerListUpdate update, ListKind kind) {
         List<String> conflicts = new ArrayList<>();
-        List<Member> own = new ArrayList<>();
-        Set<SocketAddress> freed = new LinkedHashSet<>();
+        List<Member> admitted = new ArrayList<>();
+        Set<SocketAddress> released = new LinkedHashSet<>();
         if (kind != ListKind.DELTA) {
-            freeAll(pool, freed);
+            releaseAll(pool, released);
         }
         for (Member member : update.members()) {
-            free(pool, member.server().id(), freed);
+            release(pool, member.server().id(), released);
         }
         for (Member member : update.members()) {
             if (!member.isReady()) {
-                own.add(member);
+                admitted.add(member);
                 continue;
             }
-            Holder holder = holders.get(member.address());
-            if (holder == null || holder.pool().equals(pool)) {
-                hold(member.address(), new Holder(pool, member.server().id()));
-                own.add(member);
+            Owner owner = owners.get(member.address());
+            if (owner == null || owner.pool().equals(pool)) {
+                assign(member.address(), new Owner(pool, member.server().id()));
+                admitted.add(member);
             } else {
-                waiting.computeIfAbsent(member.address(), at -> new LinkedHashMap<>())
+                waiting.computeIfAbsent(member.address(), address -> new LinkedHashMap<>())
                         .put(pool, member);
                 conflicts.add("server " + member.server().id() + " of pool " + pool + " has the address of "
-                        + holder.server() + " of pool " + holder.pool() + " and is left out");
-                own.add(member.gone());
+                        + owner.server() + " of pool " + owner.pool() + " and is left out");
+                admitted.add(member.gone());
             }
         }
         List<PoolUpdate> updates = new ArrayList<>();
-        updates.add(new PoolUpdate(pool, new ServerListUpdate(update.revision(), update.complete(), own), kind));
-        passOn(freed, updates);
+        updates.add(new PoolUpdate(pool, new ServerListUpdate(update.revision(), update.complete(), admitted), kind));
+        reassign(released, updates);
         return new Admission(updates, conflicts);
     }
 
-    /** A pool has ended. */
+    /** Releases all addresses of a pool that has ended; returns the updates for the pools that get them. */
     public List<PoolUpdate> leave(String pool) {
-        Set<SocketAddress> freed = new LinkedHashSet<>();
-        freeAll(pool, freed);
+        Set<SocketAddress> released = new LinkedHashSet<>();
+        releaseAll(pool, released);
         List<PoolUpdate> updates = new ArrayList<>();
-        passOn(freed, updates);
+        reassign(released, updates);
         return updates;
     }
 
-    private void hold(SocketAddress address, Holder holder) {
-        Holder before = holders.put(address, holder);
+    private void assign(SocketAddress address, Owner owner) {
+        Owner before = owners.put(address, owner);
         if (before != null) {
-            places.remove(before);
+            addresses.remove(before);
         }
-        places.put(holder, address);
+        addresses.put(owner, address);
     }
 
-    private void freeAll(String pool, Set<SocketAddress> freed) {
-        holders.entrySet().removeIf(e -> {
-            boolean mine = e.getValue().pool().equals(pool);
+    private void releaseAll(String pool, Set<SocketAddress> released) {
+        owners.entrySet().removeIf(entry -> {
+            boolean mine = entry.getValue().pool().equals(pool);
             if (mine) {
-                freed.add(e.getKey());
-                places.remove(e.getValue());
+                released.add(entry.getKey());
+                addresses.remove(entry.getValue());
             }
             return mine;
         });
@@ -96,26 +97,26 @@
         waiting.values().removeIf(Map::isEmpty);
     }
 
-    private void free(String pool, String server, Set<SocketAddress> freed) {
-        SocketAddress place = places.remove(new Holder(pool, server));
-        if (place != null) {
-            holders.remove(place);
-            freed.add(place);
+    private void release(String pool, String server, Set<SocketAddress> released) {
+        SocketAddress address = addresses.remove(new Owner(pool, server));
+        if (address != null) {
+            owners.remove(address);
+            released.add(address);
         }
         for (Map<String, Member> pools : waiting.values()) {
-            Member held = pools.get(pool);
-            if (held != null && held.server().id().equals(server)) {
+            Member member = pools.get(pool);
+            if (member != null && member.server().id().equals(server)) {
                 pools.remove(pool);
             }
         }
         waiting.values().removeIf(Map::isEmpty);
     }
 
-    /** An address that nobody holds any more goes to the pool that has waited for it longest. */
-    private void passOn(Set<SocketAddress> freed, List<PoolUpdate> updates) {
-        for (SocketAddress address : freed) {
+    /** Gives each released address that has no owner to the pool that has waited for it longest. */
+    private void reassign(Set<SocketAddress> released, List<PoolUpdate> updates) {
+        for (SocketAddress address : released) {
             Map<String, Member> pools = waiting.get(address);
-            if (holders.containsKey(address) || pools == null) {
+            if (owners.containsKey(address) || pools == null) {
                 continue;
             }
             Map.Entry<String, Member> next = pools.entrySet().iterator().next();
@@ -123,8 +124,9 @@
             if (pools.isEmpty()) {
                 waiting.remove(address);
             }
-            hold(address, new Holder(next.getKey(), next.getValue().server().id()));
-            updates.add(new PoolUpdate(next.getKey(), new ServerListUpdate(0, false, List.of(next.getValue())), ListKind.DELTA));
+            assign(address, new Owner(next.getKey(), next.getValue().server().id()));
+            updates.add(new PoolUpdate(
+                    next.getKey(), new ServerListUpdate(0, false, List.of(next.getValue())), ListKind.DELTA));
         }
     }
 }
--- a/src/main/java/rushpin/membership/DisabledServers.java
+++ b/src/main/java/rushpin/membership/DisabledServers.java
@@ -9,16 +9,17 @@
 import java.util.Set;
 
 /**
- * App servers that an operator has taken out by hand. Whatever a list says of them, they drain for this node until they
- * are put back; what the list last said of them is kept, and holds from then on. No I/O; one thread.
+ * Applies the operators' choice of disabled app servers to server lists. A disabled server drains on this node,
+ * whatever a list says, until it is enabled again; its last listed state is kept and applies from then on. No I/O; not
+ * thread-safe.
  *
- * <p>Bounds: one entry for each listed server and for each one taken out; the last {@value #MOST_SEEN} ids are known as
- * such that were once listed.
+ * <p>Bounds: one entry for each listed server and for each disabled one; the last {@value #MAX_SEEN} ids that a list
+ * has named are remembered.
  */
 public final class DisabledServers {
-    private static final int MOST_SEEN = 8_192;
+    private static final int MAX_SEEN = 8_192;
 
-    /** What the source said last; members that are gone have no entry. */
+    /** The last state that the source gave; members that are gone have no entry. */
     private final Map<String, Member> listed = new HashMap<>();
 
     private final Map<String, Boolean> seen = new LinkedHashMap<>(16, 0.75f, true) {
@@ -26,19 +27,19 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_SEEN;
+            return size() > MAX_SEEN;
         }
     };
-    private Set<String> out = Set.of();
+    private Set<String> disabled = Set.of();
 
-    /** A list, or changes to it, as the pool is to have them. */
-    public ServerListUpdate follow(ServerListUpdate roll, boolean whole) {
+    /** Returns a list, or changes to it, with disabled servers draining; the same object if there are none. */
+    public ServerListUpdate follow(ServerListUpdate update, boolean whole) {
         if (whole) {
             listed.clear();
         }
-        List<Member> told = new ArrayList<>(roll.members().size());
+        List<Member> members = new ArrayList<>(update.members().size());
         boolean changed = false;
-        for (Member member : roll.members()) {
+        for (Member member : update.members()) {
             String id = member.server().id();
             seen.put(id, true);
             if (member.isGone()) {
@@ -46,48 +47,48 @@
             } else {
                 listed.put(id, member);
             }
-            boolean held = member.isReady() && out.contains(id);
-            changed |= held;
-            told.add(held ? member.draining() : member);
+            boolean drains = member.isReady() && disabled.contains(id);
+            changed |= drains;
+            members.add(drains ? member.draining() : member);
         }
-        return changed ? new ServerListUpdate(roll.revision(), roll.complete(), told) : roll;
+        return changed ? new ServerListUpdate(update.revision(), update.complete(), members) : update;
     }
 
-    /** From now on just these are out. Returns the changes that follow from it, which may be none. */
-    public ServerListUpdate set(Set<String> now) {
-        Set<String> differ = new HashSet<>(now);
-        differ.addAll(out);
-        differ.removeIf(id -> now.contains(id) == out.contains(id));
-        out = Set.copyOf(now);
-        List<Member> told = new ArrayList<>();
-        for (String id : differ) {
+    /** Replaces the set of disabled servers. Returns the changes to the list that follow, which may be empty. */
+    public ServerListUpdate set(Set<String> next) {
+        Set<String> differing = new HashSet<>(next);
+        differing.addAll(disabled);
+        differing.removeIf(id -> next.contains(id) == disabled.contains(id));
+        disabled = Set.copyOf(next);
+        List<Member> changes = new ArrayList<>();
+        for (String id : differing) {
             Member member = listed.get(id);
             if (member != null && member.isReady()) {
-                told.add(out.contains(id) ? member.draining() : member);
+                changes.add(disabled.contains(id) ? member.draining() : member);
             }
         }
-        return new ServerListUpdate(0, false, told);
+        return new ServerListUpdate(0, false, changes);
     }
 
-    /** Whether a list has ever named it, or an operator has taken it out. */
+    /** Whether a list has ever named the server, or an operator has disabled it. */
     public boolean knows(String id) {
-        return seen.containsKey(id) || out.contains(id);
+        return seen.containsKey(id) || disabled.contains(id);
     }
 
-    /** Whether it is out now. */
+    /** Whether the server is disabled now. */
     public boolean isOut(String id) {
-        return out.contains(id);
+        return disabled.contains(id);
     }
 
-    /** How many servers are listed, draining ones too. */
+    /** The number of listed servers, draining ones included. */
     public int listed() {
         return listed.size();
     }
 
-    /** How many of those that are listed are out by hand. */
+    /** The number of listed servers that are disabled. */
     public int out() {
         int count = 0;
-        for (String id : out) {
+        for (String id : disabled) {
             count += listed.containsKey(id) ? 1 : 0;
         }
         return count;
--- a/src/main/java/rushpin/membership/Json.java
+++ b/src/main/java/rushpin/membership/Json.java
@@ -15,72 +15,72 @@
 import java.util.Deque;
 
 /**
- * JSON text as a tree, by the library's streaming reader alone. Its object mapper costs a start a quarter of its CPU
- * time (the mapper's tables, and the calendars of a locale for dates that nobody here reads), and nodes of a large
- * fleet start all at once. Nesting is bounded by the library's own limit.
+ * Parses JSON text into trees with Jackson's streaming parser alone. Its object mapper would take a quarter of the CPU
+ * time of a process start (the mapper's tables, and a locale's calendars for dates, which are not used here), and all
+ * nodes of a large fleet may start at once. Nesting is bounded by Jackson's own limit.
  */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
-    /** The tree of the first value of a text; a missing node where there is none. */
+    /** Parses the first value of a text; returns a missing node if there is none. */
     public static JsonNode read(String text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
-            Tree tree = new Tree();
+            TreeBuilder tree = new TreeBuilder();
             while (parser.nextToken() != null) {
-                JsonNode whole = tree.grow(parser);
-                if (whole != null) {
-                    return whole;
+                JsonNode value = tree.add(parser);
+                if (value != null) {
+                    return value;
                 }
             }
-            // The library itself refuses a text that ends within a value.
+            // Jackson itself refuses a text that ends within a value.
             return MissingNode.getInstance();
         }
     }
 
-    /** A reader that is fed bytes as they come, and gives {@link JsonToken#NOT_AVAILABLE} where it needs more. */
-    public static JsonParser fed() throws IOException {
+    /** A parser that is fed bytes as they arrive; its token is {@link JsonToken#NOT_AVAILABLE} when it needs more. */
+    public static JsonParser nonBlockingParser() throws IOException {
         return FACTORY.createNonBlockingByteArrayParser();
     }
 
-    /** One value after the other, a token at a time; what is not whole yet waits here. */
-    public static final class Tree {
+    /** Builds one value after the other from tokens, and keeps the incomplete one. */
+    public static final class TreeBuilder {
         private final Deque<ContainerNode<?>> open = new ArrayDeque<>();
         private String key;
 
-        /** Whether a value has begun and not ended. */
+        /** Whether a value has begun and is incomplete. */
         public boolean isOpen() {
             return !open.isEmpty();
         }
 
-        /** Takes the parser's token; the value that it completes, or null if there is more to come. */
-        public JsonNode grow(JsonParser parser) throws IOException {
-            JsonNodeFactory make = JsonNodeFactory.instance;
+        /** Adds the parser's current token; returns the value that it completes, or null if the value is incomplete. */
+        public JsonNode add(JsonParser parser) throws IOException {
+            JsonNodeFactory factory = JsonNodeFactory.instance;
             return switch (parser.currentToken()) {
                 case FIELD_NAME -> {
                     key = parser.currentName();
                     yield null;
                 }
-                case START_OBJECT -> begin(make.objectNode());
-                case START_ARRAY -> begin(make.arrayNode());
+                case START_OBJECT -> begin(factory.objectNode());
+                case START_ARRAY -> begin(factory.arrayNode());
                 case END_OBJECT, END_ARRAY -> {
                     ContainerNode<?> ended = open.pop();
                     yield open.isEmpty() ? ended : null;
                 }
-                case VALUE_STRING -> put(make.textNode(parser.getText()));
-                case VALUE_TRUE -> put(make.booleanNode(true));
-                case VALUE_FALSE -> put(make.booleanNode(false));
-                case VALUE_NULL -> put(make.nullNode());
-                case VALUE_NUMBER_FLOAT -> put(make.numberNode(parser.getDoubleValue()));
+                case VALUE_STRING -> put(factory.textNode(parser.getText()));
+                case VALUE_TRUE -> put(factory.booleanNode(true));
+                case VALUE_FALSE -> put(factory.booleanNode(false));
+                case VALUE_NULL -> put(factory.nullNode());
+                case VALUE_NUMBER_FLOAT -> put(factory.numberNode(parser.getDoubleValue()));
                 case VALUE_NUMBER_INT ->
                     put(
                             switch (parser.getNumberType()) {
-                                case INT -> make.numberNode(parser.getIntValue());
-                                case LONG -> make.numberNode(parser.getLongValue());
-                                default -> make.numberNode(parser.getBigIntegerValue());
+                                case INT -> factory.numberNode(parser.getIntValue());
+                                case LONG -> factory.numberNode(parser.getLongValue());
+                                default -> factory.numberNode(parser.getBigIntegerValue());
                             });
-                default -> throw new JsonParseException(parser, "a value was expected, not " + parser.currentToken());
+                default -> throw new JsonParseException(parser, "expected a value, found " + parser.currentToken());
             };
         }
 
--- a/src/main/java/rushpin/membership/Member.java
+++ b/src/main/java/rushpin/membership/Member.java
@@ -4,19 +4,19 @@
 import rushpin.gateway.Ports.Readiness;
 import rushpin.gateway.Ports.Server;
 
-/** An app server and where this edge node reaches it. */
+/** An app server and the address at which this edge node reaches it. */
 public record Member(Server server, SocketAddress address) {
-    /** Whether new work may go to it. */
+    /** Whether new requests may go to it. */
     public boolean isReady() {
         return server.readiness() == Readiness.READY;
     }
 
-    /** Whether it is listed no more. */
+    /** Whether it is no longer listed. */
     public boolean isGone() {
         return server.readiness() == Readiness.GONE;
     }
 
-    /** The same server, which finishes what it has and gets nothing new. */
+    /** The same server, draining: it finishes its requests and gets no new ones. */
     public Member draining() {
         return new Member(
                 new Server(
@@ -30,8 +30,8 @@
                 address);
     }
 
-    /** The same server with another start; 0 for long ago, else nanoseconds by this node's clock. */
-    public Member startedAt(long at) {
+    /** The same server with another start time; 0 for long ago, else nanoseconds by this node's clock. */
+    public Member startedAt(long startNanos) {
         return new Member(
                 new Server(
                         server.id(),
@@ -40,16 +40,16 @@
                         server.cell(),
                         server.kind(),
                         server.readiness(),
-                        at),
+                        startNanos),
                 address);
     }
 
-    /** The same server, gone. */
+    /** The same server, no longer listed. */
     public Member gone() {
         return new Member(gone(server), address);
     }
 
-    /** The same server, gone. */
+    /** The same server, no longer listed. */
     public static Server gone(Server server) {
         return new Server(
                 server.id(),
--- a/src/main/java/rushpin/membership/Names.java
+++ b/src/main/java/rushpin/membership/Names.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** Names of classes, plans, zones and machine kinds, each at its index in the module's settings. */
+/** The names of classes, plans, zones and machine kinds; the settings refer to each by its index here. */
 public record Names(List<String> classes, List<String> plans, List<String> zones, List<String> kinds) {}
--- a/src/main/java/rushpin/membership/ServerListUpdate.java
+++ b/src/main/java/rushpin/membership/ServerListUpdate.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** A message of a source of servers: the whole list if {@code complete}, else changed entries. */
+/** One message of a source of app servers: the whole server list if {@code complete}, else the changed entries. */
 public record ServerListUpdate(long revision, boolean complete, List<Member> members) {}
--- a/src/main/java/rushpin/membership/StartTimes.java
+++ b/src/main/java/rushpin/membership/StartTimes.java
@@ -10,67 +10,71 @@
 import rushpin.gateway.Ports.Server;
 
 /**
- * When servers started, by this node's own clock. Lists tell it by the machines' clock, and that may be set while nodes
- * run. Whether only this machine's was set is unknown: a start is then told in the time from before, else in the time
- * from after. Of the two readings the youngest counts that is not in the future, so that a cold server is never taken
- * for a warm one; a warm one may be taken for one that is younger by as much as the clock was set. Where both lie in
- * the future, and where machines' clocks differ, a start is as of now. It is carried over once, when it is first heard,
- * and then stays: a list that is told again makes nothing cold or warm. No I/O; one thread.
+ * Converts the start times of app servers to this node's own clock. Server lists give them by the machines' clocks,
+ * which may be set while nodes run. Whether only this machine's clock was set, or those of all machines, is unknown: a
+ * listed start may be by the time before or after the step. Of these two readings the later one that is not in the
+ * future counts, so that a cold server is never taken for a warm one; a warm server may appear younger by as much as
+ * the clock was set. If both readings are in the future, or machines' clocks differ, the start is taken as now. A start
+ * is converted when it is first listed and then stays: listing it again makes no server cold or warm. No I/O; not
+ * thread-safe.
  *
- * <p>Limits: what the clock was off when this process started is not known here. A process whose clock is ahead by an
- * hour takes servers that started within the hour for as much older; lists give no bound but that it is ahead by no more
- * than the age, by its own clock, of the youngest server that it was ever told of. A clock that was set twice, there and
- * back, between a server's start and the list that tells it leaves no trace.
+ * <p>Limits: the error of the clock when this process started is unknown. A process whose clock is an hour ahead takes
+ * servers that started within that hour for an hour older; the lists show only that the clock is ahead by no more than
+ * the age, by its own reading, of the youngest server listed so far. A clock that is set forward and back between a
+ * server's start and the list that reports it can't be detected.
  *
  * <p>Bounds: one entry for each listed server.
  */
 public final class StartTimes {
-    private record Start(long told, long here) {}
+    /** A start as listed, and as converted to this node's clock; nanoseconds. */
+    private record Start(long listed, long converted) {}
 
     private final Map<String, Start> starts = new HashMap<>();
 
     /**
-     * The list with starts as they are here.
+     * Returns the update with start times by this node's clock; the same object if none changes.
      *
-     * @param now this node's time, Unix nanoseconds as those of the list
-     * @param ahead how far this machine's clock was set ahead of this node's since its start; below 0 for back
+     * @param whole whether the update is the whole list: servers that it doesn't name are forgotten
+     * @param now this node's time, Unix nanoseconds as in the list
+     * @param ahead nanoseconds by which this machine's clock was set ahead of this node's clock since the node's start;
+     *     negative if it was set back
      */
-    public ServerListUpdate carry(ServerListUpdate roll, boolean whole, long now, long ahead) {
-        List<Member> members = new ArrayList<>(roll.members().size());
-        Set<String> named = new HashSet<>();
+    public ServerListUpdate carry(ServerListUpdate update, boolean whole, long now, long ahead) {
+        List<Member> members = new ArrayList<>(update.members().size());
+        Set<String> ids = new HashSet<>();
         boolean changed = false;
-        for (Member member : roll.members()) {
+        for (Member member : update.members()) {
             Server server = member.server();
-            named.add(server.id());
-            long told = server.startedAt();
+            ids.add(server.id());
+            long listed = server.startedAt();
             Start known = starts.get(server.id());
-            if (known == null || known.told != told) {
-                // 0 is 'long ago', whatever any clock says.
-                known = new Start(told, told > 0 ? here(told, now, ahead) : told);
+            if (known == null || known.listed != listed) {
+                // 0 means 'long ago' by any clock.
+                known = new Start(listed, listed > 0 ? convert(listed, now, ahead) : listed);
                 starts.put(server.id(), known);
             }
-            changed |= known.here != told;
-            members.add(known.here == told ? member : member.startedAt(known.here));
+            changed |= known.converted != listed;
+            members.add(known.converted == listed ? member : member.startedAt(known.converted));
             if (server.readiness() == Readiness.GONE) {
                 starts.remove(server.id());
             }
         }
         if (whole) {
-            starts.keySet().retainAll(named);
+            starts.keySet().retainAll(ids);
         }
-        return changed ? new ServerListUpdate(roll.revision(), roll.complete(), members) : roll;
+        return changed ? new ServerListUpdate(update.revision(), update.complete(), members) : update;
     }
 
-    private static long here(long told, long now, long ahead) {
-        long asFromAfter = told - ahead;
-        long youngest = Math.max(told, asFromAfter);
-        if (youngest > now) {
-            youngest = Math.min(told, asFromAfter);
+    private static long convert(long listed, long now, long ahead) {
+        long withoutStep = listed - ahead;
+        long latest = Math.max(listed, withoutStep);
+        if (latest > now) {
+            latest = Math.min(listed, withoutStep);
         }
-        return Math.max(1, Math.min(youngest, now));
+        return Math.max(1, Math.min(latest, now));
     }
 
-    /** How many servers are remembered. */
+    /** The number of servers whose start times are kept. */
     int size() {
         return starts.size();
     }
--- a/src/main/java/rushpin/membership/discovery/ServerListReader.java
+++ b/src/main/java/rushpin/membership/discovery/ServerListReader.java
@@ -13,13 +13,13 @@
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
 
-/** Reads the messages of the platform's discovery. No sockets: text in, values out. */
+/** Parses the messages of the platform's discovery. No sockets: text in, values out. */
 public final class ServerListReader {
-    /** A message that cannot be used; the text is one plain line that names the key. */
+    /** Thrown for a message that cannot be used; the text is one line that names the key. */
     public static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** Says what is wrong. */
+        /** Creates the exception with a message of one line. */
         public Malformed(String message) {
             super(message);
         }
@@ -27,7 +27,7 @@
 
     private ServerListReader() {}
 
-    /** Reads one line of discovery. */
+    /** Parses one message. */
     public static ServerListUpdate read(String line, Names names) throws Malformed {
         try {
             return read(Json.read(line), names);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Reads a list that stands inside another document. */
+    /** Reads a server list that is part of another document. */
     public static ServerListUpdate read(JsonNode node, Names names) throws Malformed {
         if (!present(node, "members").isArray() || !present(node, "revision").isIntegralNumber()) {
             throw new Malformed("a list of app servers without revision or members");
@@ -52,8 +52,8 @@
                 case "Gone" -> Readiness.GONE;
                 default -> Readiness.DRAINING;
             };
-            // The module's clock starts at the wall clock's time, so a start needs no more than a new unit;
-            // it compares starts to tell a restart, so the same start must give the same number every time.
+            // The gateway's clock begins at wall-clock time, so a start is converted by its unit alone. The gateway
+            // detects a restart by comparing starts, so equal starts must always give equal numbers.
             long started = Math.max(0, entry.path("up_since_ms").asLong(0)) * 1_000_000L;
             members.add(new Member(
                     new Server(
@@ -66,10 +66,11 @@
                             started),
                     address(entry, "host_port")));
         }
-        return new ServerListUpdate(node.get("revision").asLong(), node.path("complete").asBoolean(false), members);
+        return new ServerListUpdate(
+                node.get("revision").asLong(), node.path("complete").asBoolean(false), members);
     }
 
-    /** The value of a key that must be there. */
+    /** The value of a required key. */
     public static JsonNode present(JsonNode node, String key) throws Malformed {
         if (!node.hasNonNull(key)) {
             throw new Malformed(key + " is missing");
@@ -77,12 +78,12 @@
         return node.get(key);
     }
 
-    /** The address that stands under a key, as host:port. */
+    /** Reads the address, host:port, of a required key. */
     public static InetSocketAddress address(JsonNode node, String key) throws Malformed {
         return address(present(node, key).asText(), key);
     }
 
-    /** An address as host:port; {@code key} names it in what is said of one that is none. */
+    /** Parses an address as host:port; {@code key} names it in the error message. */
     public static InetSocketAddress address(String text, String key) throws Malformed {
         int colon = text.lastIndexOf(':');
         try {
@@ -91,7 +92,7 @@
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (IllegalArgumentException e) {
-            // Said below.
+            // Reported below.
         }
         throw new Malformed(key + " is not host:port: " + text);
     }
--- a/src/main/java/rushpin/membership/discovery/ServerListStream.java
+++ b/src/main/java/rushpin/membership/discovery/ServerListStream.java
@@ -12,43 +12,46 @@
 import rushpin.membership.ServerListUpdate;
 
 /**
- * The messages of one watch, from bytes that come in any pieces. Messages may lie on a line each or be indented over
- * several; what stands between them is white space. No sockets: bytes in, values out.
+ * Decodes the messages of one watch from bytes that arrive in pieces of any size. A message may be one line or indented
+ * over several; messages are separated by white space. No sockets: bytes in, values out.
  *
- * <p>Bounds: {@link #MOST_BYTES} of one message. After a fault the rest cannot be told from it: the stream is over.
+ * <p>Bounds: {@link #MAX_MESSAGE_BYTES} for one message. After a fault the stream is unusable, as the start of the next
+ * message can't be found.
  */
 public final class ServerListStream {
-    /** What one message may have, in bytes. */
-    public static final int MOST_BYTES = 1 << 20;
+    /** The largest size of one message, in bytes. */
+    public static final int MAX_MESSAGE_BYTES = 1 << 20;
 
     private final Names names;
     private final JsonParser parser;
-    private final Json.Tree tree = new Json.Tree();
-    /** Bytes fed so far, and how many of them ended the last message. */
-    private long fed, done;
+    private final Json.TreeBuilder tree = new Json.TreeBuilder();
+    /** Bytes fed so far. */
+    private long fedBytes;
+    /** The offset at which the last whole message ended. */
+    private long completedBytes;
 
-    /** Has read nothing yet. */
+    /** Creates a decoder at the start of a watch; {@code names} maps names in messages to indices. */
     public ServerListStream(Names names) {
         this.names = names;
         try {
-            parser = Json.fed();
+            parser = Json.nonBlockingParser();
         } catch (IOException e) {
-            throw new IllegalStateException("the JSON library has no reader for bytes", e);
+            throw new IllegalStateException("the JSON library has no non-blocking parser", e);
         }
     }
 
-    /** Reads on; tells each message that is whole with these bytes, in their order. */
-    public void feed(byte[] bytes, int length, Consumer<ServerListUpdate> heard) throws ServerListReader.Malformed {
+    /** Decodes bytes; passes each message that they complete to {@code listener}, in order. */
+    public void feed(byte[] bytes, int length, Consumer<ServerListUpdate> listener) throws ServerListReader.Malformed {
         try {
             ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).feedInput(bytes, 0, length);
-            fed += length;
+            fedBytes += length;
             for (JsonToken token = parser.nextToken();
                     token != null && token != JsonToken.NOT_AVAILABLE;
                     token = parser.nextToken()) {
-                JsonNode whole = tree.grow(parser);
-                if (whole != null) {
-                    done = parser.currentLocation().getByteOffset();
-                    heard.accept(ServerListReader.read(whole, names));
+                JsonNode message = tree.add(parser);
+                if (message != null) {
+                    completedBytes = parser.currentLocation().getByteOffset();
+                    listener.accept(ServerListReader.read(message, names));
                 }
             }
         } catch (JsonProcessingException e) {
@@ -58,24 +61,24 @@
             throw new ServerListReader.Malformed("discovery's message cannot be read: " + e.getMessage());
         }
         if (!tree.isOpen()) {
-            done = fed;
+            completedBytes = fedBytes;
         }
-        if (fed - done > MOST_BYTES) {
+        if (fedBytes - completedBytes > MAX_MESSAGE_BYTES) {
             throw new ServerListReader.Malformed("discovery's message is too long");
         }
     }
 
-    /** Whether a message has begun and is not whole yet. */
+    /** Whether a message has begun and is incomplete. */
     public boolean isWithin() {
         return tree.isOpen();
     }
 
-    /** Reads no more; gives back the library's buffers. */
+    /** Releases the JSON library's buffers; nothing may be fed afterwards. */
     public void close() {
         try {
             parser.close();
         } catch (IOException e) {
-            // There is nothing below it that could fail.
+            // Not possible: the parser has no underlying stream to close.
         }
     }
 }
--- a/src/main/java/rushpin/membership/xds/ClusterView.java
+++ b/src/main/java/rushpin/membership/xds/ClusterView.java
@@ -14,62 +14,79 @@
 import rushpin.membership.ServerListUpdate;
 
 /**
- * A cluster and its endpoints as the one list that the pool knows: ready, draining or gone, with size, zone and start.
- * Only what has changed is told. No I/O; time is an argument; one thread at a time.
+ * Converts an xDS cluster and its endpoints to the server list of a pool: ready, draining or gone, with size, zone and
+ * start time. Only changes are reported. No I/O; time is passed in; not thread-safe.
  *
- * <p>Bounds: the endpoints of one cluster, and {@value #MOST_LEFT} of those that updates took away, for
+ * <p>Bounds: the endpoints of one cluster, and up to {@value #MAX_REMOVED} removed servers, each kept for
  * {@link Rules#remember}.
  */
 public final class ClusterView {
     /**
      * The operator's rules.
      *
-     * @param mostRemoved the part of the ready servers that one update may take away at once; 1 for all
-     * @param guard nanoseconds for which an update that takes away more is held back; the next one counts at once
-     * @param warming nanoseconds for which endpoints that never come are waited for
-     * @param remember nanoseconds for which servers that went with a large update keep their start
+     * @param maxRemoved the largest part of the ready servers that one update may remove at once; 1 for all
+     * @param guard nanoseconds for which an update that removes more is held back; the next update applies at once
+     * @param warming nanoseconds to wait for the endpoints of a cluster before it is taken to have none
+     * @param remember nanoseconds for which servers that a large update removed keep their start time
      */
-    public record Rules(double mostRemoved, long guard, long warming, long remember) {}
+    public record Rules(double maxRemoved, long guard, long warming, long remember) {}
 
-    /** What is to be told to the pool. */
+    /** Receives the server list and log lines. */
     public interface Port {
-        /** Changes to the list, or the whole list. */
-        void list(ServerListUpdate roll, boolean whole);
+        /** Reports the whole list, or changes to it. */
+        void list(ServerListUpdate update, boolean whole);
 
-        /** A line for the operators. */
+        /** Writes a line for operators. */
         void log(String text);
     }
 
-    /** An update that takes away so much at once is taken for a slip: what comes back is as it was. */
+    /** A removal of at least this part of the ready servers may be a mistake: servers that return keep their start. */
     private static final double LARGE = 0.5;
-    /** However often a server replaces its whole list. */
-    static final int MOST_LEFT = 20_000;
+    /** Bounds {@link #removed}, however often a management server replaces its whole list. */
+    static final int MAX_REMOVED = 20_000;
 
     private static final long MS = 1_000_000L;
 
-    private record Left(Member member, long until) {}
+    private record Removed(Member member, long until) {}
 
     private final Names names;
     private final Rules rules;
     private final Port port;
-    private final Map<String, Member> told = new LinkedHashMap<>();
-    private final Map<String, Left> left = new HashMap<>();
+    /** The list as last reported to the pool, by id. */
+    private final Map<String, Member> reported = new LinkedHashMap<>();
+    /** Servers that a large update removed, by id. */
+    private final Map<String, Removed> removed = new HashMap<>();
+    /** The cluster as last received; null if there is none. */
     private ClusterSpec cluster;
-    private Endpoints present, held;
-    private boolean heard, stale;
-    private long revision, heldUntil, freshUntil, warmUntil;
-    private double norm = 1;
+    /** The endpoints in force. */
+    private Endpoints present;
+    /** An update that the guard holds back; null for none. */
+    private Endpoints held;
+    /** Whether a list was ever reported, before the start of this process included. */
+    private boolean hasReported;
+    /** Whether {@code endpoint_stale_after} has passed without an update. */
+    private boolean stale;
 
-    /** Begins with the list as last known; nothing of that is new. */
+    private long revision;
+    /** When the held update is applied. */
+    private long heldUntil;
+    /** When the endpoints become stale; 0 for never. */
+    private long freshUntil;
+    /** Until when endpoints are waited for; 0 if none are. */
+    private long warmUntil;
+    /** The weight that counts as size 1. */
+    private double referenceWeight = 1;
+
+    /** Begins with the list as last known before this start; its servers keep their start times. */
     public ClusterView(Names names, Rules rules, List<Member> known, Port port) {
         this.names = names;
         this.rules = rules;
         this.port = port;
-        known.forEach(member -> told.put(member.server().id(), member));
-        heard = !known.isEmpty();
+        known.forEach(member -> reported.put(member.server().id(), member));
+        hasReported = !known.isEmpty();
     }
 
-    /** The cluster is so from now on; null if there is none. {@code wall} is Unix time, nanoseconds. */
+    /** Replaces the cluster; null if it was removed. {@code wall} is Unix time in nanoseconds. */
     public void cluster(ClusterSpec next, long now, long wall) {
         boolean moved = next != null
                 && cluster != null
@@ -84,64 +101,64 @@
         boolean first = cluster == null && next != null;
         cluster = next;
         if ((first || moved) && next.edsName() != null) {
-            // Until its endpoints come, those that are known stay (warming).
+            // Warming: the known endpoints stay in force until the cluster's own arrive.
             warmUntil = now + rules.warming;
         }
     }
 
-    /** The endpoints are so from now on. */
+    /** Replaces the endpoints. */
     public void endpoints(Endpoints next, long now, long wall) {
         warmUntil = 0;
         propose(next, now, wall);
     }
 
-    /** Time has passed: call it once a second or so. */
+    /** Applies what is due by time; to be called about once a second. */
     public void time(long now, long wall) {
         if (held != null && now >= heldUntil) {
             port.log("no other update has come: what was held back is taken now");
-            Endpoints taken = held;
+            Endpoints next = held;
             held = null;
-            take(taken, now, wall);
+            apply(next, now, wall);
         }
         if (warmUntil != 0 && now >= warmUntil) {
             warmUntil = 0;
             port.log("the endpoints of cluster " + cluster.name() + " do not come: it is taken to have none");
-            take(Endpoints.none(cluster.name()), now, wall);
+            apply(Endpoints.none(cluster.name()), now, wall);
         }
         if (freshUntil != 0 && now >= freshUntil && !stale) {
             stale = true;
             port.log("endpoint_stale_after is over and no update has come: nothing new goes to these endpoints");
-            tell(now, wall);
+            report(now, wall);
         }
-        left.values().removeIf(one -> now >= one.until);
+        removed.values().removeIf(entry -> now >= entry.until);
     }
 
     private void propose(Endpoints next, long now, long wall) {
         boolean second = held != null;
         held = null;
-        if (!second && removes(next) > rules.mostRemoved && rules.guard > 0) {
+        if (!second && removedPart(next) > rules.maxRemoved && rules.guard > 0) {
             held = next;
             heldUntil = now + rules.guard;
             port.log(String.format(
                     java.util.Locale.ROOT,
                     "an update takes away %.0f%% of the ready servers, more than"
                             + " most-removed: held back for %d ms, or until the next one",
-                    100 * removes(next),
+                    100 * removedPart(next),
                     rules.guard / MS));
-            // A drain is no slip: it counts at once, whatever else the update says.
-            drainWhatIsNamed(next, now, wall);
+            // A drain is deliberate: it applies at once, whatever else the update contains.
+            applyDrains(next, now, wall);
             return;
         }
-        take(next, now, wall);
+        apply(next, now, wall);
     }
 
-    private void drainWhatIsNamed(Endpoints next, long now, long wall) {
+    private void applyDrains(Endpoints next, long now, long wall) {
         List<Member> changed = new ArrayList<>();
-        for (Endpoints.Endpoint one : next.all()) {
-            Member known = told.get(one.id());
-            if (known != null && known.isReady() && one.readiness() == Readiness.DRAINING) {
+        for (Endpoints.Endpoint endpoint : next.all()) {
+            Member known = reported.get(endpoint.id());
+            if (known != null && known.isReady() && endpoint.readiness() == Readiness.DRAINING) {
                 Member drained = with(known, Readiness.DRAINING);
-                told.put(one.id(), drained);
+                reported.put(endpoint.id(), drained);
                 changed.add(drained);
             }
         }
@@ -150,130 +167,143 @@
         }
     }
 
-    private double removes(Endpoints next) {
+    /** The part of the ready servers that an update would remove, 0 to 1. */
+    private double removedPart(Endpoints next) {
         Set<String> staying = new LinkedHashSet<>();
-        next.all().forEach(one -> staying.add(one.id()));
-        int ready = 0, gone = 0;
-        for (Member member : told.values()) {
+        next.all().forEach(endpoint -> staying.add(endpoint.id()));
+        int ready = 0;
+        int gone = 0;
+        for (Member member : reported.values()) {
             ready += member.isReady() ? 1 : 0;
             gone += member.isReady() && !staying.contains(member.server().id()) ? 1 : 0;
         }
         return ready == 0 ? 0 : gone / (double) ready;
     }
 
-    private void take(Endpoints next, long now, long wall) {
+    private void apply(Endpoints next, long now, long wall) {
         present = next;
         stale = false;
         freshUntil = next.staleAfter() > 0 ? now + next.staleAfter() : 0;
-        tell(now, wall);
+        report(now, wall);
     }
 
-    /** The lowest priority with a ready endpoint has all that is new; the others wait as draining ones do. */
-    private static int chosen(Endpoints of) {
-        int chosen = Integer.MAX_VALUE;
-        for (Endpoints.Endpoint one : of.all()) {
-            if (one.readiness() == Readiness.READY) {
-                chosen = Math.min(chosen, one.priority());
+    /** The lowest priority that has a ready endpoint: it gets all new requests, endpoints of the others drain. */
+    private static int activePriority(Endpoints endpoints) {
+        int lowest = Integer.MAX_VALUE;
+        for (Endpoints.Endpoint endpoint : endpoints.all()) {
+            if (endpoint.readiness() == Readiness.READY) {
+                lowest = Math.min(lowest, endpoint.priority());
             }
         }
-        return chosen;
+        return lowest;
     }
 
-    private void tell(long now, long wall) {
-        int chosen = chosen(present);
-        normalise(chosen);
-        boolean large = removes(present) >= LARGE;
+    private void report(long now, long wall) {
+        int active = activePriority(present);
+        updateReferenceWeight(active);
+        boolean large = removedPart(present) >= LARGE;
         Map<String, Member> next = new LinkedHashMap<>();
         List<Member> changed = new ArrayList<>();
-        for (Endpoints.Endpoint one : present.all()) {
-            boolean ready = one.readiness() == Readiness.READY && one.priority() == chosen && !stale;
+        for (Endpoints.Endpoint endpoint : present.all()) {
+            boolean ready = endpoint.readiness() == Readiness.READY && endpoint.priority() == active && !stale;
             Member member = new Member(
                     new Server(
-                            one.id(),
-                            one.weight() / norm,
-                            names.zones().indexOf(one.zone()),
-                            one.cell(),
-                            names.kinds().indexOf(one.kind()),
+                            endpoint.id(),
+                            endpoint.weight() / referenceWeight,
+                            names.zones().indexOf(endpoint.zone()),
+                            endpoint.cell(),
+                            names.kinds().indexOf(endpoint.kind()),
                             ready ? Readiness.READY : Readiness.DRAINING,
-                            started(one, wall)),
-                    one.address());
-            next.put(one.id(), member);
-            if (!member.equals(told.get(one.id()))) {
+                            startTime(endpoint, wall)),
+                    endpoint.address());
+            next.put(endpoint.id(), member);
+            if (!member.equals(reported.get(endpoint.id()))) {
                 changed.add(member);
             }
         }
-        List<Member> gone = new ArrayList<>();
-        for (Member before : told.values()) {
+        List<Member> changes = new ArrayList<>();
+        for (Member before : reported.values()) {
             if (!next.containsKey(before.server().id())) {
-                gone.add(before.gone());
-                if (large && before.isReady() && rules.remember > 0 && left.size() < MOST_LEFT) {
-                    left.put(before.server().id(), new Left(before, now + rules.remember));
+                changes.add(before.gone());
+                if (large && before.isReady() && rules.remember > 0 && removed.size() < MAX_REMOVED) {
+                    removed.put(before.server().id(), new Removed(before, now + rules.remember));
                 }
             }
         }
-        next.keySet().forEach(left::remove);
-        told.clear();
-        told.putAll(next);
-        boolean first = !heard;
-        heard = true;
+        next.keySet().forEach(removed::remove);
+        reported.clear();
+        reported.putAll(next);
+        boolean first = !hasReported;
+        hasReported = true;
         if (first) {
             port.list(new ServerListUpdate(++revision, true, List.copyOf(next.values())), true);
-        } else if (!changed.isEmpty() || !gone.isEmpty()) {
-            // What goes comes first: its address may be another's in the same update.
-            gone.addAll(changed);
-            port.list(new ServerListUpdate(++revision, false, gone), false);
+        } else if (!changed.isEmpty() || !changes.isEmpty()) {
+            // Removals come first: the same update may give their address to another server.
+            changes.addAll(changed);
+            port.list(new ServerListUpdate(++revision, false, changes), false);
         }
     }
 
-    /** A size of 1 is the usual one. It is measured anew only when it is far off: one change must not be everybody's. */
-    private void normalise(int chosen) {
+    /**
+     * Keeps the weight that counts as size 1 near the mean of the active endpoints. It follows only when it is off by a
+     * factor of 1.5: otherwise the change of one weight would change the size of every server.
+     */
+    private void updateReferenceWeight(int active) {
         double sum = 0;
         int count = 0;
-        for (Endpoints.Endpoint one : present.all()) {
-            if (one.priority() == chosen) {
-                sum += one.weight();
+        for (Endpoints.Endpoint endpoint : present.all()) {
+            if (endpoint.priority() == active) {
+                sum += endpoint.weight();
                 count++;
             }
         }
-        double mean = count == 0 ? norm : sum / count;
-        if (mean < norm / 1.5 || mean > norm * 1.5) {
-            norm = mean;
+        double mean = count == 0 ? referenceWeight : sum / count;
+        if (mean < referenceWeight / 1.5 || mean > referenceWeight * 1.5) {
+            referenceWeight = mean;
         }
     }
 
-    /** As its metadata says; else as it was; else, on the first list of all, long ago, and from then on as of now. */
-    private long started(Endpoints.Endpoint one, long wall) {
-        if (one.started() >= 0) {
-            return one.started();
+    /** The start in the metadata, else the known start; else long ago (0) in the first list, and now in later ones. */
+    private long startTime(Endpoints.Endpoint endpoint, long wall) {
+        if (endpoint.started() >= 0) {
+            return endpoint.started();
         }
-        Member known = told.get(one.id());
-        if (known == null && left.containsKey(one.id())) {
-            known = left.get(one.id()).member;
+        Member known = reported.get(endpoint.id());
+        if (known == null && removed.containsKey(endpoint.id())) {
+            known = removed.get(endpoint.id()).member;
         }
-        // Under another address it is another process, even by the old name.
-        if (known != null && known.address().equals(one.address())) {
+        // A changed address means another process, even under the same id.
+        if (known != null && known.address().equals(endpoint.address())) {
             return known.server().startedAt();
         }
-        return heard ? wall : 0;
+        return hasReported ? wall : 0;
     }
 
-    private static Member with(Member of, Readiness readiness) {
-        Server s = of.server();
+    private static Member with(Member member, Readiness readiness) {
+        Server server = member.server();
         return new Member(
-                new Server(s.id(), s.size(), s.zone(), s.cell(), s.kind(), readiness, s.startedAt()), of.address());
+                new Server(
+                        server.id(),
+                        server.size(),
+                        server.zone(),
+                        server.cell(),
+                        server.kind(),
+                        readiness,
+                        server.startedAt()),
+                member.address());
     }
 
-    /** How many that have left are remembered. */
+    /** The number of removed servers that are remembered. */
     int remembered() {
-        return left.size();
+        return removed.size();
     }
 
-    /** The list as it was told last. */
+    /** The list as last reported. */
     public List<Member> members() {
-        return List.copyOf(told.values());
+        return List.copyOf(reported.values());
     }
 
-    /** The part of requests that is to be turned away, 0 to 1. */
+    /** The part of requests to refuse, 0 to 1 ({@code drop_overloads}). */
     public double dropped() {
         return present == null ? 0 : present.dropped();
     }
--- a/src/main/java/rushpin/membership/xds/InvalidResourceException.java
+++ b/src/main/java/rushpin/membership/xds/InvalidResourceException.java
@@ -1,10 +1,10 @@
 package rushpin.membership.xds;
 
-/** A resource that cannot be taken; the message says which field, why, and what is allowed. */
+/** Thrown for an xDS resource that cannot be used; the message names the field, the reason and what is allowed. */
 public final class InvalidResourceException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what is wrong. */
+    /** Creates the exception with a message of one line. */
     public InvalidResourceException(String message) {
         super(message);
     }
--- a/src/main/java/rushpin/membership/xds/ReconnectBackoff.java
+++ b/src/main/java/rushpin/membership/xds/ReconnectBackoff.java
@@ -3,44 +3,50 @@
 import java.util.SplittableRandom;
 
 /**
- * Which of several management servers is tried next, and when. They are in order of preference: a stream that had
- * answered begins again with the first; one that had not goes on to the next, and waits longer each time all have been
- * tried. No I/O.
+ * Chooses which management server is tried next, and after which delay. Servers are in order of preference: after a
+ * stream that had answered, the first server is tried again; after one that had not, the next one, with a longer delay
+ * each time all servers have been tried. No I/O.
  */
 public final class ReconnectBackoff {
-    private static final double JITTER = 0.2, GROWTH = 1.6;
+    /** The delay varies by this part of it, up or down. */
+    private static final double JITTER = 0.2;
+    /** The factor by which the delay grows after each round of all servers. */
+    private static final double GROWTH = 1.6;
 
     private final int servers;
-    private final long first, most;
+    private final long initialDelay;
+    private final long maxDelay;
     private final SplittableRandom random;
+    /** The number of the server to try, from 0. */
     private int server;
-    private long span;
+    /** The delay before jitter, nanoseconds. */
+    private long delay;
 
-    /** For so many servers; spans in nanoseconds. */
-    public ReconnectBackoff(int servers, long first, long most, SplittableRandom random) {
+    /** For a number of servers; delays in nanoseconds. */
+    public ReconnectBackoff(int servers, long initialDelay, long maxDelay, SplittableRandom random) {
         this.servers = servers;
-        this.first = first;
-        this.most = most;
+        this.initialDelay = initialDelay;
+        this.maxDelay = maxDelay;
         this.random = random;
-        span = first;
+        delay = initialDelay;
     }
 
-    /** The number of the server to try. */
+    /** The number of the server to try, from 0. */
     public int server() {
         return server;
     }
 
-    /** The stream has ended; returns how long to wait, in nanoseconds, a fifth more or less by chance. */
+    /** Records the end of a stream; returns the delay before the next attempt in nanoseconds, with 20% jitter. */
     public long ended(boolean hadAnswered) {
         if (hadAnswered) {
             server = 0;
-            span = first;
+            delay = initialDelay;
         } else {
             server = (server + 1) % servers;
             if (server == 0) {
-                span = (long) Math.min(most, span * GROWTH);
+                delay = (long) Math.min(maxDelay, delay * GROWTH);
             }
         }
-        return (long) (span * (1 - JITTER + 2 * JITTER * random.nextDouble()));
+        return (long) (delay * (1 - JITTER + 2 * JITTER * random.nextDouble()));
     }
 }
--- a/src/main/java/rushpin/membership/xds/ResourceReader.java
+++ b/src/main/java/rushpin/membership/xds/ResourceReader.java
@@ -12,20 +12,21 @@
 import java.io.IOException;
 
 /**
- * Reads clusters and endpoints of xDS v3. What is used, what is left aside and what is refused stands in
- * {@code docs/operate/xds.md}. No I/O; no name is looked up.
+ * Reads clusters and endpoints of xDS v3. {@code docs/operate/xds.md} lists which fields are used, ignored and refused.
+ * No I/O; host names are not resolved.
  */
 public final class ResourceReader {
-    /** Type of a cluster. */
+    /** The type URL of a cluster. */
     public static final String CLUSTER = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
-    /** Type of a cluster's endpoints. */
+    /** The type URL of a cluster's endpoints. */
     public static final String ENDPOINTS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-    /** The filter's name in an endpoint's metadata under which a start, a kind, a cell and an id may stand. */
+    /** The filter name in an endpoint's metadata under which start, kind, cell and id may be given. */
     public static final String METADATA = "rushpin";
-    /** The tag of field 1, of a length that is told. */
-    private static final int NAME = 10;
+    /** The protobuf tag of field 1, length-delimited: the name, in both types. */
+    private static final int NAME_TAG = 10;
 
-    private static final long S = 1_000_000_000L, MOST_SPAN_S = 86_400L * 365;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long MAX_DURATION_S = 86_400L * 365;
 
     private ResourceReader() {}
 
@@ -42,15 +43,15 @@
     }
 
     /**
-     * The name of a resource that may be worth nothing else; empty if there is none. Both types have it as their field 1,
-     * and the last one counts; the rest is passed over.
+     * The name of a resource, even if the rest is malformed; empty if there is none. It is field 1 of both types, and
+     * the last occurrence counts; other fields are skipped.
      */
     public static String name(Any any) {
         String name = "";
         try {
             CodedInputStream in = any.getValue().newCodedInput();
             for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
-                if (tag == NAME) {
+                if (tag == NAME_TAG) {
                     name = in.readStringRequireUtf8();
                 } else if (!in.skipField(tag)) {
                     return "";
@@ -67,29 +68,33 @@
             throw new InvalidResourceException("name is empty");
         }
         if (from.hasClusterType()) {
-            throw new InvalidResourceException("cluster_type " + from.getClusterType().getName()
-                    + " is no cluster of this node's; allowed: " + "type EDS or STATIC");
+            throw new InvalidResourceException(
+                    "cluster_type " + from.getClusterType().getName() + " is no cluster of this node's; allowed: "
+                            + "type EDS or STATIC");
         }
-        String eds = null, path = null;
+        String edsName = null;
+        String edsPath = null;
         Endpoints inline = null;
         switch (from.getType()) {
             case EDS -> {
                 if (!from.getEdsClusterConfig().hasEdsConfig()) {
-                    throw new InvalidResourceException("eds_cluster_config.eds_config is missing; allowed: ads or self");
+                    throw new InvalidResourceException(
+                            "eds_cluster_config.eds_config is missing; allowed: ads or self");
                 }
                 if (!from.getEdsClusterConfig().getEdsConfig().hasAds()
                         && !from.getEdsClusterConfig().getEdsConfig().hasSelf()
                         && !from.getEdsClusterConfig().getEdsConfig().hasPathConfigSource()) {
-                    throw new InvalidResourceException("eds_cluster_config.eds_config names another server; allowed: ads or self");
+                    throw new InvalidResourceException(
+                            "eds_cluster_config.eds_config names another server; allowed: ads or self");
                 }
                 String service = from.getEdsClusterConfig().getServiceName();
-                path = from.getEdsClusterConfig().getEdsConfig().hasPathConfigSource()
+                edsPath = from.getEdsClusterConfig().getEdsConfig().hasPathConfigSource()
                         ? from.getEdsClusterConfig()
                                 .getEdsConfig()
                                 .getPathConfigSource()
                                 .getPath()
                         : null;
-                eds = service.isEmpty() ? from.getName() : service;
+                edsName = service.isEmpty() ? from.getName() : service;
             }
             case STATIC -> {
                 if (!from.hasLoadAssignment()) {
@@ -100,34 +105,40 @@
             case STRICT_DNS, LOGICAL_DNS ->
                 throw new InvalidResourceException("type " + from.getType()
                         + " wants names to be looked up, and look-ups are off here; allowed: EDS, STATIC");
-            default -> throw new InvalidResourceException("type " + from.getType() + " is not for this node; allowed: EDS, STATIC");
+            default ->
+                throw new InvalidResourceException(
+                        "type " + from.getType() + " is not for this node; allowed: EDS, STATIC");
         }
-        long connect = span("connect_timeout", from.getConnectTimeout());
-        int connections = 0, requests = 0;
+        long connectTimeout = duration("connect_timeout", from.getConnectTimeout());
+        int maxConnections = 0;
+        int maxRequests = 0;
         for (CircuitBreakers.Thresholds thresholds : from.getCircuitBreakers().getThresholdsList()) {
             if (thresholds.getPriority() == RoutingPriority.DEFAULT) {
-                connections = bound("max_connections", thresholds.hasMaxConnections(), thresholds.getMaxConnections());
-                requests = bound("max_requests", thresholds.hasMaxRequests(), thresholds.getMaxRequests());
+                maxConnections =
+                        bound("max_connections", thresholds.hasMaxConnections(), thresholds.getMaxConnections());
+                maxRequests = bound("max_requests", thresholds.hasMaxRequests(), thresholds.getMaxRequests());
             }
         }
-        return new ClusterSpec(from.getName(), eds, path, inline, connect, connections, requests);
+        return new ClusterSpec(from.getName(), edsName, edsPath, inline, connectTimeout, maxConnections, maxRequests);
     }
 
-    private static int bound(String key, boolean said, UInt32Value value) throws InvalidResourceException {
-        if (said && value.getValue() == 0) {
-            throw new InvalidResourceException("circuit_breakers " + key + " is 0, and so no request could be sent; allowed: from 1");
+    private static int bound(String key, boolean present, UInt32Value value) throws InvalidResourceException {
+        if (present && value.getValue() == 0) {
+            throw new InvalidResourceException(
+                    "circuit_breakers " + key + " is 0, and so no request could be sent; allowed: from 1");
         }
-        // Unsigned: what does not fit is no bound at all.
-        return said && value.getValue() > 0 ? value.getValue() : 0;
+        // The value is unsigned: one that doesn't fit an int sets no bound.
+        return present && value.getValue() > 0 ? value.getValue() : 0;
     }
 
-    static long span(String key, Duration of) throws InvalidResourceException {
-        boolean negative = of.getSeconds() < 0 || of.getNanos() < 0;
-        if (negative || of.getSeconds() > MOST_SPAN_S || of.getNanos() >= S) {
+    /** A duration in nanoseconds; {@code key} names it in the error message. */
+    static long duration(String key, Duration value) throws InvalidResourceException {
+        boolean negative = value.getSeconds() < 0 || value.getNanos() < 0;
+        if (negative || value.getSeconds() > MAX_DURATION_S || value.getNanos() >= NANOS_PER_SECOND) {
             throw new InvalidResourceException(
-                    key + " is " + of.getSeconds() + " s and " + of.getNanos() + " ns; allowed: 0 to a year");
+                    key + " is " + value.getSeconds() + " s and " + value.getNanos() + " ns; allowed: 0 to a year");
         }
-        return of.getSeconds() * S + of.getNanos();
+        return value.getSeconds() * NANOS_PER_SECOND + value.getNanos();
     }
 
     /** Reads a cluster's endpoints. */
--- a/src/main/java/rushpin/membership/xds/Subscription.java
+++ b/src/main/java/rushpin/membership/xds/Subscription.java
@@ -10,25 +10,27 @@
 import java.util.Set;
 
 /**
- * One aggregated stream (ADS) for one cluster: what is asked, what is taken, acknowledged and refused, in either form
+ * One aggregated stream (ADS) for one cluster: what is requested, accepted, acknowledged and refused, in either variant
  * (xDS protocol, "Aggregated Discovery Service", "ACK/NACK and resource type instance version", "Incremental xDS").
- * Clusters are asked for first, endpoints once the cluster says under which name. What was taken stays in force while no
- * stream is there. No I/O: streams, messages and time are told by the caller, one thread at a time.
+ * The cluster is requested first, and its endpoints once the cluster gives their name. What was accepted stays in force
+ * while there is no stream. No I/O: the caller passes in streams, messages and time; not thread-safe.
  *
- * <p>Bounds: one cluster and its endpoints are kept; an answer of a type that was not asked for costs nothing but a look,
- * and {@value #MOST_STRAY} of them end the stream.
+ * <p>Bounds: one cluster and its endpoints are kept. Answers of types that were not requested are ignored;
+ * {@value #MAX_UNREQUESTED} of them end the stream.
  */
 public final class Subscription {
-    static final int MOST_STRAY = 100;
-    private static final int MOST_ERROR = 2_000;
+    static final int MAX_UNREQUESTED = 100;
+    private static final int MAX_ERROR_LENGTH = 2_000;
 
     /**
-     * A request to the server, for either form.
+     * A request to the server, for either variant.
      *
-     * @param version the last version that was taken ({@code version_info}); SOTW only
+     * @param version the last version that was accepted ({@code version_info}); SOTW only
      * @param nonce of the answer that this acknowledges or refuses; empty if there is none
-     * @param names what is subscribed to in all; SOTW only
-     * @param initial what is had already, name to version, on a new stream; DELTA only
+     * @param names all names that are subscribed to; SOTW only
+     * @param subscribe names to add; DELTA only
+     * @param unsubscribe names to remove; DELTA only
+     * @param initial versions of the resources already held, by name, on a new stream; DELTA only
      * @param error why something was refused ({@code error_detail}); null for an acknowledgement
      */
     public record ResourceRequest(
@@ -41,71 +43,78 @@
             Map<String, String> initial,
             String error) {}
 
-    /** A resource of an answer; the name and the version are told in the incremental form only. */
+    /** A resource of an answer; only the incremental variant gives name and version. */
     public record Item(String name, String version, Any resource) {}
 
-    /** An answer, of either form. */
+    /** An answer of the server, of either variant. */
     public record Answer(String type, String version, String nonce, List<Item> items, List<String> removed) {}
 
-    /** What comes of it. */
+    /** Receives what follows from events on the stream. */
     public interface Port {
-        /** To be sent on the present stream. */
-        void ask(ResourceRequest ask);
+        /** Sends a request on the present stream. */
+        void ask(ResourceRequest request);
 
-        /** The cluster is so from now on; null if the server has none of that name. */
+        /** Replaces the cluster; null if the server has none of that name. */
         void cluster(ClusterSpec spec);
 
-        /** The cluster's endpoints are so from now on. */
+        /** Replaces the cluster's endpoints. */
         void endpoints(Endpoints endpoints);
 
-        /** The stream is of no use; end it. */
+        /** Ends the stream, which is unusable. */
         void giveUp(String why);
 
-        /** A line for the operators. */
+        /** Writes a line for operators. */
         void log(String text);
     }
 
-    /** One type of resource: what is subscribed to, and how far it has come. */
-    private final class Kind {
+    /** The state of one resource type: subscribed names, and the last version and nonce. */
+    private final class TypeState {
         private final String url;
+        /** Versions of the resources held, by name. */
         private final Map<String, String> versions = new HashMap<>();
+
         private List<String> names = List.of();
-        private String version = "", nonce = "";
-        private boolean asked;
+        private String version = "";
+        private String nonce = "";
+        /** Whether this stream has carried a request of the type. */
+        private boolean requested;
 
-        Kind(String url) {
+        TypeState(String url) {
             this.url = url;
         }
 
-        /** Subscribes to exactly these names; says nothing that the server has heard already. */
+        /** Subscribes to exactly these names; sends nothing if the server knows them already. */
         void subscribe(List<String> wanted) {
-            if (!open || asked && names.equals(wanted) || !asked && wanted.isEmpty()) {
+            if (!open || requested && names.equals(wanted) || !requested && wanted.isEmpty()) {
                 names = wanted;
                 return;
             }
-            List<String> more = new ArrayList<>(wanted), less = new ArrayList<>(names);
-            if (asked) {
-                more.removeAll(names);
+            List<String> added = new ArrayList<>(wanted);
+            List<String> dropped = new ArrayList<>(names);
+            if (requested) {
+                added.removeAll(names);
             }
-            less.removeAll(wanted);
-            less.forEach(versions::remove);
+            dropped.removeAll(wanted);
+            dropped.forEach(versions::remove);
             Map<String, String> initial = new LinkedHashMap<>();
-            if (!asked) {
+            if (!requested) {
                 wanted.stream().filter(versions::containsKey).forEach(name -> initial.put(name, versions.get(name)));
             }
             names = wanted;
-            boolean first = !asked;
-            asked = true;
+            boolean first = !requested;
+            requested = true;
             port.ask(
-                    form == XdsVariant.SOTW
+                    variant == XdsVariant.SOTW
                             ? new ResourceRequest(url, version, nonce, names, List.of(), List.of(), Map.of(), null)
-                            : new ResourceRequest(url, "", "", List.of(), more, first ? List.of() : less, initial, null));
+                            : new ResourceRequest(
+                                    url, "", "", List.of(), added, first ? List.of() : dropped, initial, null));
         }
 
-        void reply(Answer to, Map<String, String> errors) {
-            nonce = to.nonce();
+        /** Acknowledges an answer, or refuses it with the errors by resource name. */
+        void reply(Answer answer, Map<String, String> errors) {
+            nonce = answer.nonce();
             if (errors.isEmpty()) {
-                version = to.version();
+                version = answer.version();
             }
             String error = null;
             if (!errors.isEmpty()) {
@@ -114,57 +123,63 @@
                         .append(name)
                         .append(": ")
                         .append(why));
-                error = all.length() > MOST_ERROR ? all.substring(0, MOST_ERROR) + "..." : all.toString();
-                port.log("refused " + url.substring(url.lastIndexOf('.') + 1) + " of version " + to.version() + ": "
+                error = all.length() > MAX_ERROR_LENGTH ? all.substring(0, MAX_ERROR_LENGTH) + "..." : all.toString();
+                port.log("refused " + url.substring(url.lastIndexOf('.') + 1) + " of version " + answer.version() + ": "
                         + error);
             }
             port.ask(new ResourceRequest(
                     url,
-                    form == XdsVariant.SOTW ? version : "",
+                    variant == XdsVariant.SOTW ? version : "",
                     nonce,
-                    form == XdsVariant.SOTW ? names : List.of(),
+                    variant == XdsVariant.SOTW ? names : List.of(),
                     List.of(),
                     List.of(),
                     Map.of(),
                     error));
         }
 
+        /** Forgets all versions. */
         void forget() {
             versions.clear();
             version = "";
         }
 
+        /** Begins a new stream. */
         void begin() {
-            asked = false;
+            requested = false;
             nonce = "";
         }
     }
 
-    private final XdsVariant form;
+    private final XdsVariant variant;
+    /** The name of the cluster. */
     private final String wanted;
+
     private final Port port;
-    private final Kind clusters = new Kind(ResourceReader.CLUSTER), assignments = new Kind(ResourceReader.ENDPOINTS);
+    private final TypeState clusters = new TypeState(ResourceReader.CLUSTER);
+    private final TypeState assignments = new TypeState(ResourceReader.ENDPOINTS);
     private final AssignmentReader reader = new AssignmentReader();
     private ClusterSpec cluster;
     private boolean open;
-    private int stray;
+    /** Answers on this stream that were not requested. */
+    private int unrequested;
 
-    /** For the cluster of a name; {@code wildcard} to subscribe to all clusters and take that one. */
-    public Subscription(XdsVariant form, String cluster, boolean wildcard, Port port) {
-        this.form = form;
+    /** Subscribes to the cluster of a name; {@code wildcard} subscribes to all clusters and uses that one. */
+    public Subscription(XdsVariant variant, String cluster, boolean wildcard, Port port) {
+        this.variant = variant;
         wanted = cluster;
         this.port = port;
         clusters.names = wildcard ? List.of("*") : List.of(cluster);
     }
 
-    /** A stream is there, to the server of the one before. */
+    /** A stream to the same server as the one before has opened. */
     public void opened() {
         opened(true);
     }
 
     /**
-     * A stream is there. From the same server only what has changed since is wanted; another one's versions are its own:
-     * that two say the same number does not say that they mean the same.
+     * A stream has opened. The same server needs to send only what has changed since. Another server's versions are
+     * unrelated, even if they are equal.
      */
     public void opened(boolean sameServer) {
         open = true;
@@ -172,14 +187,14 @@
             clusters.forget();
             assignments.forget();
         }
-        stray = 0;
+        unrequested = 0;
         clusters.begin();
         assignments.begin();
         clusters.subscribe(clusters.names);
         assignments.subscribe(assignments.names);
     }
 
-    /** The stream has ended; a nonce lives no longer than its stream. */
+    /** The stream has ended, and with it its nonces. */
     public void closed() {
         open = false;
     }
@@ -193,11 +208,11 @@
             case ResourceReader.CLUSTER -> clusters(answer);
             case ResourceReader.ENDPOINTS -> endpoints(answer);
             default -> {
-                if (stray++ == 0) {
+                if (unrequested++ == 0) {
                     port.log("an answer of type " + answer.type() + " that was not asked for is left aside");
                 }
-                if (stray >= MOST_STRAY) {
-                    port.giveUp(stray + " answers of types that were not asked for");
+                if (unrequested >= MAX_UNREQUESTED) {
+                    port.giveUp(unrequested + " answers of types that were not asked for");
                 }
             }
         }
@@ -207,27 +222,30 @@
         T read(Any any) throws InvalidResourceException;
     }
 
-    /** Reads what bears the wanted name; what is wrong with any resource, by its name, goes to {@code errors}. */
+    /**
+     * Reads the resource of the given name, or returns null. Faults of any resource go to {@code errors} by its name;
+     * {@code versions} takes the version of the one read.
+     */
     private static <T> T find(
-            Answer in, String name, Reader<T> reader, Map<String, String> errors, Map<String, String> had) {
+            Answer answer, String name, Reader<T> reader, Map<String, String> errors, Map<String, String> versions) {
         T found = null;
         Set<String> seen = new HashSet<>();
         int number = 0;
-        for (Item item : in.items()) {
+        for (Item item : answer.items()) {
             number++;
-            String inside = ResourceReader.name(item.resource());
-            String called = item.name().isEmpty() ? inside : item.name();
-            String shown = called.isEmpty() ? "resource " + number : called;
-            if (called.isEmpty() || !called.equals(inside)) {
-                errors.put(shown, "it cannot be read, or its name is another inside: \"" + inside + "\"");
-            } else if (!seen.add(called)) {
+            String inner = ResourceReader.name(item.resource());
+            String outer = item.name().isEmpty() ? inner : item.name();
+            String shown = outer.isEmpty() ? "resource " + number : outer;
+            if (outer.isEmpty() || !outer.equals(inner)) {
+                errors.put(shown, "it cannot be read, or its name is another inside: \"" + inner + "\"");
+            } else if (!seen.add(outer)) {
                 errors.put(shown, "it stands there twice");
             } else {
                 try {
                     T read = reader.read(item.resource());
-                    if (called.equals(name)) {
+                    if (outer.equals(name)) {
                         found = read;
-                        had.put(called, item.version());
+                        versions.put(outer, item.version());
                     }
                 } catch (InvalidResourceException e) {
                     errors.put(shown, e.getMessage());
@@ -237,33 +255,34 @@
         return found;
     }
 
-    private static ClusterSpec onStream(Any any) throws InvalidResourceException {
+    private static ClusterSpec readFromStream(Any any) throws InvalidResourceException {
         ClusterSpec read = ResourceReader.cluster(any);
         if (read.edsPath() != null) {
-            throw new InvalidResourceException("eds_cluster_config.eds_config names a file; allowed on a stream: ads or self");
+            throw new InvalidResourceException(
+                    "eds_cluster_config.eds_config names a file; allowed on a stream: ads or self");
         }
         return read;
     }
 
     private void clusters(Answer answer) {
         Map<String, String> errors = new LinkedHashMap<>();
-        ClusterSpec found = find(answer, wanted, Subscription::onStream, errors, clusters.versions);
+        ClusterSpec found = find(answer, wanted, Subscription::readFromStream, errors, clusters.versions);
         clusters.reply(answer, errors);
-        // An answer of the first form names all that there is; but what is there and cannot be read is not gone.
-        boolean gone = form == XdsVariant.SOTW
+        // A state-of-the-world answer names all resources, but one that is present and unreadable is not removed.
+        boolean gone = variant == XdsVariant.SOTW
                 ? found == null
                         && !errors.containsKey(wanted)
                         && errors.keySet().stream().noneMatch(each -> each.startsWith("resource "))
                 : answer.removed().contains(wanted) && found == null;
         if (found != null && !errors.containsKey(wanted)) {
-            take(found);
+            accept(found);
         } else if (gone) {
             clusters.versions.remove(wanted);
-            take(null);
+            accept(null);
         }
     }
 
-    private void take(ClusterSpec next) {
+    private void accept(ClusterSpec next) {
         cluster = next;
         String name = next == null ? null : next.edsName();
         port.cluster(next);
@@ -274,10 +293,10 @@
     }
 
     private void endpoints(Answer answer) {
-        if (!assignments.asked) {
-            stray++;
-            if (stray >= MOST_STRAY) {
-                port.giveUp(stray + " answers that were not asked for");
+        if (!assignments.requested) {
+            unrequested++;
+            if (unrequested >= MAX_UNREQUESTED) {
+                port.giveUp(unrequested + " answers that were not asked for");
             }
             return;
         }
--- a/src/main/java/rushpin/membership/xds/XdsVariant.java
+++ b/src/main/java/rushpin/membership/xds/XdsVariant.java
@@ -1,9 +1,9 @@
 package rushpin.membership.xds;
 
-/** How a subscription is spoken: the two variants of the aggregated discovery service. */
+/** The two variants of the aggregated discovery service (ADS). */
 public enum XdsVariant {
-    /** State of the world: each answer names all clusters ({@code DiscoveryRequest}). */
+    /** State of the world: each answer names all resources of its type ({@code DiscoveryRequest}). */
     SOTW,
-    /** Incremental: answers name what has changed ({@code DeltaDiscoveryRequest}). */
+    /** Incremental: an answer names what has changed ({@code DeltaDiscoveryRequest}). */
     DELTA
 }
--- a/src/main/java/rushpin/net/xds/GrpcStream.java
+++ b/src/main/java/rushpin/net/xds/GrpcStream.java
@@ -24,10 +24,10 @@
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import rushpin.membership.xds.XdsVariant;
 import rushpin.membership.xds.Subscription.Answer;
-import rushpin.membership.xds.Subscription.ResourceRequest;
 import rushpin.membership.xds.Subscription.Item;
+import rushpin.membership.xds.Subscription.ResourceRequest;
+import rushpin.membership.xds.XdsVariant;
 
 /** One stream to one management server, with the channel that carries it; owned by the source's thread. */
 final class GrpcStream {
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -72,7 +72,8 @@
         name = pool;
         view = new ClusterView(names, plan.rules(), known, this);
         subscription = new Subscription(plan.form(), plan.cluster(), plan.all(), this);
-        retry = new ReconnectBackoff(Math.max(1, plan.servers().size()), FIRST_WAIT, MOST_WAIT, new SplittableRandom(seed));
+        retry = new ReconnectBackoff(
+                Math.max(1, plan.servers().size()), FIRST_WAIT, MOST_WAIT, new SplittableRandom(seed));
         lastGood = state == null ? null : new LastGood(state, pool, names);
         thread = Executors.newSingleThreadScheduledExecutor(work -> {
             Thread made = new Thread(work, "xds " + pool);
--- a/src/main/java/rushpin/node/Divisions.java
+++ b/src/main/java/rushpin/node/Divisions.java
@@ -123,7 +123,8 @@
                 inForce.map(each -> each.figures().halfOpen()).orElse(0L));
         long forget = Math.max(
                 group.forget(), inForce.map(each -> each.figures().forget()).orElse(0L));
-        Budget.Figures figures = new Budget.Figures(group.maxConnections(), group.reserve(), group.own(), halfOpen, forget);
+        Budget.Figures figures =
+                new Budget.Figures(group.maxConnections(), group.reserve(), group.own(), halfOpen, forget);
         List<Rules.Tenant> tenants = group.tenants().stream()
                 .map(tenant -> new Rules.Tenant(tenant.name(), tenant.floor(), tenant.weight(), tenant.cap()))
                 .sorted(Comparator.comparing(Rules.Tenant::name))
