--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -18,8 +18,8 @@
 import rushpin.accord.Plan;
 import rushpin.config.GroupConfig;
 import rushpin.config.PoolConfig;
-import rushpin.console.ProcessRegistry;
 import rushpin.console.ProcessMetrics;
+import rushpin.console.ProcessRegistry;
 import rushpin.gateway.Gateway;
 import rushpin.gateway.Ports;
 import rushpin.gateway.Ports.ListKind;
@@ -29,11 +29,11 @@
 import rushpin.gateway.Ports.Server;
 import rushpin.gateway.Ports.Settings;
 import rushpin.lifecycle.Stalls;
+import rushpin.membership.DisabledServers;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
 import rushpin.membership.StartTimes;
-import rushpin.membership.DisabledServers;
 import rushpin.net.CounterClient;
 import rushpin.net.DiscoveryClient;
 import rushpin.net.LoopWatch;
@@ -769,7 +769,11 @@
             passage.stop();
         } else {
             note(of, Entry.End.SERVED);
-            answers.begun(passage, length, whole -> ended(of, whole ? ProcessMetrics.ClassMetrics::served : ProcessMetrics.ClassMetrics::failed));
+            answers.begun(
+                    passage,
+                    length,
+                    whole -> ended(
+                            of, whole ? ProcessMetrics.ClassMetrics::served : ProcessMetrics.ClassMetrics::failed));
         }
         event(
                 of,
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -19,10 +19,10 @@
 import rushpin.budget.Lender;
 import rushpin.budget.Share;
 import rushpin.config.Config;
-import rushpin.config.ResourceLimits;
 import rushpin.config.GroupConfig;
 import rushpin.config.OperatorConfig;
 import rushpin.config.PoolConfig;
+import rushpin.config.ResourceLimits;
 import rushpin.gateway.Ports.ListKind;
 import rushpin.membership.AddressOwners;
 import rushpin.membership.ServerListUpdate;
@@ -81,7 +81,8 @@
     private int generation;
 
     /** Opens nothing yet; {@code ended} hears on the listening side's loop of each name that no pool has any more. */
-    PooledServices(OperatorConfig operator, String node, EventLoop front, Clock clock, Consumer<String> ended, Desk console) {
+    PooledServices(
+            OperatorConfig operator, String node, EventLoop front, Clock clock, Consumer<String> ended, Desk console) {
         this.console = console;
         this.operator = operator;
         this.node = node;
--- a/src/test/java/rushpin/cli/ModelCommandTest.java
+++ b/src/test/java/rushpin/cli/ModelCommandTest.java
@@ -16,7 +16,7 @@
 import rushpin.traffic.Keeping;
 import rushpin.traffic.Recorder;
 
-/** From records to a verdict, by the words of the operators' page. */
+/** Tests the model command from records to a verdict, with the arguments that the operators' page shows. */
 class ModelCommandTest {
     private static final String SETTINGS = "deploy/pools/lookups.json";
 
@@ -25,18 +25,19 @@
 
     private String out;
 
-    private int run(String... words) {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        PrintStream was = System.out, wasErr = System.err;
-        PrintStream to = new PrintStream(said, true, StandardCharsets.UTF_8);
-        System.setOut(to);
-        System.setErr(to);
+    private int run(String... arguments) {
+        ByteArrayOutputStream captured = new ByteArrayOutputStream();
+        PrintStream previousOut = System.out;
+        PrintStream previousErr = System.err;
+        PrintStream stream = new PrintStream(captured, true, StandardCharsets.UTF_8);
+        System.setOut(stream);
+        System.setErr(stream);
         try {
-            return ModelCommand.run(words);
+            return ModelCommand.run(arguments);
         } finally {
-            System.setOut(was);
-            System.setErr(wasErr);
-            out = said.toString(StandardCharsets.UTF_8);
+            System.setOut(previousOut);
+            System.setErr(previousErr);
+            out = captured.toString(StandardCharsets.UTF_8);
         }
     }
 
@@ -75,9 +76,9 @@
 
     @Test
     void recordsAreFittedPlayedAndCompared() throws Exception {
-        String records = records(),
-                day = folder.resolve("day.toml").toString(),
-                page = folder.resolve("page.html").toString();
+        String records = records();
+        String day = folder.resolve("day.toml").toString();
+        String page = folder.resolve("page.html").toString();
         assertEquals(
                 0,
                 run(
@@ -95,11 +96,11 @@
         assertTrue(
                 out.contains("class window-lookup: uniform") && out.contains("front.notice-ms: the records can't tell"),
                 out);
-        String[] on = {"--day", day, "--settings", SETTINGS, "--records", records, "--pool", "lookups"};
+        String[] options = {"--day", day, "--settings", SETTINGS, "--records", records, "--pool", "lookups"};
         assertEquals(
                 0,
                 run(join(
-                        on,
+                        options,
                         "compare",
                         "as-is",
                         "day.servers.cores=1,day.servers.line=1",
@@ -110,24 +111,24 @@
                 out);
         assertTrue(out.endsWith("verdict: A\n"), out);
         assertTrue(Files.size(Path.of(page)) > 10_000);
-        assertEquals(0, run(join(on, "compare", "as-is", "as-is", "--budget", "8")), out);
+        assertEquals(0, run(join(options, "compare", "as-is", "as-is", "--budget", "8")), out);
         assertTrue(out.endsWith("verdict: cannot tell\n"), out);
-        assertEquals(0, run(join(on, "play", "as-is", "--seeds", "3")), out);
+        assertEquals(0, run(join(options, "play", "as-is", "--seeds", "3")), out);
         assertTrue(out.matches("(?s).*asks +1200\\.0000.*"), out);
-        assertEquals(0, run(join(on, "sweep", "as-is", "day.servers.cores", "1", "4", "--budget", "8")), out);
+        assertEquals(0, run(join(options, "sweep", "as-is", "day.servers.cores", "1", "4", "--budget", "8")), out);
         assertTrue(out.contains("worse") && out.contains("cannot tell"), out);
-        assertEquals(0, run(join(on, "calibrate", "as-is", "--comparisons", "3", "--budget", "6")), out);
+        assertEquals(0, run(join(options, "calibrate", "as-is", "--comparisons", "3", "--budget", "6")), out);
         assertTrue(out.endsWith("verdict: holds\n"), out);
     }
 
-    private static String[] join(String[] on, String... words) {
-        String[] all = java.util.Arrays.copyOf(words, words.length + on.length);
-        System.arraycopy(on, 0, all, words.length, on.length);
+    private static String[] join(String[] options, String... arguments) {
+        String[] all = java.util.Arrays.copyOf(arguments, arguments.length + options.length);
+        System.arraycopy(options, 0, all, arguments.length, options.length);
         return all;
     }
 
     @Test
-    void whatCannotBeUsedIsOneLineAndNoTrace() throws Exception {
+    void unusableInputIsReportedInOneLineWithoutStackTrace() throws Exception {
         Path empty = Files.createDirectories(folder.resolve("empty"));
         assertEquals(1, run("fit", empty.toString(), "--settings", SETTINGS, "--given", "deploy/model/given.toml"));
         assertTrue(out.contains("holds no file of records") && !out.contains("\tat "), out);
--- a/src/test/java/rushpin/config/ConfigTest.java
+++ b/src/test/java/rushpin/config/ConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The platform's configuration: what is missing or no figure is refused whole, by the key's name. */
+/** Tests that a missing or unusable value in the platform's configuration is refused with the name of the key. */
 class ConfigTest {
     private static String good() throws IOException {
         return Files.readString(Path.of("src/test/resources/node.json"))
@@ -27,14 +27,14 @@
     }
 
     @Test
-    void theTestsOwnIsGood() throws Exception {
+    void configurationOfTheTestsIsValid() throws Exception {
         String good = good();
         assertDoesNotThrow(() -> Config.parse(good));
     }
 
-    /** Without it every request would be answered 400, on a node that says that it is healthy. */
+    /** Without units-top every request would be answered 400, on a node that reports itself healthy. */
     @Test
-    void aNodeThatCouldTakeNoRequestDoesNotStart() throws Exception {
+    void configurationThatAllowsNoRequestIsRefused() throws Exception {
         assertTrue(fault(good().replace("units-top", "units-tip")).contains("settings.domain.units-top is missing"));
         assertTrue(
                 fault(good().replaceAll("\"units-top\": 8", "\"units-top\": 0")).contains("units-top is 0"));
@@ -42,9 +42,9 @@
 
     @ParameterizedTest
     @CsvSource({"key-ttl-ns, NaN", "late-value, -1", "key-ttl-ns, x", "late-value, Infinity"})
-    void aFigureThatMayBeLeftOutMustBeOneWhereItStands(String key, String value) throws Exception {
-        String spoilt = good().replaceAll("\"" + key + "\": *[0-9.]+", "\"" + key + "\": \"" + value + "\"");
-        String fault = fault(spoilt);
+    void optionalValueMustBeANumberIfPresent(String key, String value) throws Exception {
+        String changed = good().replaceAll("\"" + key + "\": *[0-9.]+", "\"" + key + "\": \"" + value + "\"");
+        String fault = fault(changed);
         assertTrue(fault.contains(key) && fault.contains("is not a number from 0"), fault);
     }
 
@@ -61,26 +61,26 @@
         "max-attempts, \"six\"",
         "max-attempts, []"
     })
-    void aDeadlineAndAttemptsArePositiveNumbers(String key, String value) throws Exception {
+    void deadlineAndAttemptsMustBePositiveNumbers(String key, String value) throws Exception {
         String fault = fault(good().replaceFirst("\"" + key + "\": *[0-9.]+", "\"" + key + "\": " + value));
         assertTrue(fault.contains(key), fault);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", " ", "{", "[]", "null", "{}", "{\"settings\": {}}"})
-    void whatIsNoConfigurationIsTurnedDown(String text) {
+    void textThatIsNoConfigurationIsRefused(String text) {
         fault(text);
     }
 
     @Test
-    void aPartOfAFileIsTurnedDownWhereverItEnds() throws Exception {
+    void truncatedFileIsRefused() throws Exception {
         String whole = good();
         for (int end = whole.lastIndexOf('}'); end > 0; end -= 61) {
             fault(whole.substring(0, end));
         }
     }
 
-    /** Each key by itself: a default in its place would be nobody's choice. */
+    /** A reloaded file without a key is refused: the default in its place would replace a deliberate value. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -101,7 +101,7 @@
                 "tariffs",
                 "siblings"
             })
-    void aKeyThatTheRunningFileHasMustBeInTheNext(String key, @TempDir Path folder) throws Exception {
+    void reloadedFileMustHaveEveryKeyOfTheRunningOne(String key, @TempDir Path folder) throws Exception {
         Config running = Config.parse(good());
         Path file = Files.writeString(folder.resolve("config.json"), good());
         assertDoesNotThrow(() -> Config.readAgain(file, running));
@@ -112,9 +112,9 @@
     }
 
     @Test
-    void aKeyedClassNeedsItsWindowAndNamesStandOnce() throws Exception {
-        String noWindow = good().replaceFirst("\"key-ttl-ns\": 30000000000,", "");
-        assertTrue(fault(noWindow).contains("classes.1.key-ttl-ns"), fault(noWindow));
+    void dedupClassNeedsKeyTtlAndNamesAreUnique() throws Exception {
+        String withoutTtl = good().replaceFirst("\"key-ttl-ns\": 30000000000,", "");
+        assertTrue(fault(withoutTtl).contains("classes.1.key-ttl-ns"), fault(withoutTtl));
         assertTrue(fault(good().replace("\"strict\"", "\"order\"")).contains("name twice"));
     }
 }
--- a/src/test/java/rushpin/config/OperatorFileTest.java
+++ b/src/test/java/rushpin/config/OperatorFileTest.java
@@ -19,7 +19,7 @@
 import rushpin.failover.Limits;
 import rushpin.membership.xds.XdsVariant;
 
-/** The operator's file: good, or all that is wrong with it at once. */
+/** Tests that the operator's file is read, or that all its faults are reported together. */
 class OperatorFileTest {
     private static final String POOLS = "[[pool]]\nname = \"a\"\nsettings = \"a.json\"\n[[pool]]\nname = \"b\"\n"
             + "settings = \"b.json\"\n[[route]]\npool = \"a\"\nhost = \"a.example\"\n[[route]]\npool = \"b\"\n";
@@ -47,7 +47,8 @@
                 .toList();
     }
 
-    private void only(String text, String... parts) {
+    /** Asserts that a file has one fault, whose message contains the parts. */
+    private void assertOnlyFault(String text, String... parts) {
         List<String> found = faults(text);
         assertEquals(1, found.size(), found.toString());
         for (String part : parts) {
@@ -56,7 +57,7 @@
     }
 
     @Test
-    void theExampleIsGood() throws Exception {
+    void exampleIsValid() throws Exception {
         OperatorConfig read = OperatorFile.read(Path.of("deploy/rushpin.toml"), null);
         assertEquals(
                 List.of("lookups", "bookings", "gates", "cranes"),
@@ -71,7 +72,7 @@
     }
 
     @Test
-    void defaultsAreHalfOfAnEvenPart() throws Exception {
+    void defaultGuaranteeIsHalfOfAnEvenShare() throws Exception {
         OperatorConfig read = OperatorFile.parse("[process]\nrequests = 100\nconnections = 40\n" + POOLS, folder, null);
         for (PoolConfig pool : read.pools()) {
             assertEquals(25, pool.guaranteed().requests());
@@ -81,7 +82,7 @@
     }
 
     @Test
-    void allFaultsComeAtOnceInTheOrderOfTheFile() {
+    void allFaultsAreReportedInTheOrderOfTheFile() {
         List<String> found = faults("""
             [process]
             conections = 7
@@ -118,13 +119,13 @@
     }
 
     @Test
-    void whatIsNotTomlIsToldByLine() {
+    void invalidTomlIsReportedByLine() {
         assertTrue(faults("[process]\nrequests = = 1\n").get(0).startsWith("line 2: this is not TOML"));
-        assertTrue(faults(POOLS.substring(0, POOLS.length() / 2)).size() >= 1, "a file that is half written");
+        assertTrue(faults(POOLS.substring(0, POOLS.length() / 2)).size() >= 1, "a truncated file");
     }
 
     @Test
-    void aFileThatCannotBeReadIsOneFault() {
+    void unreadableFileIsOneFault() {
         assertThrows(OperatorConfig.Faulty.class, () -> OperatorFile.read(folder.resolve("none.toml"), null));
     }
 
@@ -153,14 +154,14 @@
                         + "| a port from 1 to 65535",
                 "[process]\\nconnections = 8\\n[pool.x]\\n | is no key here"
             })
-    void oneFault(String more, String part) {
-        String text = POOLS + more.replace("\\n", "\n");
+    void addedTablesHaveFault(String tables, String part) {
+        String text = POOLS + tables.replace("\\n", "\n");
         assertTrue(faults(text).stream().anyMatch(fault -> fault.contains(part)), part + " is not in " + faults(text));
     }
 
     @Test
-    void guaranteesAddUpToNoMoreThanThereIs() {
-        only(
+    void guaranteesMayNotExceedTheTotal() {
+        assertOnlyFault(
                 POOLS.replace("[[route]]\npool = \"a\"", "[pool.guaranteed]\nrequests = 90\n[[route]]\npool = \"a\"")
                                 .replace(
                                         "settings = \"a.json\"\n",
@@ -171,19 +172,19 @@
     }
 
     @Test
-    void oneAddressInTwoPoolsIsAFaultWhereTheListsSayIt() throws Exception {
+    void addressListedInTwoPoolsIsAFault() throws Exception {
         settings("{\"id\": \"s\", \"host_port\": \"127.0.0.1:9\", \"locality\": \"a\", \"flavor\": \"m\", \"cell\": 1, "
                 + "\"phase\": \"Ready\"}");
         String text = POOLS.replace(".json\"\n", ".json\"\ndiscovery = \"none\"\n");
-        only(text, "belongs to pool a too");
+        assertOnlyFault(text, "belongs to pool a too");
     }
 
     @Test
-    void allFaultsOfASettingsFileComeAtOnce() throws Exception {
+    void allFaultsOfASettingsFileAreReported() throws Exception {
         Path at = folder.resolve("a.json");
         Files.writeString(
                 at, Files.readString(at).replace("\"my-zone\": 0,", "").replace("\"siblings\": 2", "\"siblings\": -2"));
-        only(POOLS, "settings.siblings is not a number from 0: -2", "settings.my-zone is missing");
+        assertOnlyFault(POOLS, "settings.siblings is not a number from 0: -2", "settings.my-zone is missing");
     }
 
     private static String xds(String keys) {
@@ -191,7 +192,7 @@
     }
 
     @Test
-    void aPoolMayTakeItsServersFromManagementServersOrFromAFile() throws Exception {
+    void poolMayGetItsServersFromManagementServersOrAFile() throws Exception {
         PoolConfig streamed = OperatorFile.parse(
                         xds(
                                 "servers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\nform = \"sotw\"\n"
@@ -202,29 +203,29 @@
                 .get(0);
         assertEquals(XdsVariant.SOTW, streamed.xds().form());
         assertEquals("c", streamed.xds().cluster());
-        assertEquals(0.4, streamed.xds().rules().mostRemoved());
+        assertEquals(0.4, streamed.xds().rules().maxRemoved());
         assertEquals(5_000_000_000L, streamed.xds().rules().guard());
         assertNull(streamed.upstream().discovery());
-        PoolConfig filed = OperatorFile.parse(xds("path = \"x.yaml\"\n"), folder, null)
+        PoolConfig fromFile = OperatorFile.parse(xds("path = \"x.yaml\"\n"), folder, null)
                 .pools()
                 .get(0);
-        assertEquals(folder.resolve("x.yaml"), filed.xds().path());
-        assertEquals("a", filed.xds().cluster(), "the pool's own name unless said");
-        assertEquals(0, filed.xds().rules().guard(), "no guard unless said: the rule on drains comes first");
-        assertFalse(filed.differsOnlyInAddresses(streamed));
+        assertEquals(folder.resolve("x.yaml"), fromFile.xds().path());
+        assertEquals("a", fromFile.xds().cluster(), "the pool's own name by default");
+        assertEquals(0, fromFile.xds().rules().guard(), "no guard by default: servers must drain promptly");
+        assertFalse(fromFile.differsOnlyInAddresses(streamed));
     }
 
     @Test
-    void faultsOfXdsNameTheKeyAndWhatIsAllowed() {
-        only(xds("form = \"delta\"\n"), "pool[1].xds.servers", "one of them");
-        only(xds("servers = [\"127.0.0.1:1\"]\npath = \"x\"\n"), "servers and path are both there");
-        only(xds("servers = [\"127.0.0.1\"]\n"), "host:port");
-        only(xds("servers = \"127.0.0.1:1\"\n"), "a list of 1 to 8 texts");
-        only(xds("path = \"x\"\nform = \"deltas\"\n"), "did you mean delta?");
-        only(xds("path = \"x\"\nca = \"nowhere.pem\"\n"), "pool[1].xds.ca", "cannot be read");
-        only(xds("path = \"x\"\nmost-removed-percent = 0\n"), "from 1 to 100");
-        only(xds("path = \"x\"\nclutser = \"c\"\n"), "did you mean cluster?");
-        only(
+    void faultsOfXdsNameKeyAndAllowedValues() {
+        assertOnlyFault(xds("form = \"delta\"\n"), "pool[1].xds.servers", "one of them");
+        assertOnlyFault(xds("servers = [\"127.0.0.1:1\"]\npath = \"x\"\n"), "servers and path are both there");
+        assertOnlyFault(xds("servers = [\"127.0.0.1\"]\n"), "host:port");
+        assertOnlyFault(xds("servers = \"127.0.0.1:1\"\n"), "a list of 1 to 8 texts");
+        assertOnlyFault(xds("path = \"x\"\nform = \"deltas\"\n"), "did you mean delta?");
+        assertOnlyFault(xds("path = \"x\"\nca = \"nowhere.pem\"\n"), "pool[1].xds.ca", "cannot be read");
+        assertOnlyFault(xds("path = \"x\"\nmost-removed-percent = 0\n"), "from 1 to 100");
+        assertOnlyFault(xds("path = \"x\"\nclutser = \"c\"\n"), "did you mean cluster?");
+        assertOnlyFault(
                 "[[pool]]\nname = \"a\"\nsettings = \"a.json\"\ndiscovery = \"127.0.0.1:1\"\n[pool.xds]\npath = \"x\"\n"
                         + "[[route]]\npool = \"a\"\n",
                 "discovery",
@@ -232,7 +233,7 @@
     }
 
     @Test
-    void recordsWantAFolderAndAKeyThatIsLongEnough() throws Exception {
+    void recordsNeedAFolderAndALongEnoughKey() throws Exception {
         assertNull(OperatorFile.parse(POOLS, folder, null).records());
         Files.writeString(folder.resolve("key"), "0123456789abcdef");
         String records = "[records]\nfolder = \"records\"\npseudonym-key = \"key\"\n";
@@ -240,11 +241,12 @@
                 new rushpin.traffic.Keeping(folder.resolve("records"), folder.resolve("key"), 8 << 20, 64 << 20, 2_000),
                 OperatorFile.parse(records + POOLS, folder, null).records());
         Files.writeString(folder.resolve("key"), "0123456789abcde");
-        only(records + POOLS, "records.pseudonym-key", "has 15 bytes", "16 bytes or more");
-        only("[records]\nfolder = \"records\"\n" + POOLS, "records.pseudonym-key", "is missing");
+        assertOnlyFault(records + POOLS, "records.pseudonym-key", "has 15 bytes", "16 bytes or more");
+        assertOnlyFault("[records]\nfolder = \"records\"\n" + POOLS, "records.pseudonym-key", "is missing");
         Files.writeString(folder.resolve("key"), "0123456789abcdef");
-        only(records + "most-bytes = 1000000\nfile-bytes = 500000\n" + POOLS, "records.most-bytes", "1500000");
-        only(records + "keep-days = 3\n" + POOLS, "records.keep-days", "is no key here");
+        assertOnlyFault(
+                records + "most-bytes = 1000000\nfile-bytes = 500000\n" + POOLS, "records.most-bytes", "1500000");
+        assertOnlyFault(records + "keep-days = 3\n" + POOLS, "records.keep-days", "is no key here");
     }
 
     private static String fleet(String keys, int voters) {
@@ -260,7 +262,7 @@
     }
 
     @Test
-    void aFleetHasDefaultsAndVotersHaveAPlaceOfTheirOwn() throws Exception {
+    void fleetHasDefaultsAndVotersHaveAStateFolder() throws Exception {
         assertNull(OperatorFile.parse(POOLS, folder, null).fleet());
         String own = "name = \"n0\"\nzone = \"a\"\nlisten = \"127.0.0.1:7000\"\nstate = \"s\"\n";
         FleetConfig voter = OperatorFile.parse(fleet(own, 3), folder, null).fleet();
@@ -289,7 +291,7 @@
     }
 
     @Test
-    void aGroupHasAPoolAndTenantsThatFit() throws Exception {
+    void groupNeedsAPoolAndFittingTenants() throws Exception {
         String group = "[[fleet.group]]\nname = \"book\"\nmost-connections = 10\n";
         String tenant = "[[fleet.group.tenant]]\nname = \"big\"\nfloor = 9\nweight = 2\nplans = [\"bulk\"]\n";
         String own = "name = \"n9\"\nzone = \"a\"\n";
@@ -305,21 +307,23 @@
                         60_000_000_000L,
                         30_000_000_000L,
                         10_000_000_000L,
-                        List.of(new GroupConfig.Tenant("big", 9, 2, GroupConfig.MOST, List.of("bulk"), List.of()))),
+                        List.of(new GroupConfig.Tenant(
+                                "big", 9, 2, GroupConfig.MAX_CONNECTIONS, List.of("bulk"), List.of()))),
                 read);
-        only(
+        assertOnlyFault(
                 pooled.replace("floor = 9", "floor = 10"),
                 "fleet.group[1].tenant",
                 "the floors add up to 10",
                 "9, at most");
-        only(pooled.replace("\"bulk\"]", "\"bluk\"]"), "pool[1].group", "tenant big of group book names plan bluk");
-        only(pooled.replace("most-connections = 10\n", ""), "most-connections", "is missing");
-        only(
+        assertOnlyFault(
+                pooled.replace("\"bulk\"]", "\"bluk\"]"), "pool[1].group", "tenant big of group book names plan bluk");
+        assertOnlyFault(pooled.replace("most-connections = 10\n", ""), "most-connections", "is missing");
+        assertOnlyFault(
                 pooled.replace("group = \"book\"", "group = \"look\""),
                 "pool[1].group",
                 "no [[fleet.group]] is called look");
-        only(pooled.replace("weight = 2", "longest = 2"), "longest", "is no key here");
-        only(
+        assertOnlyFault(pooled.replace("weight = 2", "longest = 2"), "longest", "is no key here");
+        assertOnlyFault(
                 pooled.replace("most-connections = 10", "most-connections = 10\nlongest-ms = 29000"),
                 "pool[1].group",
                 "a request may take 30000 ms");
@@ -335,32 +339,33 @@
         """;
 
     @Test
-    void regionsAreListedInOrderAndTheProcessesOwnFollows() throws Exception {
+    void regionsKeepTheirOrderAndTheProcessGetsTheRegionOfItsZone() throws Exception {
         String zones = "[fleet.zones]\nreserve-percent = 20\nmost-left-percent = 50\nhold-s = 60\nstep-s = 1\n";
-        FleetConfig plan = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"a\"\n" + REGIONS + zones, 3), folder, null)
+        FleetConfig next = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"a\"\n" + REGIONS + zones, 3), folder, null)
                 .fleet();
-        assertEquals("east", plan.region());
-        assertEquals(List.of("b", "a", "c"), plan.geography().zones());
+        assertEquals("east", next.region());
+        assertEquals(List.of("b", "a", "c"), next.geography().zones());
         assertEquals(
                 List.of(500, 200, 60_000_000_000L, 1_000_000_000L),
                 List.of(
-                        plan.limits().left(),
-                        plan.limits().reserve(),
-                        plan.limits().hold(),
-                        plan.limits().step()));
-        // They are the planner's at once; all else of the file is for the next start.
-        FleetConfig old = OperatorFile.parse(fleet("name = \"n9\"\nzone = \"c\"\nregion = \"north\"\n", 3), folder, null)
+                        next.limits().left(),
+                        next.limits().reserve(),
+                        next.limits().hold(),
+                        next.limits().step()));
+        // Regions and limits apply at once; other changes are for the next start.
+        FleetConfig old = OperatorFile.parse(
+                        fleet("name = \"n9\"\nzone = \"c\"\nregion = \"north\"\n", 3), folder, null)
                 .fleet();
-        FleetConfig taken = old.taking(plan);
-        assertEquals(plan.geography(), taken.geography());
-        assertEquals(plan.limits(), taken.limits());
+        FleetConfig taken = old.taking(next);
+        assertEquals(next.geography(), taken.geography());
+        assertEquals(next.limits(), taken.limits());
         assertEquals("c north", taken.zone() + " " + taken.region());
-        assertEquals(List.of("fleet.zone", "fleet.region"), old.forNextStart(plan));
+        assertEquals(List.of("fleet.zone", "fleet.region"), old.forNextStart(next));
     }
 
     @Test
-    void allFaultsOfRegionsAndZonesComeAtOnce() {
-        only(
+    void allFaultsOfRegionsAndZonesAreReported() {
+        assertOnlyFault(
                 fleet("name = \"n9\"\nzone = \"d\"\n" + REGIONS, 3),
                 "line 3: fleet.zone: found \"d\", which no region lists",
                 "one of b, a, c");
@@ -394,7 +399,7 @@
     }
 
     @Test
-    void allFaultsOfAFleetComeAtOnce() {
+    void allFaultsOfAFleetAreReported() {
         List<String> found = faults("""
             [fleet]
             name = "n0"
@@ -438,16 +443,16 @@
     }
 
     @Test
-    void aFleetHasThreeToFiveVotersAndOthersNoPlaceOfVoters() {
-        only(fleet("name = \"n9\"\nzone = \"a\"\n", 2), "fleet.voter: has 2 entries", "3 or 5");
-        only(fleet("name = \"n9\"\nzone = \"a\"\n", 6), "fleet.voter: has 6 entries", "5 at most");
-        only(
+    void fleetHasThreeToFiveVotersAndOthersNoVoterKeys() {
+        assertOnlyFault(fleet("name = \"n9\"\nzone = \"a\"\n", 2), "fleet.voter: has 2 entries", "3 or 5");
+        assertOnlyFault(fleet("name = \"n9\"\nzone = \"a\"\n", 6), "fleet.voter: has 6 entries", "5 at most");
+        assertOnlyFault(
                 fleet("name = \"n9\"\nzone = \"a\"\nlisten = \"127.0.0.1:7\"\n", 3),
                 "fleet.listen: is there and n9 is no voter");
     }
 
     @Test
-    void whileItRunsOneVoterComesAndOneGoesAtMost() throws Exception {
+    void runningFleetChangesOneVoterAtATime() throws Exception {
         String keys = "name = \"n9\"\nzone = \"a\"\n";
         FleetConfig three = OperatorFile.parse(fleet(keys, 3), folder, null).fleet();
         FleetConfig four = OperatorFile.parse(fleet(keys, 4), folder, null).fleet();
--- a/src/test/java/rushpin/console/OutOfServiceTest.java
+++ b/src/test/java/rushpin/console/OutOfServiceTest.java
@@ -11,11 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Who was taken out by hand, on a disk whose steps fail. */
+/** Tests the stored set of disabled servers with failing file operations. */
 class OutOfServiceTest {
     @TempDir
     Path folder;
 
+    /** Fails at one named step. */
     private static final class FailingDisk extends OutOfService.SystemDisk {
         private String failing = "";
 
@@ -46,7 +47,7 @@
     }
 
     @Test
-    void whatFailsChangesNothingAndWorksAgainLater() throws Exception {
+    void failedChangeHasNoEffectAndWorksLater() throws Exception {
         FailingDisk disk = new FailingDisk();
         OutOfService out = new OutOfService(folder, disk);
         out.set("s-0", true);
@@ -68,7 +69,7 @@
     }
 
     @Test
-    void whatWasSaidAgainNeedsNoRoom() throws Exception {
+    void repeatedDisableWritesNoFile() throws Exception {
         FailingDisk disk = new FailingDisk();
         OutOfService out = new OutOfService(folder, disk);
         out.set("s-0", true);
@@ -78,7 +79,7 @@
     }
 
     @Test
-    void aFileThatWasNotWrittenHereAndOneWithBytesPutNobodyBack() throws Exception {
+    void foreignFileEnablesNoServer() throws Exception {
         OutOfService out = new OutOfService(folder);
         out.set("s-0/%", true);
         Files.writeString(folder.resolve("out-%zz"), "");
--- a/src/test/java/rushpin/console/ProcessRegistryTest.java
+++ b/src/test/java/rushpin/console/ProcessRegistryTest.java
@@ -11,14 +11,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What processes of one node leave for each other. */
+/** Tests transfers between the processes of one node, and the count of these processes. */
 class ProcessRegistryTest {
     @TempDir
     Path folder;
 
-    private static final List<ProcessRegistry.QuotaTransfer> GIFTS = List.of(new ProcessRegistry.QuotaTransfer(7, 0, 2, 3.5), new ProcessRegistry.QuotaTransfer(-9, 1, 4, 1));
+    private static final List<ProcessRegistry.QuotaTransfer> TRANSFERS =
+            List.of(new ProcessRegistry.QuotaTransfer(7, 0, 2, 3.5), new ProcessRegistry.QuotaTransfer(-9, 1, 4, 1));
 
-    private Path gift() throws Exception {
+    private Path transferFile() throws Exception {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(f -> f.getFileName().toString().startsWith("gave-"))
                     .findFirst()
@@ -27,33 +28,37 @@
     }
 
     @Test
-    void aGiftIsTakenOnceAndNotByItsGiver() throws Exception {
-        ProcessRegistry one = new ProcessRegistry(folder), two = new ProcessRegistry(folder), three = new ProcessRegistry(folder);
-        one.give("a", GIFTS);
+    void transferIsTakenOnceAndNotByItsSender() throws Exception {
+        ProcessRegistry one = new ProcessRegistry(folder);
+        ProcessRegistry two = new ProcessRegistry(folder);
+        ProcessRegistry three = new ProcessRegistry(folder);
+        one.give("a", TRANSFERS);
         assertEquals(List.of(), one.take("a", System.currentTimeMillis()));
-        assertEquals(List.of(), two.take("a.b", System.currentTimeMillis()), "another pool's");
+        assertEquals(List.of(), two.take("a.b", System.currentTimeMillis()), "it is for another pool");
         assertEquals(List.of(), two.take("", System.currentTimeMillis()));
-        assertEquals(GIFTS, two.take("a", System.currentTimeMillis()));
+        assertEquals(TRANSFERS, two.take("a", System.currentTimeMillis()));
         assertEquals(List.of(), three.take("a", System.currentTimeMillis()));
     }
 
     @Test
-    void anOldGiftIsNobodys() throws Exception {
-        ProcessRegistry one = new ProcessRegistry(folder), two = new ProcessRegistry(folder);
-        one.give("a", GIFTS);
-        Files.setLastModifiedTime(gift(), FileTime.fromMillis(System.currentTimeMillis() - 60_000));
+    void oldTransferIsDiscarded() throws Exception {
+        ProcessRegistry one = new ProcessRegistry(folder);
+        ProcessRegistry two = new ProcessRegistry(folder);
+        one.give("a", TRANSFERS);
+        Files.setLastModifiedTime(transferFile(), FileTime.fromMillis(System.currentTimeMillis() - 60_000));
         assertEquals(List.of(), two.take("a", System.currentTimeMillis()));
-        one.give("a", GIFTS);
-        assertEquals(GIFTS, two.take("a", System.currentTimeMillis()), "the next one is not hindered by it");
+        one.give("a", TRANSFERS);
+        assertEquals(TRANSFERS, two.take("a", System.currentTimeMillis()), "the next one is taken all the same");
     }
 
     @Test
-    void whatIsTornOrForeignGivesNothing() throws Exception {
-        ProcessRegistry one = new ProcessRegistry(folder), two = new ProcessRegistry(folder);
+    void malformedTransferIsIgnored() throws Exception {
+        ProcessRegistry one = new ProcessRegistry(folder);
+        ProcessRegistry two = new ProcessRegistry(folder);
         for (String text :
                 new String[] {"", "7 0 2 3.5\n", "7 0 2 NaN\nend\n", "7 0 2 -4\nend\n", "x y\nend\n", "end\n"}) {
-            one.give("a", GIFTS);
-            Files.writeString(gift(), text);
+            one.give("a", TRANSFERS);
+            Files.writeString(transferFile(), text);
             assertEquals(List.of(), two.take("a", System.currentTimeMillis()), text);
         }
         one.give("a", List.of());
@@ -61,8 +66,9 @@
     }
 
     @Test
-    void whoServesIsCountedUntilItEnds() throws Exception {
-        ProcessRegistry one = new ProcessRegistry(folder), two = new ProcessRegistry(folder);
+    void servingProcessIsCountedUntilItEnds() throws Exception {
+        ProcessRegistry one = new ProcessRegistry(folder);
+        ProcessRegistry two = new ProcessRegistry(folder);
         assertEquals(0, two.others());
         one.serve();
         assertEquals(1, two.others());
--- a/src/test/java/rushpin/membership/AddressOwnersTest.java
+++ b/src/test/java/rushpin/membership/AddressOwnersTest.java
@@ -16,70 +16,70 @@
 import rushpin.gateway.Ports.Readiness;
 import rushpin.gateway.Ports.Server;
 
-/** One address belongs to one pool. */
+/** Tests that an address of an app server is ready in one pool at a time. */
 class AddressOwnersTest {
-    private final AddressOwners claims = new AddressOwners();
+    private final AddressOwners owners = new AddressOwners();
 
     private static Member member(String id, int port, Readiness readiness) {
         return new Member(new Server(id, 1, 0, 0, 0, readiness, 0), InetSocketAddress.createUnresolved("h", port));
     }
 
-    private static ServerListUpdate roll(Member... members) {
+    private static ServerListUpdate update(Member... members) {
         return new ServerListUpdate(1, false, List.of(members));
     }
 
-    private static Readiness of(AddressOwners.PoolUpdate told, int at) {
-        return told.update().members().get(at).server().readiness();
+    private static Readiness readiness(AddressOwners.PoolUpdate update, int index) {
+        return update.update().members().get(index).server().readiness();
     }
 
     @Test
-    void theFirstKeepsItAndTheSecondGetsItWhenItIsLetGo() {
-        claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.FULL);
-        AddressOwners.Admission second = claims.admit(
-                "b", roll(member("s", 1, Readiness.READY), member("t", 2, Readiness.READY)), ListKind.FULL);
+    void firstPoolKeepsAddressAndSecondGetsItWhenReleased() {
+        owners.admit("a", update(member("s", 1, Readiness.READY)), ListKind.FULL);
+        AddressOwners.Admission second = owners.admit(
+                "b", update(member("s", 1, Readiness.READY), member("t", 2, Readiness.READY)), ListKind.FULL);
         assertEquals(1, second.conflicts().size());
-        assertEquals(Readiness.GONE, of(second.updates().get(0), 0));
-        assertEquals(Readiness.READY, of(second.updates().get(0), 1));
-        AddressOwners.Admission drained = claims.admit("a", roll(member("s", 1, Readiness.DRAINING)), ListKind.DELTA);
+        assertEquals(Readiness.GONE, readiness(second.updates().get(0), 0));
+        assertEquals(Readiness.READY, readiness(second.updates().get(0), 1));
+        AddressOwners.Admission drained = owners.admit("a", update(member("s", 1, Readiness.DRAINING)), ListKind.DELTA);
         assertEquals(
                 List.of("a", "b"),
                 drained.updates().stream().map(AddressOwners.PoolUpdate::pool).toList());
-        assertEquals(Readiness.READY, of(drained.updates().get(1), 0));
-        AddressOwners.Admission back = claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.DELTA);
-        assertEquals(Readiness.GONE, of(back.updates().get(0), 0), "now the other one has it");
+        assertEquals(Readiness.READY, readiness(drained.updates().get(1), 0));
+        AddressOwners.Admission back = owners.admit("a", update(member("s", 1, Readiness.READY)), ListKind.DELTA);
+        assertEquals(Readiness.GONE, readiness(back.updates().get(0), 0), "the other pool owns it now");
     }
 
     @Test
-    void anAddressThatChangesHandsInOnePoolIsNoConflict() {
-        claims.admit("a", roll(member("old", 1, Readiness.READY)), ListKind.FULL);
+    void addressThatChangesServerWithinAPoolIsNoConflict() {
+        owners.admit("a", update(member("old", 1, Readiness.READY)), ListKind.FULL);
         assertEquals(
                 List.of(),
-                claims.admit("a", roll(member("new", 1, Readiness.READY)), ListKind.DELTA)
+                owners.admit("a", update(member("new", 1, Readiness.READY)), ListKind.DELTA)
                         .conflicts());
-        claims.admit("a", roll(member("old", 1, Readiness.GONE)), ListKind.DELTA);
+        owners.admit("a", update(member("old", 1, Readiness.GONE)), ListKind.DELTA);
         assertEquals(
                 1,
-                claims.admit("b", roll(member("x", 1, Readiness.READY)), ListKind.FULL)
+                owners.admit("b", update(member("x", 1, Readiness.READY)), ListKind.FULL)
                         .conflicts()
                         .size(),
-                "the new one still holds it");
+                "the new server still owns it");
     }
 
     @Test
-    void aPoolThatEndsLetsGoOfAll() {
-        claims.admit("a", roll(member("s", 1, Readiness.READY)), ListKind.FULL);
-        claims.admit("b", roll(member("s", 1, Readiness.READY)), ListKind.FULL);
-        List<AddressOwners.PoolUpdate> told = claims.leave("a");
-        assertEquals("b", told.get(0).pool());
-        assertEquals(Readiness.READY, of(told.get(0), 0));
+    void poolThatEndsReleasesAllAddresses() {
+        owners.admit("a", update(member("s", 1, Readiness.READY)), ListKind.FULL);
+        owners.admit("b", update(member("s", 1, Readiness.READY)), ListKind.FULL);
+        List<AddressOwners.PoolUpdate> updates = owners.leave("a");
+        assertEquals("b", updates.get(0).pool());
+        assertEquals(Readiness.READY, readiness(updates.get(0), 0));
     }
 
     @Property
-    void noAddressIsEverReadyInTwoPools(@ForAll long seed) {
+    void noAddressIsReadyInTwoPools(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        AddressOwners all = new AddressOwners();
-        // What each pool was told: server to address, if ready.
-        Map<String, Map<String, Integer>> told = new TreeMap<>();
+        AddressOwners addressOwners = new AddressOwners();
+        // By pool: the ports of its ready servers, by server.
+        Map<String, Map<String, Integer>> readyByPool = new TreeMap<>();
         for (int step = 0; step < 200; step++) {
             String pool = "p" + random.nextInt(3);
             ListKind kind = random.nextInt(8) == 0 ? ListKind.FULL : ListKind.DELTA;
@@ -93,17 +93,17 @@
                                 1 + random.nextInt(4),
                                 Readiness.values()[random.nextInt(Readiness.values().length)]));
             }
-            AddressOwners.Admission outcome =
-                    all.admit(pool, new ServerListUpdate(step, kind == ListKind.FULL, List.copyOf(members.values())), kind);
-            for (AddressOwners.PoolUpdate one : outcome.updates()) {
-                Map<String, Integer> ready = told.computeIfAbsent(one.pool(), p -> new TreeMap<>());
-                if (one.kind() == ListKind.FULL) {
+            AddressOwners.Admission outcome = addressOwners.admit(
+                    pool, new ServerListUpdate(step, kind == ListKind.FULL, List.copyOf(members.values())), kind);
+            for (AddressOwners.PoolUpdate update : outcome.updates()) {
+                Map<String, Integer> ready = readyByPool.computeIfAbsent(update.pool(), p -> new TreeMap<>());
+                if (update.kind() == ListKind.FULL) {
                     ready.clear();
                 }
-                for (Member m : one.update().members()) {
+                for (Member m : update.update().members()) {
                     if (m.isReady()) {
                         int port = ((InetSocketAddress) m.address()).getPort();
-                        // In one pool the newest server at an address has it, as in ServerPool.
+                        // Within a pool the newest server at an address has it, as in ServerPool.
                         ready.values().removeIf(p -> p == port);
                         ready.put(m.server().id(), port);
                     } else {
@@ -112,7 +112,7 @@
                 }
             }
             Map<Integer, String> holders = new TreeMap<>();
-            told.forEach((p, ready) -> ready.values().forEach(port -> {
+            readyByPool.forEach((p, ready) -> ready.values().forEach(port -> {
                 String other = holders.put(port, p);
                 assertTrue(other == null, "seed " + seed + ": " + port + " is ready in " + other + " and " + p);
             }));
--- a/src/test/java/rushpin/membership/DisabledServersTest.java
+++ b/src/test/java/rushpin/membership/DisabledServersTest.java
@@ -19,19 +19,20 @@
 import rushpin.gateway.Ports.Readiness;
 import rushpin.gateway.Ports.Server;
 
+/** Tests that disabled servers drain whatever lists say. */
 class DisabledServersTest {
-    private final DisabledServers withheld = new DisabledServers();
+    private final DisabledServers servers = new DisabledServers();
 
     private static Member member(String id, Readiness readiness, long startedAt) {
         return new Member(new Server(id, 1, 0, 0, 0, readiness, startedAt), new InetSocketAddress("127.0.0.1", 1));
     }
 
-    private static ServerListUpdate roll(Member... members) {
+    private static ServerListUpdate update(Member... members) {
         return new ServerListUpdate(1, true, List.of(members));
     }
 
-    private static Readiness said(ServerListUpdate roll, String id) {
-        return roll.members().stream()
+    private static Readiness readiness(ServerListUpdate update, String id) {
+        return update.members().stream()
                 .filter(m -> m.server().id().equals(id))
                 .findFirst()
                 .orElseThrow()
@@ -40,90 +41,96 @@
     }
 
     @Test
-    void withNobodyOutAListStaysAsItIs() {
-        ServerListUpdate roll = roll(member("a", Readiness.READY, 0));
-        assertSame(roll, withheld.follow(roll, true));
+    void withoutDisabledServersTheListIsUnchanged() {
+        ServerListUpdate update = update(member("a", Readiness.READY, 0));
+        assertSame(update, servers.follow(update, true));
     }
 
     @Test
-    void whoIsOutDrainsAtOnceAndWhateverListsSayLater() {
-        withheld.follow(roll(member("a", Readiness.READY, 0), member("b", Readiness.READY, 0)), true);
-        ServerListUpdate change = withheld.set(Set.of("a"));
+    void disabledServerDrainsAtOnceWhateverLaterListsSay() {
+        servers.follow(update(member("a", Readiness.READY, 0), member("b", Readiness.READY, 0)), true);
+        ServerListUpdate change = servers.set(Set.of("a"));
         assertEquals(1, change.members().size());
-        assertEquals(Readiness.DRAINING, said(change, "a"));
-        withheld.follow(roll(member("a", Readiness.GONE, 0)), false);
-        assertEquals(Readiness.DRAINING, said(withheld.follow(roll(member("a", Readiness.READY, 77)), false), "a"));
-        assertEquals(Readiness.DRAINING, said(withheld.follow(roll(member("a", Readiness.READY, 77)), true), "a"));
-        ServerListUpdate back = withheld.set(Set.of());
-        assertEquals(Readiness.READY, said(back, "a"));
+        assertEquals(Readiness.DRAINING, readiness(change, "a"));
+        servers.follow(update(member("a", Readiness.GONE, 0)), false);
         assertEquals(
-                77, back.members().get(0).server().startedAt(), "it restarted while it was out, and comes back cold");
+                Readiness.DRAINING, readiness(servers.follow(update(member("a", Readiness.READY, 77)), false), "a"));
+        assertEquals(
+                Readiness.DRAINING, readiness(servers.follow(update(member("a", Readiness.READY, 77)), true), "a"));
+        ServerListUpdate back = servers.set(Set.of());
+        assertEquals(Readiness.READY, readiness(back, "a"));
+        assertEquals(
+                77,
+                back.members().get(0).server().startedAt(),
+                "it restarted while it was disabled, and comes back cold");
     }
 
     @Test
-    void whoDrainsByTheListStaysSoWhenPutBack() {
-        withheld.follow(roll(member("a", Readiness.DRAINING, 0)), true);
-        assertTrue(withheld.set(Set.of("a")).members().isEmpty());
-        assertTrue(withheld.set(Set.of()).members().isEmpty(), "the list's own word still holds");
+    void serverThatDrainsByTheListStillDrainsWhenEnabled() {
+        servers.follow(update(member("a", Readiness.DRAINING, 0)), true);
+        assertTrue(servers.set(Set.of("a")).members().isEmpty());
+        assertTrue(servers.set(Set.of()).members().isEmpty(), "the state in the list still applies");
     }
 
     @Test
-    void anIdIsKnownOnceItWasListedEvenWhenGone() {
-        assertFalse(withheld.knows("a"));
-        withheld.follow(roll(member("a", Readiness.READY, 0)), true);
-        withheld.follow(roll(), true);
-        assertTrue(withheld.knows("a"));
-        assertFalse(withheld.knows("b"));
-        withheld.set(Set.of("b"));
-        assertTrue(withheld.knows("b"), "another process has listed it");
-        assertEquals(0, withheld.out(), "of those listed none is out");
+    void idStaysKnownAfterTheServerIsGone() {
+        assertFalse(servers.knows("a"));
+        servers.follow(update(member("a", Readiness.READY, 0)), true);
+        servers.follow(update(), true);
+        assertTrue(servers.knows("a"));
+        assertFalse(servers.knows("b"));
+        servers.set(Set.of("b"));
+        assertTrue(servers.knows("b"), "another process has listed it");
+        assertEquals(0, servers.out(), "no listed server is disabled");
     }
 
     @Test
-    void whatIsRememberedHasABound() {
+    void rememberedIdsAreBounded() {
         for (int i = 0; i < 20_000; i++) {
-            withheld.follow(roll(member("s-" + i, Readiness.READY, 0)), true);
+            servers.follow(update(member("s-" + i, Readiness.READY, 0)), true);
         }
-        assertEquals(1, withheld.listed());
-        assertFalse(withheld.knows("s-0"));
-        assertTrue(withheld.knows("s-19999"));
+        assertEquals(1, servers.listed());
+        assertFalse(servers.knows("s-0"));
+        assertTrue(servers.knows("s-19999"));
     }
 
-    /** Whatever the order of lists and calls: what the pool was told last is the list with those out draining. */
+    /** For any order of lists and commands, the pool's last state is the list with the disabled servers draining. */
     @Property(tries = 500)
-    void thePoolsViewIsTheListLessThoseOut(
+    void poolsStateIsTheListWithDisabledServersDraining(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 39) Integer> steps) {
-        DisabledServers deciding = new DisabledServers();
-        Map<String, Readiness> list = new HashMap<>(), told = new HashMap<>();
-        Set<String> out = new HashSet<>();
+        DisabledServers tested = new DisabledServers();
+        Map<String, Readiness> list = new HashMap<>();
+        Map<String, Readiness> reported = new HashMap<>();
+        Set<String> disabled = new HashSet<>();
         for (int step : steps) {
             String id = "s-" + step % 5;
-            int what = step / 5;
-            ServerListUpdate heard;
-            if (what < 3) {
-                Readiness readiness = Readiness.values()[what];
+            int action = step / 5;
+            ServerListUpdate result;
+            if (action < 3) {
+                Readiness readiness = Readiness.values()[action];
                 list.put(id, readiness);
-                heard = deciding.follow(roll(member(id, readiness, step)), false);
-            } else if (what == 3) {
+                result = tested.follow(update(member(id, readiness, step)), false);
+            } else if (action == 3) {
                 list.keySet().retainAll(Set.of(id));
-                told.clear();
-                heard = deciding.follow(
-                        roll(list.entrySet().stream()
+                reported.clear();
+                result = tested.follow(
+                        update(list.entrySet().stream()
                                 .map(e -> member(e.getKey(), e.getValue(), 0))
                                 .toArray(Member[]::new)),
                         true);
             } else {
-                if (what < 6) {
-                    out.add(id);
+                if (action < 6) {
+                    disabled.add(id);
                 } else {
-                    out.remove(id);
+                    disabled.remove(id);
                 }
-                heard = deciding.set(out);
+                result = tested.set(disabled);
             }
-            heard.members().forEach(m -> told.put(m.server().id(), m.server().readiness()));
+            result.members()
+                    .forEach(m -> reported.put(m.server().id(), m.server().readiness()));
             list.forEach((server, readiness) -> assertEquals(
-                    readiness == Readiness.READY && out.contains(server) ? Readiness.DRAINING : readiness,
-                    told.get(server),
+                    readiness == Readiness.READY && disabled.contains(server) ? Readiness.DRAINING : readiness,
+                    reported.get(server),
                     "after " + steps));
         }
     }
--- a/src/test/java/rushpin/membership/JsonTest.java
+++ b/src/test/java/rushpin/membership/JsonTest.java
@@ -8,19 +8,19 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.junit.jupiter.api.Test;
 
-/** The tree is the one that the library's mapper makes. */
+/** Tests that trees equal those of Jackson's object mapper. */
 class JsonTest {
     private static final String ALL = """
         {"a":[1,-2,3000000000,123456789012345678901234567890,1.5,1e300,true,false,null,"\\u00e9\\n",[],{}],"b":{"c":{"d":"e"}},"b2":""}
         """;
 
     @Test
-    void theTreeIsTheMappersTree() throws Exception {
+    void treeEqualsThatOfObjectMapper() throws Exception {
         assertEquals(new ObjectMapper().readTree(ALL), Json.read(ALL));
     }
 
     @Test
-    void everyTextThatIsCutShortIsRefused() {
+    void truncatedTextIsRefused() {
         String text = ALL.strip();
         for (int length = 1; length < text.length(); length++) {
             String cut = text.substring(0, length);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void nothingIsMissingAndNestingWithoutEndIsRefused() throws Exception {
+    void blankTextIsMissingNodeAndDeepNestingIsRefused() throws Exception {
         assertTrue(Json.read(" ").isMissingNode());
         assertThrows(JsonProcessingException.class, () -> Json.read("[".repeat(100_000)));
     }
--- a/src/test/java/rushpin/membership/xds/ResourceReaderTest.java
+++ b/src/test/java/rushpin/membership/xds/ResourceReaderTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static rushpin.membership.xds.Worlds.any;
-import static rushpin.membership.xds.Worlds.assignment;
-import static rushpin.membership.xds.Worlds.eds;
-import static rushpin.membership.xds.Worlds.endpoint;
-import static rushpin.membership.xds.Worlds.locality;
-import static rushpin.membership.xds.Worlds.number;
-import static rushpin.membership.xds.Worlds.said;
-import static rushpin.membership.xds.Worlds.text;
-import static rushpin.membership.xds.Worlds.weighted;
+import static rushpin.membership.xds.XdsFixtures.any;
+import static rushpin.membership.xds.XdsFixtures.assignment;
+import static rushpin.membership.xds.XdsFixtures.eds;
+import static rushpin.membership.xds.XdsFixtures.endpoint;
+import static rushpin.membership.xds.XdsFixtures.locality;
+import static rushpin.membership.xds.XdsFixtures.number;
+import static rushpin.membership.xds.XdsFixtures.text;
+import static rushpin.membership.xds.XdsFixtures.weighted;
+import static rushpin.membership.xds.XdsFixtures.withMetadata;
 
 import com.google.protobuf.Any;
 import com.google.protobuf.ByteString;
@@ -36,78 +36,80 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rushpin.gateway.Ports.Readiness;
 
-/** What is taken of clusters and endpoints, and what is refused, by name. */
+/** Tests which clusters and endpoints are accepted, and which are refused with the name of the field. */
 class ResourceReaderTest {
-    private static String refused(LbEndpoint... of) {
-        return assertThrows(InvalidResourceException.class, () -> ResourceReader.endpoints(any(assignment("c", of))))
+    private static String refusal(LbEndpoint... endpoints) {
+        return assertThrows(
+                        InvalidResourceException.class, () -> ResourceReader.endpoints(any(assignment("c", endpoints))))
                 .getMessage();
     }
 
-    private static String refused(Cluster of) {
-        return assertThrows(InvalidResourceException.class, () -> ResourceReader.cluster(any(of)))
+    private static String refusal(Cluster cluster) {
+        return assertThrows(InvalidResourceException.class, () -> ResourceReader.cluster(any(cluster)))
                 .getMessage();
     }
 
-    private static Endpoints.Endpoint one(LbEndpoint of) throws InvalidResourceException {
-        return ResourceReader.endpoints(any(assignment("c", of))).all().get(0);
+    private static Endpoints.Endpoint read(LbEndpoint endpoint) throws InvalidResourceException {
+        return ResourceReader.endpoints(any(assignment("c", endpoint))).all().get(0);
     }
 
     @Test
-    void anEndpointIsReadWithAllThatItsMetadataSays() throws Exception {
-        LbEndpoint from = said(
-                said(
-                        said(
-                                said(weighted(endpoint(8081), 3), "id", text("s-1")),
+    void endpointIsReadWithItsMetadata() throws Exception {
+        LbEndpoint from = withMetadata(
+                withMetadata(
+                        withMetadata(
+                                withMetadata(weighted(endpoint(8081), 3), "id", text("s-1")),
                                 "started_ms",
                                 number(1_700_000_000_000.0)),
                         "kind",
                         text("m")),
                 "cell",
                 number(2));
-        Endpoints.Endpoint read = one(from);
+        Endpoints.Endpoint read = read(from);
         assertEquals("s-1", read.id());
         assertEquals(1_700_000_000_000_000_000L, read.started());
         assertEquals("m", read.kind());
         assertEquals(2, read.cell());
         assertEquals(3, read.weight());
         assertEquals("a", read.zone());
-        Endpoints.Endpoint bare = one(endpoint(8081));
+        Endpoints.Endpoint bare = read(endpoint(8081));
         assertEquals("127.0.0.1:8081", bare.id());
-        assertEquals(-1, bare.started(), "not said");
+        assertEquals(-1, bare.started(), "not given");
     }
 
     @ParameterizedTest
     @EnumSource(value = HealthStatus.class, names = "UNRECOGNIZED", mode = EnumSource.Mode.EXCLUDE)
-    void eachHealthHasAMeaning(HealthStatus health) throws Exception {
+    void eachHealthStatusHasAReadiness(HealthStatus health) throws Exception {
         boolean ready = List.of(HealthStatus.UNKNOWN, HealthStatus.HEALTHY, HealthStatus.DEGRADED)
                 .contains(health);
         assertEquals(
                 ready ? Readiness.READY : Readiness.DRAINING,
-                one(endpoint("10.0.0.1", 80, health)).readiness());
+                read(endpoint("10.0.0.1", 80, health)).readiness());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 70_000, -1, 65_536})
-    void aPortThatIsNoneIsRefused(int port) {
-        assertTrue(refused(endpoint(port)).contains("allowed: 1 to 65535"));
+    void invalidPortIsRefused(int port) {
+        assertTrue(refusal(endpoint(port)).contains("allowed: 1 to 65535"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "localhost", "999.1.1.1", "1.2.3", "example.org", "1.2.3.4.5", ":::", "gg::1"})
-    void whatIsNoAddressIsRefusedAndNotLookedUp(String host) {
-        assertTrue(refused(endpoint(host, 80, HealthStatus.HEALTHY)).contains("no IP address"));
+    void hostNameIsRefusedAndNotResolved(String host) {
+        assertTrue(refusal(endpoint(host, 80, HealthStatus.HEALTHY)).contains("no IP address"));
     }
 
     @Test
-    void sixIsAnAddressToo() throws Exception {
+    void ipv6AddressIsAccepted() throws Exception {
         assertEquals(
-                80, one(endpoint("fe80::1", 80, HealthStatus.HEALTHY)).address().getPort());
+                80,
+                read(endpoint("fe80::1", 80, HealthStatus.HEALTHY)).address().getPort());
     }
 
     @Test
-    void whatIsMissingIsNamed() {
-        assertTrue(refused(LbEndpoint.getDefaultInstance()).contains("no endpoint"));
-        assertTrue(refused(LbEndpoint.newBuilder()
+    void missingFieldIsNamed() {
+        assertTrue(refusal(LbEndpoint.getDefaultInstance()).contains("no endpoint"));
+        assertTrue(refusal(LbEndpoint.newBuilder()
                         .setEndpoint(Endpoint.getDefaultInstance())
                         .build())
                 .contains("socket_address"));
@@ -116,7 +118,7 @@
                         .setAddress(
                                 Address.newBuilder().setPipe(Pipe.newBuilder().setPath("/run/x"))))
                 .build();
-        assertTrue(refused(pipe).contains("socket_address"));
+        assertTrue(refusal(pipe).contains("socket_address"));
         LbEndpoint named = LbEndpoint.newBuilder()
                 .setEndpoint(Endpoint.newBuilder()
                         .setAddress(Address.newBuilder()
@@ -124,7 +126,7 @@
                                         .setAddress("10.0.0.1")
                                         .setNamedPort("http"))))
                 .build();
-        assertTrue(refused(named).contains("missing"));
+        assertTrue(refusal(named).contains("missing"));
         LbEndpoint udp = LbEndpoint.newBuilder()
                 .setEndpoint(Endpoint.newBuilder()
                         .setAddress(Address.newBuilder()
@@ -133,13 +135,13 @@
                                         .setPortValue(1)
                                         .setProtocol(SocketAddress.Protocol.UDP))))
                 .build();
-        assertTrue(refused(udp).contains("allowed: TCP"));
+        assertTrue(refusal(udp).contains("allowed: TCP"));
     }
 
     @Test
-    void whatStandsThereTwiceIsRefused() {
-        assertTrue(refused(endpoint(80), endpoint(80)).contains("stands there twice"));
-        assertTrue(refused(said(endpoint(80), "id", text("a")), said(endpoint(80), "id", text("b")))
+    void duplicateEndpointIsRefused() {
+        assertTrue(refusal(endpoint(80), endpoint(80)).contains("stands there twice"));
+        assertTrue(refusal(withMetadata(endpoint(80), "id", text("a")), withMetadata(endpoint(80), "id", text("b")))
                 .contains("one address"));
         ClusterLoadAssignment two = ClusterLoadAssignment.newBuilder()
                 .setClusterName("c")
@@ -150,17 +152,19 @@
     }
 
     @Test
-    void figuresThatAreNoneAreRefused() {
-        assertTrue(refused(weighted(endpoint(80), 0)).contains("weight"));
+    void invalidNumberIsRefused() {
+        assertTrue(refusal(weighted(endpoint(80), 0)).contains("weight"));
         for (double bad : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY, 1e300}) {
-            assertTrue(refused(said(endpoint(80), "started_ms", number(bad))).contains("started_ms"));
+            assertTrue(refusal(withMetadata(endpoint(80), "started_ms", number(bad)))
+                    .contains("started_ms"));
         }
-        assertTrue(refused(said(endpoint(80), "started_ms", text("now"))).contains("started_ms"));
-        assertTrue(refused(said(endpoint(80), "id", text(""))).contains("id"));
+        assertTrue(
+                refusal(withMetadata(endpoint(80), "started_ms", text("now"))).contains("started_ms"));
+        assertTrue(refusal(withMetadata(endpoint(80), "id", text(""))).contains("id"));
     }
 
     @Test
-    void overloadsAreDroppedOneAfterAnother() throws Exception {
+    void dropOverloadsApplyInSequence() throws Exception {
         FractionalPercent half = FractionalPercent.newBuilder()
                 .setNumerator(50)
                 .setDenominator(FractionalPercent.DenominatorType.HUNDRED)
@@ -180,7 +184,7 @@
     }
 
     @Test
-    void aClusterIsReadWithItsBounds() throws Exception {
+    void clusterIsReadWithItsLimits() throws Exception {
         Cluster from = eds("c", "s").toBuilder()
                 .setCircuitBreakers(CircuitBreakers.newBuilder()
                         .addThresholds(CircuitBreakers.Thresholds.newBuilder()
@@ -199,25 +203,25 @@
     }
 
     @Test
-    void clustersThatAreNotForThisNodeAreRefusedWithTheReason() {
-        assertTrue(refused(eds("c").toBuilder()
+    void unsupportedClusterIsRefusedWithTheReason() {
+        assertTrue(refusal(eds("c").toBuilder()
                         .setType(Cluster.DiscoveryType.STRICT_DNS)
                         .build())
                 .contains("look-ups are off"));
-        assertTrue(refused(eds("c").toBuilder()
+        assertTrue(refusal(eds("c").toBuilder()
                         .setType(Cluster.DiscoveryType.ORIGINAL_DST)
                         .build())
                 .contains("allowed: EDS, STATIC"));
-        assertTrue(refused(eds("")).contains("name is empty"));
-        assertTrue(refused(eds("c").toBuilder().clearEdsClusterConfig().build()).contains("eds_config"));
-        assertTrue(refused(eds("c").toBuilder()
+        assertTrue(refusal(eds("")).contains("name is empty"));
+        assertTrue(refusal(eds("c").toBuilder().clearEdsClusterConfig().build()).contains("eds_config"));
+        assertTrue(refusal(eds("c").toBuilder()
                         .setConnectTimeout(Duration.newBuilder().setSeconds(-1))
                         .build())
                 .contains("connect_timeout"));
     }
 
     @Test
-    void bytesThatAreNoResourceAreRefused() {
+    void malformedBytesAreRefused() {
         Any torn = Any.newBuilder()
                 .setTypeUrl(ResourceReader.CLUSTER)
                 .setValue(ByteString.copyFrom(new byte[] {10, 50, 1}))
@@ -227,12 +231,13 @@
         assertThrows(InvalidResourceException.class, () -> ResourceReader.endpoints(any(eds("c"))), "another type");
     }
 
-    /** What has stood there before in the same bytes is not parsed again, and reads the same as if it were. */
+    /** An endpoint whose bytes are unchanged is not parsed again, and the result is the same as if it were. */
     @Test
-    void oneChangeAmongThousandsIsOneThatIsParsed() throws Exception {
+    void onlyChangedEndpointsAreParsed() throws Exception {
         List<LbEndpoint> all = new ArrayList<>();
         for (int i = 0; i < 5_000; i++) {
-            all.add(said(endpoint("10.1." + i / 256 + "." + i % 256, 80, HealthStatus.HEALTHY), "id", text("s" + i)));
+            all.add(withMetadata(
+                    endpoint("10.1." + i / 256 + "." + i % 256, 80, HealthStatus.HEALTHY), "id", text("s" + i)));
         }
         AssignmentReader reader = new AssignmentReader();
         reader.read(any(assignment("c", all.toArray(LbEndpoint[]::new))));
@@ -244,6 +249,6 @@
         assertEquals(1, reader.parsed());
         assertEquals(new AssignmentReader().read(next), read);
         assertThrows(InvalidResourceException.class, () -> reader.read(any(assignment("c", endpoint(0)))));
-        assertEquals(read, reader.read(next), "what was refused leaves no trace");
+        assertEquals(read, reader.read(next), "a refused assignment changes no state");
     }
 }
--- a/src/test/java/rushpin/membership/xds/Worlds.java
+++ b/src/test/java/rushpin/membership/xds/XdsFixtures.java
@@ -23,9 +23,9 @@
 import rushpin.membership.Member;
 import rushpin.membership.ServerListUpdate;
 
-/** Clusters and endpoints as a management server would send them. */
-final class Worlds {
-    private Worlds() {}
+/** Builds clusters and endpoints as a management server sends them. */
+final class XdsFixtures {
+    private XdsFixtures() {}
 
     static Cluster eds(String name) {
         return Cluster.newBuilder()
@@ -59,50 +59,52 @@
         return endpoint("127.0.0.1", port, HealthStatus.HEALTHY);
     }
 
-    static LbEndpoint weighted(LbEndpoint of, int weight) {
-        return of.toBuilder().setLoadBalancingWeight(UInt32Value.of(weight)).build();
+    static LbEndpoint weighted(LbEndpoint endpoint, int weight) {
+        return endpoint.toBuilder()
+                .setLoadBalancingWeight(UInt32Value.of(weight))
+                .build();
     }
 
-    static LbEndpoint said(LbEndpoint of, String key, Value value) {
-        Metadata.Builder all = of.getMetadata().toBuilder();
+    static LbEndpoint withMetadata(LbEndpoint endpoint, String key, Value value) {
+        Metadata.Builder all = endpoint.getMetadata().toBuilder();
         Struct before = all.getFilterMetadataOrDefault(ResourceReader.METADATA, Struct.getDefaultInstance());
-        return of.toBuilder()
+        return endpoint.toBuilder()
                 .setMetadata(all.putFilterMetadata(
                         ResourceReader.METADATA,
                         before.toBuilder().putFields(key, value).build()))
                 .build();
     }
 
-    static Value text(String of) {
-        return Value.newBuilder().setStringValue(of).build();
+    static Value text(String value) {
+        return Value.newBuilder().setStringValue(value).build();
     }
 
-    static Value number(double of) {
-        return Value.newBuilder().setNumberValue(of).build();
+    static Value number(double value) {
+        return Value.newBuilder().setNumberValue(value).build();
     }
 
-    static LocalityLbEndpoints locality(String zone, int priority, List<LbEndpoint> of) {
+    static LocalityLbEndpoints locality(String zone, int priority, List<LbEndpoint> endpoints) {
         return LocalityLbEndpoints.newBuilder()
                 .setLocality(Locality.newBuilder().setZone(zone))
                 .setPriority(priority)
-                .addAllLbEndpoints(of)
+                .addAllLbEndpoints(endpoints)
                 .build();
     }
 
-    static ClusterLoadAssignment assignment(String name, LbEndpoint... of) {
+    static ClusterLoadAssignment assignment(String name, LbEndpoint... endpoints) {
         return ClusterLoadAssignment.newBuilder()
                 .setClusterName(name)
-                .addEndpoints(locality("a", 0, Arrays.asList(of)))
+                .addEndpoints(locality("a", 0, Arrays.asList(endpoints)))
                 .build();
     }
 
-    static Any any(com.google.protobuf.Message of) {
-        return Any.pack(of);
+    static Any any(com.google.protobuf.Message message) {
+        return Any.pack(message);
     }
 
-    /** What a pool has after a list, or changes to it. */
-    static void follow(Map<String, Member> pool, ServerListUpdate roll) {
-        for (Member member : roll.members()) {
+    /** Applies a list, or changes to it, to the members of a pool. */
+    static void follow(Map<String, Member> pool, ServerListUpdate update) {
+        for (Member member : update.members()) {
             if (member.isGone()) {
                 pool.remove(member.server().id());
             } else {
--- a/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
+++ b/src/test/java/rushpin/membership/xds/XdsPropertiesTest.java
@@ -21,154 +21,159 @@
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
 import rushpin.membership.xds.Subscription.Answer;
-import rushpin.membership.xds.Subscription.ResourceRequest;
 import rushpin.membership.xds.Subscription.Item;
+import rushpin.membership.xds.Subscription.ResourceRequest;
 
 /**
- * Any order of pushes, bad ones among them, of messages in flight, losses and reconnects: in the end the pool's list is
- * what the server had last that could be taken, by both forms alike, and what was told bit by bit adds up to it.
+ * Tests random orders of updates, valid and invalid, messages in flight, lost streams and reconnects: in the end the
+ * pool's list is the last valid state of the server, in both variants, and the reported changes add up to it.
  */
 class XdsPropertiesTest {
     private static final Names NAMES = new Names(List.of(), List.of(), List.of("a"), List.of());
 
-    /** The server's side: versions by resource, and for each stream what it has sent. */
+    /** The resources of the management server with their versions. */
     private static final class Server {
-        final Map<String, Any> clusters = new TreeMap<>(), assignments = new TreeMap<>();
+        final Map<String, Any> clusters = new TreeMap<>();
+        final Map<String, Any> assignments = new TreeMap<>();
         final Map<String, Long> versions = new HashMap<>();
         long version;
 
-        void set(Map<String, Any> of, String name, Any to) {
+        void set(Map<String, Any> resources, String name, Any value) {
             version++;
-            if (to == null) {
-                of.remove(name);
+            if (value == null) {
+                resources.remove(name);
             } else {
-                of.put(name, to);
-                versions.put(name + to.getTypeUrl(), version);
+                resources.put(name, value);
+                versions.put(name + value.getTypeUrl(), version);
             }
         }
     }
 
-    /** A client by one form, with the messages that are under way in both directions. */
+    /** A client of one variant, with the messages in flight in both directions and the server's state of its stream. */
     private static final class Client implements Subscription.Port, ClusterView.Port {
-        final XdsVariant form;
+        final XdsVariant variant;
         final Server server;
         final ClusterView view = new ClusterView(NAMES, new ClusterView.Rules(1, 0, 1 << 30, 0), List.of(), this);
         final Subscription subscription;
-        final ArrayDeque<ResourceRequest> asks = new ArrayDeque<>();
+        final ArrayDeque<ResourceRequest> requests = new ArrayDeque<>();
         final ArrayDeque<Answer> answers = new ArrayDeque<>();
         final Map<String, Member> pool = new TreeMap<>();
-        final Map<String, List<String>> names = new HashMap<>();
-        final Map<String, Map<String, Long>> had = new HashMap<>();
+        final Map<String, List<String>> subscribed = new HashMap<>();
+        final Map<String, Map<String, Long>> sentVersions = new HashMap<>();
         final Map<String, String> nonces = new HashMap<>();
-        long now, nonce;
+        long now;
+        long nonce;
+        /** The number of reported lists and changes. */
         int lists;
-        boolean up;
+        /** Whether there is a stream. */
+        boolean isOpen;
 
-        Client(XdsVariant form, Server server) {
-            this.form = form;
+        Client(XdsVariant variant, Server server) {
+            this.variant = variant;
             this.server = server;
-            subscription = new Subscription(form, "c", false, this);
+            subscription = new Subscription(variant, "c", false, this);
         }
 
         void open() {
-            if (!up) {
-                up = true;
+            if (!isOpen) {
+                isOpen = true;
                 subscription.opened();
             }
         }
 
         void lose() {
-            if (up) {
-                up = false;
-                asks.clear();
+            if (isOpen) {
+                isOpen = false;
+                requests.clear();
                 answers.clear();
-                names.clear();
-                had.clear();
+                subscribed.clear();
+                sentVersions.clear();
                 nonces.clear();
                 subscription.closed();
             }
         }
 
-        /** One request reaches the server. */
-        void hear() {
-            ResourceRequest ask = asks.poll();
-            if (ask == null) {
+        /** Delivers one request to the server. */
+        void deliverRequest() {
+            ResourceRequest request = requests.poll();
+            if (request == null) {
                 return;
             }
-            boolean first = !names.containsKey(ask.type());
-            if (form == XdsVariant.SOTW) {
-                if (!first && !ask.nonce().equals(nonces.getOrDefault(ask.type(), ""))) {
+            boolean first = !subscribed.containsKey(request.type());
+            if (variant == XdsVariant.SOTW) {
+                if (!first && !request.nonce().equals(nonces.getOrDefault(request.type(), ""))) {
                     return;
                 }
-                boolean changed = first || !names.get(ask.type()).equals(ask.names());
-                names.put(ask.type(), ask.names());
-                if (changed && !ask.names().isEmpty()) {
-                    push(ask.type(), true);
+                boolean changed = first || !subscribed.get(request.type()).equals(request.names());
+                subscribed.put(request.type(), request.names());
+                if (changed && !request.names().isEmpty()) {
+                    push(request.type(), true);
                 }
                 return;
             }
-            List<String> of = names.computeIfAbsent(ask.type(), t -> new ArrayList<>());
-            Map<String, Long> has = had.computeIfAbsent(ask.type(), t -> new HashMap<>());
-            ask.initial().forEach((name, version) -> has.put(name, Long.parseLong(version)));
-            of.addAll(ask.subscribe());
-            of.removeAll(ask.unsubscribe());
-            ask.unsubscribe().forEach(has::remove);
-            if (!ask.subscribe().isEmpty()) {
-                ask.subscribe().forEach(name -> has.putIfAbsent(name, -1L));
-                push(ask.type(), true);
+            List<String> wanted = subscribed.computeIfAbsent(request.type(), t -> new ArrayList<>());
+            Map<String, Long> sent = sentVersions.computeIfAbsent(request.type(), t -> new HashMap<>());
+            request.initial().forEach((name, version) -> sent.put(name, Long.parseLong(version)));
+            wanted.addAll(request.subscribe());
+            wanted.removeAll(request.unsubscribe());
+            request.unsubscribe().forEach(sent::remove);
+            if (!request.subscribe().isEmpty()) {
+                request.subscribe().forEach(name -> sent.putIfAbsent(name, -1L));
+                push(request.type(), true);
             }
         }
 
-        /** The server tells this client what it subscribes to of a type, as far as it has not. */
-        void push(String type, boolean asked) {
+        /** The server sends what the client subscribes to of a type and doesn't have yet. */
+        void push(String type, boolean isReply) {
             Map<String, Any> all = type.equals(ResourceReader.CLUSTER) ? server.clusters : server.assignments;
-            List<String> of = names.get(type);
-            if (!up || of == null || of.isEmpty()) {
+            List<String> wanted = subscribed.get(type);
+            if (!isOpen || wanted == null || wanted.isEmpty()) {
                 return;
             }
             String fresh = "n" + ++nonce;
             List<Item> items = new ArrayList<>();
             List<String> removed = new ArrayList<>();
-            Map<String, Long> has = had.computeIfAbsent(type, t -> new HashMap<>());
-            for (String name : of) {
+            Map<String, Long> sent = sentVersions.computeIfAbsent(type, t -> new HashMap<>());
+            for (String name : wanted) {
                 Any any = all.get(name);
                 long version = any == null ? 0 : server.versions.get(name + type);
-                if (form == XdsVariant.SOTW && any != null) {
+                if (variant == XdsVariant.SOTW && any != null) {
                     items.add(new Item("", "" + server.version, any));
-                } else if (form == XdsVariant.DELTA
+                } else if (variant == XdsVariant.DELTA
                         && any != null
-                        && !Long.valueOf(version).equals(has.get(name))) {
+                        && !Long.valueOf(version).equals(sent.get(name))) {
                     items.add(new Item(name, "" + version, any));
-                    has.put(name, version);
-                } else if (form == XdsVariant.DELTA && any == null && has.remove(name) != null) {
+                    sent.put(name, version);
+                } else if (variant == XdsVariant.DELTA && any == null && sent.remove(name) != null) {
                     removed.add(name);
                 }
             }
-            if (form == XdsVariant.DELTA && items.isEmpty() && removed.isEmpty()) {
+            if (variant == XdsVariant.DELTA && items.isEmpty() && removed.isEmpty()) {
                 return;
             }
             nonces.put(type, fresh);
             answers.add(new Answer(type, "" + server.version, fresh, items, removed));
         }
 
-        void deliver() {
+        void deliverAnswer() {
             Answer answer = answers.poll();
             if (answer != null) {
                 subscription.answered(answer);
             }
         }
 
+        /** Opens a stream if there is none, and delivers messages until none is in flight. */
         void settle() {
             open();
-            while (!asks.isEmpty() || !answers.isEmpty()) {
-                hear();
-                deliver();
+            while (!requests.isEmpty() || !answers.isEmpty()) {
+                deliverRequest();
+                deliverAnswer();
             }
         }
 
         @Override
-        public void ask(ResourceRequest ask) {
-            asks.add(ask);
+        public void ask(ResourceRequest request) {
+            requests.add(request);
         }
 
         @Override
@@ -187,55 +192,56 @@
         }
 
         @Override
-        public void list(ServerListUpdate roll, boolean whole) {
+        public void list(ServerListUpdate update, boolean whole) {
             lists++;
             if (whole) {
                 pool.clear();
             }
-            Worlds.follow(pool, roll);
+            XdsFixtures.follow(pool, update);
         }
 
         @Override
         public void log(String text) {}
     }
 
-    private static Any assignment(SplittableRandom random, boolean good) {
+    private static Any assignment(SplittableRandom random, boolean isValid) {
         ClusterLoadAssignment.Builder made = ClusterLoadAssignment.newBuilder().setClusterName("c");
         List<LbEndpoint> all = new ArrayList<>();
         int count = random.nextInt(6);
         for (int i = 0; i < count; i++) {
             HealthStatus health = random.nextInt(4) == 0 ? HealthStatus.DRAINING : HealthStatus.HEALTHY;
-            LbEndpoint one = Worlds.endpoint("10.0.0." + (i + 1), 80 + random.nextInt(2), health);
+            LbEndpoint one = XdsFixtures.endpoint("10.0.0." + (i + 1), 80 + random.nextInt(2), health);
             all.add(
                     random.nextBoolean()
                             ? one
-                            : Worlds.said(one, "id", Worlds.text("s" + random.nextInt(100) + "-" + i)));
+                            : XdsFixtures.withMetadata(
+                                    one, "id", XdsFixtures.text("s" + random.nextInt(100) + "-" + i)));
         }
-        if (!good) {
-            all.add(Worlds.endpoint(0));
+        if (!isValid) {
+            all.add(XdsFixtures.endpoint(0));
         }
-        return Any.pack(made.addEndpoints(Worlds.locality("a", 0, all)).build());
+        return Any.pack(made.addEndpoints(XdsFixtures.locality("a", 0, all)).build());
     }
 
-    /** What the pool should have: id to address and readiness. */
-    private static Map<String, String> shape(Iterable<Member> members) {
-        Map<String, String> shape = new TreeMap<>();
+    /** The state to compare: address and readiness, by id. */
+    private static Map<String, String> states(Iterable<Member> members) {
+        Map<String, String> states = new TreeMap<>();
         members.forEach(
-                m -> shape.put(m.server().id(), m.address() + " " + m.server().readiness()));
-        return shape;
+                m -> states.put(m.server().id(), m.address() + " " + m.server().readiness()));
+        return states;
     }
 
-    private static Map<String, String> wanted(Any assignment) throws InvalidResourceException {
-        Map<String, String> shape = new LinkedHashMap<>();
+    private static Map<String, String> expected(Any assignment) throws InvalidResourceException {
+        Map<String, String> states = new LinkedHashMap<>();
         if (assignment != null) {
             Endpoints read = ResourceReader.endpoints(assignment);
-            read.all().forEach(one -> shape.put(one.id(), one.address() + " " + one.readiness()));
+            read.all().forEach(one -> states.put(one.id(), one.address() + " " + one.readiness()));
         }
-        return new TreeMap<>(shape);
+        return new TreeMap<>(states);
     }
 
     @Property(tries = 400)
-    void theListIsTheServersLastThatCouldBeTakenByBothFormsAlike(@ForAll long seed) throws Exception {
+    void listIsTheLastValidStateOfTheServerInBothVariants(@ForAll long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         Server server = new Server();
         List<Client> clients = List.of(new Client(XdsVariant.SOTW, server), new Client(XdsVariant.DELTA, server));
@@ -243,12 +249,13 @@
         for (int i = 0; i < steps; i++) {
             int what = random.nextInt(12);
             switch (what) {
-                case 0 -> server.set(server.clusters, "c", random.nextInt(4) == 0 ? null : Any.pack(Worlds.eds("c")));
+                case 0 ->
+                    server.set(server.clusters, "c", random.nextInt(4) == 0 ? null : Any.pack(XdsFixtures.eds("c")));
                 case 1 ->
                     server.set(
                             server.clusters,
                             "c",
-                            Any.pack(Worlds.eds("c").toBuilder()
+                            Any.pack(XdsFixtures.eds("c").toBuilder()
                                     .setType(Cluster.DiscoveryType.LOGICAL_DNS)
                                     .build()));
                 case 2, 3 -> server.set(server.assignments, "c", assignment(random, true));
@@ -267,32 +274,35 @@
                             client.lose();
                         }
                     }
-                    case 2, 3, 4 -> client.hear();
-                    default -> client.deliver();
+                    case 2, 3, 4 -> client.deliverRequest();
+                    default -> client.deliverAnswer();
                 }
             }
         }
-        // From here on all is good, and is waited for.
+        // From here on all updates are valid, and all messages are delivered.
         Any last = assignment(random, true);
-        server.set(server.clusters, "c", Any.pack(Worlds.eds("c")));
+        server.set(server.clusters, "c", Any.pack(XdsFixtures.eds("c")));
         server.set(server.assignments, "c", last);
         for (Client client : clients) {
             client.push(ResourceReader.CLUSTER, false);
             client.settle();
             client.push(ResourceReader.ENDPOINTS, false);
             client.settle();
-            assertEquals(wanted(last), shape(client.pool.values()), "seed " + seed + ", " + client.form);
+            assertEquals(expected(last), states(client.pool.values()), "seed " + seed + ", " + client.variant);
             assertEquals(
-                    shape(client.view.members()),
-                    shape(client.pool.values()),
-                    "seed " + seed + ": the changes add up, " + client.form);
-            // A new stream to the same world tells the pool nothing.
+                    states(client.view.members()),
+                    states(client.pool.values()),
+                    "seed " + seed + ": the changes do not add up, " + client.variant);
+            // A new stream to an unchanged server reports nothing to the pool.
             int before = client.lists;
             client.lose();
             client.settle();
             assertEquals(
-                    wanted(last), shape(client.pool.values()), "seed " + seed + " after a new stream, " + client.form);
-            assertEquals(before, client.lists, "seed " + seed + ": told again what it knew, " + client.form);
+                    expected(last),
+                    states(client.pool.values()),
+                    "seed " + seed + " after a new stream, " + client.variant);
+            assertEquals(
+                    before, client.lists, "seed " + seed + ": reported again what the pool knew, " + client.variant);
         }
     }
 }
--- a/src/test/java/rushpin/node/DivisionsTest.java
+++ b/src/test/java/rushpin/node/DivisionsTest.java
@@ -32,7 +32,9 @@
                 List.of(),
                 List.of(),
                 List.of(),
-                List.of(new Report.Need("yard", "", 0, 0), new Report.Need("yard", GroupConfig.OTHERS, wanted, wanted)));
+                List.of(
+                        new Report.Need("yard", "", 0, 0),
+                        new Report.Need("yard", GroupConfig.OTHERS, wanted, wanted)));
     }
 
     /** The parts of processes 1 to 4, which are all there, in a first division. */
