--- a/src/main/java/rushpin/gateway/Gateway.java
+++ b/src/main/java/rushpin/gateway/Gateway.java
@@ -452,17 +452,17 @@
     }
 
     /** How many listed servers are avoided for their failures. */
-    public int shunned() {
+    public int ejected() {
         return (int) listed.stream().filter(b -> b.shunned).count();
     }
 
     /** Whether a server is avoided, and nothing sent to its zone in the last seconds was answered. */
-    public boolean holdsOut(String id) {
+    public boolean isServerHeldOut(String id) {
         return servers.containsKey(id) && servers.get(id).heldOut();
     }
 
     /** Whether a zone, by what was heard of its servers, fails more often than not. */
-    public boolean fails(int zone) {
+    public boolean isZoneFailing(int zone) {
         return zoneErrors.getOrDefault(zone, 0.0) > 0.5;
     }
 
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -181,7 +181,7 @@
     /** Has what it sees of zones counted; before the start. */
     void witness(Witness with) {
         witness = with;
-        witness.begin(loop, server -> gateway != null && gateway.holdsOut(server));
+        witness.begin(loop, server -> gateway != null && gateway.isServerHeldOut(server));
     }
 
     /** What a class is called in the figures: where there are several pools, behind its pool. */
@@ -259,7 +259,7 @@
         }
         if (ended == null) {
             // One that is being replaced reports no more: its name is the next one's.
-            desk.counts().servers(plan.name(), withheld.listed(), withheld.out() + gateway.shunned());
+            desk.counts().servers(plan.name(), withheld.listed(), withheld.out() + gateway.ejected());
         }
     }
 
@@ -383,7 +383,7 @@
                 plan.name(),
                 names,
                 zones,
-                zone -> gateway.fails(names.zones().indexOf(zone)));
+                zone -> gateway.isZoneFailing(names.zones().indexOf(zone)));
         int[][] spare = standing.spare(now, plan.name(), names, zones);
         event(null, at -> gateway.zones(at, parts, spare));
         if (local != standing.isLocal(now)) {
--- a/src/test/java/rushpin/gateway/RetuneTest.java
+++ b/src/test/java/rushpin/gateway/RetuneTest.java
@@ -260,12 +260,12 @@
     @Test
     void aServerThatIsAvoidedIsCounted() {
         Host host = new Host(Host.FREE, 2, 0).servers(1);
-        assertEquals(0, host.gateway.shunned());
+        assertEquals(0, host.gateway.ejected());
         for (int i = 0; i < 6; i++) {
             host.end(host.request(SAFE, 1), Outcome.CONNECT_FAILED, true);
         }
-        assertEquals(1, host.gateway.shunned());
+        assertEquals(1, host.gateway.ejected());
         host.server("a", 0, Readiness.GONE, 0);
-        assertEquals(0, host.gateway.shunned(), "only those that are listed");
+        assertEquals(0, host.gateway.ejected(), "only those that are listed");
     }
 }
--- a/src/test/java/rushpin/gateway/ZonesTest.java
+++ b/src/test/java/rushpin/gateway/ZonesTest.java
@@ -251,7 +251,7 @@
             assertTrue(grown[zone] >= SENDS * p * 0.85 - chance, about);
             assertTrue(calm[zone] <= SENDS * 0.002 + 60 * p + 20, "back: " + calm[zone] + " seed " + seed);
         }
-        assertFalse(host.gateway.holdsOut("x0"));
+        assertFalse(host.gateway.isServerHeldOut("x0"));
     }
 
     /** Where first attempts went, one each 10 ms, while zone 0 answers nothing or all answer. */
@@ -284,6 +284,6 @@
             host.end(id, fails ? Outcome.CONNECT_FAILED : Outcome.OK, true);
         }
         assertTrue(bad < 100, bad + " of 400 to one of three that fails");
-        assertEquals(1, host.gateway.shunned());
+        assertEquals(1, host.gateway.ejected());
     }
 }
