--- a/src/main/java/rushpin/gateway/Gateway.java
+++ b/src/main/java/rushpin/gateway/Gateway.java
@@ -376,7 +376,7 @@
     }
 
     @Override
-    public void give(long at, double part) {
+    public void releaseCeiling(long at, double part) {
         now = at;
         for (Customer c : customers.values()) {
             c.refill();
@@ -390,7 +390,7 @@
     }
 
     @Override
-    public void inherit(long at, long key, int plan, int setSize, double units) {
+    public void acquireCeiling(long at, long key, int plan, int setSize, double units) {
         now = at;
         if (plan < 0 || plan >= cfg.plans().size() || !(units > 0)) {
             return;
--- a/src/main/java/rushpin/gateway/Ports.java
+++ b/src/main/java/rushpin/gateway/Ports.java
@@ -269,14 +269,14 @@
 
         /**
          * A part of what customers' ceilings hold here goes to another process of this gateway: told by
-         * {@link Actions#gave}, and gone from here.
+         * {@link Actions#ceilingReleased}, and gone from here.
          *
          * @param part from 0 for nothing to 1 for all
          */
-        void give(long now, double part);
+        void releaseCeiling(long now, double part);
 
         /** What another process of this gateway gave away of a customer's ceiling, in units. */
-        void inherit(long now, long customer, int plan, int setSize, double units);
+        void acquireCeiling(long now, long customer, int plan, int setSize, double units);
 
         /**
          * So many processes act as this gateway, this one among them: for as long as one replaces another. What a
@@ -348,7 +348,7 @@
         default void took(long customer, int plan, int setSize, double units) {}
 
         /** So many units of what a customer's ceiling held are another process's now; told from within a give. */
-        default void gave(long customer, int plan, int setSize, double units) {}
+        default void ceilingReleased(long customer, int plan, int setSize, double units) {}
 
         /** Asks for {@link Events#timer} after a span. */
         void timer(long token, long span);
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -248,7 +248,7 @@
                 event(null, at -> gateway.processes(at, now));
             }
             for (ProcessRegistry.QuotaTransfer gift : desk.beside().take(plan.name(), clock.wallMs())) {
-                event(null, at -> gateway.inherit(at, gift.customer(), gift.plan(), gift.setSize(), gift.units()));
+                event(null, at -> gateway.acquireCeiling(at, gift.customer(), gift.plan(), gift.setSize(), gift.units()));
             }
             deskTrouble = false;
         } catch (IOException e) {
@@ -276,7 +276,7 @@
     /** Gives a part of what ceilings hold here to the other processes of this node. */
     private void give(double part) throws IOException {
         gifts.clear();
-        event(null, at -> gateway.give(at, part));
+        event(null, at -> gateway.releaseCeiling(at, part));
         desk.beside().give(plan.name(), gifts);
     }
 
@@ -292,7 +292,7 @@
     }
 
     @Override
-    public void gave(long customer, int plan, int setSize, double units) {
+    public void ceilingReleased(long customer, int plan, int setSize, double units) {
         gifts.add(new ProcessRegistry.QuotaTransfer(customer, plan, setSize, units));
     }
 
--- a/src/test/java/rushpin/gateway/Host.java
+++ b/src/test/java/rushpin/gateway/Host.java
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void gave(long customer, int plan, int setSize, double units) {
+    public void ceilingReleased(long customer, int plan, int setSize, double units) {
         gave.add(units);
     }
 
--- a/src/test/java/rushpin/gateway/RetuneTest.java
+++ b/src/test/java/rushpin/gateway/RetuneTest.java
@@ -216,10 +216,10 @@
             Host from = hosts[who], to = hosts[1 - who];
             if (step < 20) {
                 int before = from.gave.size();
-                from.gateway.give(from.now, step / 20.0);
+                from.gateway.releaseCeiling(from.now, step / 20.0);
                 from.gave
                         .subList(before, from.gave.size())
-                        .forEach(units -> to.gateway.inherit(to.now, 9, 0, 2, units));
+                        .forEach(units -> to.gateway.acquireCeiling(to.now, 9, 0, 2, units));
             } else if (step < 45) {
                 for (int i = 0; i < step % 7; i++) {
                     String id = from.request(SAFE, 0, 9, 1, from.now + 3000 * MS);
@@ -247,13 +247,13 @@
         Host fresh = new Host(plan, 2, 0, false).servers(8);
         String none = fresh.request(SAFE, 0, 9, 1, fresh.now + 3000 * MS);
         assertTrue(fresh.refused.contains(none), "a ceiling starts with nothing");
-        old.gateway.give(old.now, 0.5);
+        old.gateway.releaseCeiling(old.now, 0.5);
         assertEquals(1, old.gave.size());
-        old.gave.forEach(units -> fresh.gateway.inherit(fresh.now, 9, 0, 2, units));
+        old.gave.forEach(units -> fresh.gateway.acquireCeiling(fresh.now, 9, 0, 2, units));
         String some = fresh.request(SAFE, 0, 9, 1, fresh.now + 3000 * MS);
         assertEquals(1, fresh.attempts(some).size());
-        fresh.gateway.inherit(fresh.now, 9, 0, 2, 1e9);
-        fresh.gateway.give(fresh.now, 1);
+        fresh.gateway.acquireCeiling(fresh.now, 9, 0, 2, 1e9);
+        fresh.gateway.releaseCeiling(fresh.now, 1);
         assertTrue(fresh.gave.get(0) <= 10, "no more than its part, whoever says so: " + fresh.gave);
     }
 
--- a/src/test/java/rushpin/study/StudyTest.java
+++ b/src/test/java/rushpin/study/StudyTest.java
@@ -72,7 +72,7 @@
                             + "public void counted(long n, long m, Ports.Outcome o, double t) { }\n"
                             + "public void probed(long n, String s, Ports.Outcome o, long t, java.util.List<Double> r) { }\n"
                             + "public void timer(long n, long t) { }\npublic void restore(long n, long c, int p, int s, double u) { }\n"
-                            + "public void give(long n, double p) { }\npublic void inherit(long n, long c, int p, int s, double u) { }\n"
+                            + "public void releaseCeiling(long n, double p) { }\npublic void acquireCeiling(long n, long c, int p, int s, double u) { }\n"
                             + "public void processes(long n, int c) { }\npublic void settings(long n, Ports.Settings s, int[] w) { }\n"
                             + "public void zones(long n, int[][] p) { }\npublic void clock(long n, long a) { }\n}\n");
             assertEquals(
