--- a/src/main/java/rushpin/gateway/Ports.java
+++ b/src/main/java/rushpin/gateway/Ports.java
@@ -345,7 +345,7 @@
          * A customer's use has changed by so many units that the counter is yet to be told of; below 0 they were given
          * back. A host that keeps this over a hard kill brings it back by {@link Events#restore}.
          */
-        default void took(long customer, int plan, int setSize, double units) {}
+        default void useChanged(long customer, int plan, int setSize, double units) {}
 
         /** So many units of what a customer's ceiling held are another process's now; told from within a give. */
         default void ceilingReleased(long customer, int plan, int setSize, double units) {}
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -911,9 +911,9 @@
 
     /** Written down when the module takes it, which is before the request is sent. */
     @Override
-    public void took(long customer, int plan, int setSize, double units) {
+    public void useChanged(long customer, int plan, int setSize, double units) {
         if (use != null && units != 0) {
-            use.book().took(customer, plan & 0xff | (setSize & 0xff) << 8, units, clock.wallMs());
+            use.book().useChanged(customer, plan & 0xff | (setSize & 0xff) << 8, units, clock.wallMs());
         }
     }
 
--- a/src/main/java/rushpin/node/Tellings.java
+++ b/src/main/java/rushpin/node/Tellings.java
@@ -20,7 +20,7 @@
     /** Before the call: what is written here and never ended may have been added. */
     void begins(long customer, long name, double amount, long nowMs) {
         if (amount != 0) {
-            book.telling(customer, amount, nowMs);
+            book.reporting(customer, amount, nowMs);
         }
         out.computeIfAbsent(name, n -> new ArrayDeque<>()).add(new Telling(customer, amount));
     }
@@ -33,7 +33,7 @@
             if (line.isEmpty()) {
                 out.remove(name);
             }
-            book.told(told.customer, told.units, !outcome.provesNeverRan(), nowMs);
+            book.reported(told.customer, told.units, !outcome.provesNeverRan(), nowMs);
         }
     }
 }
--- a/src/main/java/rushpin/quota/UseBook.java
+++ b/src/main/java/rushpin/quota/UseBook.java
@@ -79,17 +79,17 @@
     }
 
     /** Units were taken, or given back if below 0. */
-    public void took(long customer, int plan, double units, long at) {
+    public void useChanged(long customer, int plan, double units, long at) {
         add(new Entry(Kind.TOOK, plan, customer, units, port.time(at)));
     }
 
     /** The counter is about to be called. */
-    public void telling(long customer, double units, long at) {
+    public void reporting(long customer, double units, long at) {
         add(new Entry(Kind.TELLING, plan(customer), customer, units, port.time(at)));
     }
 
     /** A call has ended; {@code added} unless it is known that nothing was. */
-    public void told(long customer, double units, boolean added, long at) {
+    public void reported(long customer, double units, boolean added, long at) {
         add(new Entry(added ? Kind.TOLD : Kind.UNTOLD, plan(customer), customer, units, port.time(at)));
     }
 
--- a/src/test/java/rushpin/gateway/Host.java
+++ b/src/test/java/rushpin/gateway/Host.java
@@ -189,7 +189,7 @@
     }
 
     @Override
-    public void took(long customer, int plan, int setSize, double units) {
+    public void useChanged(long customer, int plan, int setSize, double units) {
         untold.merge(customer, units, Double::sum);
     }
 
--- a/src/test/java/rushpin/node/UseStoreTest.java
+++ b/src/test/java/rushpin/node/UseStoreTest.java
@@ -75,15 +75,15 @@
     @Test
     void whatWasTakenAndNotToldIsTakenOverOnce() throws Exception {
         UseStore.Opened first = open("n1", NOW);
-        first.store().book().took(7, 1, 5, NOW);
-        first.store().book().telling(7, 2, NOW);
-        first.store().book().told(7, 2, true, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
+        first.store().book().reporting(7, 2, NOW);
+        first.store().book().reported(7, 2, true, NOW);
         leave(first);
         UseStore.Opened second = open("n1", NOW + 1_000);
         assertEquals(Map.of(7L, 3.0), units(second));
         assertEquals(1, files().size(), "the old file is gone: " + files());
-        second.store().book().telling(7, 3, NOW + 1_000);
-        second.store().book().told(7, 3, true, NOW + 1_000);
+        second.store().book().reporting(7, 3, NOW + 1_000);
+        second.store().book().reported(7, 3, true, NOW + 1_000);
         leave(second);
         UseStore.Opened third = open("n1", NOW + 2_000);
         assertEquals(Map.of(), units(third), "what was told is not told again");
@@ -93,7 +93,7 @@
     @Test
     void aKillBetweenTakingOverAndDeletingCountsNothingTwice() throws Exception {
         UseStore.Opened first = open("n1", NOW);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         Path old = files().get(0);
         byte[] left = leave(first);
         UseStore.Opened second = open("n1", NOW + 1_000);
@@ -108,10 +108,10 @@
     @Test
     void twoProcessesOnOneFolderEachKeepTheirOwn() throws Exception {
         UseStore.Opened old = open("n1", NOW);
-        old.store().book().took(7, 1, 5, NOW);
+        old.store().book().useChanged(7, 1, 5, NOW);
         UseStore.Opened next = open("n1", NOW + 1_000);
         assertEquals(Map.of(), units(next), "what a living process holds is not taken over");
-        next.store().book().took(8, 1, 2, NOW + 1_000);
+        next.store().book().useChanged(8, 1, 2, NOW + 1_000);
         old.store().close();
         next.store().close();
         UseStore.Opened last = open("n1", NOW + 2_000);
@@ -122,7 +122,7 @@
     @Test
     void anothersAndDamagedRecordsCostALineAndCountNothing() throws Exception {
         UseStore.Opened other = open("n2", NOW);
-        other.store().book().took(7, 1, 5, NOW);
+        other.store().book().useChanged(7, 1, 5, NOW);
         leave(other);
         Files.writeString(folder.resolve("noise.use"), "this is none");
         byte[] version = new byte[UseStore.SIZE];
@@ -138,8 +138,8 @@
                 said.stream()
                         .filter(line -> line.contains("no record of use of this version"))
                         .count());
-        mine.store().book().took(7, 1, 5, NOW);
-        mine.store().book().took(8, 1, 5, NOW);
+        mine.store().book().useChanged(7, 1, 5, NOW);
+        mine.store().book().useChanged(8, 1, 5, NOW);
         mine.store().close();
         Path file = files().stream()
                 .filter(each -> each.getFileName().toString().contains(Long.toString(NOW + 1_000)))
@@ -160,7 +160,7 @@
     @Test
     void useThatTheCounterHasForgottenIsNobodysConcern() throws Exception {
         UseStore.Opened first = open("n1", NOW);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         leave(first);
         UseStore.Opened late = open("n1", NOW + 61_000);
         assertEquals(Map.of(), units(late));
@@ -173,13 +173,13 @@
     void aStepOfTheWallsClockNeitherLosesUseNorRestoresItTwice(long step) throws Exception {
         UseStore.Opened first = open("n1", NOW);
         UseStore.Opened beside = open("n1", NOW + 1);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         first.store().close();
         stepMs = step;
         nanos += 10_000_000_000L;
         List<Balance> adopted = beside.store().adopt(NOW + 10_001 + step);
         assertEquals(5, adopted.get(0).units(), "adopted by one that was running");
-        beside.store().book().took(8, 1, 3, NOW + 10_001 + step);
+        beside.store().book().useChanged(8, 1, 3, NOW + 10_001 + step);
         beside.store().close();
         UseStore.Opened next = open("n1", NOW + 20_000 + step);
         assertEquals(Map.of(7L, 5.0, 8L, 3.0), units(next), "taken over by one that begins after the step");
@@ -197,10 +197,10 @@
     @Test
     void useOfARunningProcessAgesByTheSteadyClock() throws Exception {
         UseStore.Opened first = open("n1", NOW);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         nanos += 50_000_000_000L;
         // The wall's clock was set back: this is no younger by the steady clock than it is.
-        first.store().book().took(8, 1, 5, NOW - 3_600_000);
+        first.store().book().useChanged(8, 1, 5, NOW - 3_600_000);
         first.store().close();
         stepMs = -3_600_000;
         UseStore.Opened next = open("n1", NOW + 70_000 - 3_600_000);
@@ -217,8 +217,8 @@
     @ValueSource(booleans = {false, true})
     void aFileCutAtEveryByteOfItsHeaderAndLastEntryGivesWhatWasWhole(boolean zeros) throws Exception {
         UseStore.Opened first = open("n1", NOW);
-        first.store().book().took(7, 1, 5, NOW);
-        first.store().book().took(8, 1, 3, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
+        first.store().book().useChanged(8, 1, 3, NOW);
         Path name = files().get(0);
         byte[] whole = Arrays.copyOf(leave(first), UseRecord.HEADER + 2 * UseRecord.ENTRY);
         for (int cut = 0; cut <= whole.length; cut++) {
@@ -249,7 +249,7 @@
     void aNodesNameThatIsLongerThanItsFieldFindsItsOwnAndNoOthers() throws Exception {
         String name = "é".repeat(40);
         UseStore.Opened first = open(name + "a", NOW);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         first.store().close();
         UseStore.Opened other = open(name + "b", NOW + 1_000);
         assertEquals(Map.of(), units(other));
@@ -264,7 +264,7 @@
         UseStore.Opened first = open("n1", NOW);
         int entries = (UseStore.SIZE - UseRecord.HEADER) / UseRecord.ENTRY;
         for (int i = 0; i < entries + 100; i++) {
-            first.store().book().took(i % 50, 1, 1, NOW);
+            first.store().book().useChanged(i % 50, 1, 1, NOW);
         }
         assertEquals(1, files().size(), files().toString());
         assertEquals(UseStore.SIZE, Files.size(files().get(0)));
@@ -280,7 +280,7 @@
     void aFolderThatCannotBeUsedCostsOneLineAndIsTakenUpWhenItCan() throws Exception {
         Path file = Files.writeString(folder.resolve("file"), "no folder");
         UseStore.Opened opened = UseStore.open(file, "n1", "p", NOW, said::add);
-        opened.store().book().took(7, 1, 5, NOW);
+        opened.store().book().useChanged(7, 1, 5, NOW);
         for (int second = 1; second < 5; second++) {
             assertEquals(List.of(), opened.store().adopt(NOW + second * 1_000));
         }
@@ -363,13 +363,13 @@
     void aDiskThatFailsForAWhileCostsTwoLinesAndNoUse(String steps) throws Exception {
         FailingDisk disk = new FailingDisk();
         UseStore.Opened first = open(NOW, disk);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         disk.failing.addAll(List.of(steps.split(" ")));
-        first.store().book().took(7, 1, 2, NOW);
-        first.store().book().took(8, 1, 3, NOW);
+        first.store().book().useChanged(7, 1, 2, NOW);
+        first.store().book().useChanged(8, 1, 3, NOW);
         for (int second = 1; second < 4; second++) {
             assertEquals(List.of(), first.store().adopt(NOW + second * 1_000));
-            first.store().book().took(8, 1, 1, NOW);
+            first.store().book().useChanged(8, 1, 1, NOW);
         }
         assertEquals(
                 1,
@@ -383,7 +383,7 @@
                         .filter(line -> line.endsWith("use is kept over a hard kill"))
                         .count(),
                 said.toString());
-        first.store().book().took(9, 1, 1, NOW);
+        first.store().book().useChanged(9, 1, 1, NOW);
         first.store().close();
         UseStore.Opened second = open(NOW + 5_000, disk);
         assertEquals(Map.of(7L, 7.0, 8L, 6.0, 9L, 1.0), units(second));
@@ -401,7 +401,7 @@
                 cut.truncate(0);
             }
             for (int taken = 0; taken < 5_000; taken++) {
-                first.store().book().took(7, 1, 1, NOW);
+                first.store().book().useChanged(7, 1, 1, NOW);
             }
         }
         assertEquals(15_000, first.store().book().balances().get(0).units());
@@ -414,7 +414,7 @@
         FailingDisk disk = new FailingDisk();
         UseStore.Opened first = open(NOW, disk);
         UseStore.Opened next = open(NOW + 1_000, disk);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         first.store().close();
         disk.failing.add(step);
         Map<Long, Double> told = new HashMap<>();
@@ -435,16 +435,16 @@
     void aFileThatCannotBeDeletedIsNotCountedAgainHoweverOftenTheRecordIsRenewed() throws Exception {
         FailingDisk disk = new FailingDisk();
         UseStore.Opened first = open(NOW, disk);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         first.store().close();
         disk.failing.add("delete");
         disk.only = "-" + NOW + "-";
         UseStore.Opened second = open(NOW + 1_000, disk);
         assertEquals(Map.of(7L, 5.0), units(second));
-        second.store().book().telling(7, 5, NOW + 1_000);
-        second.store().book().told(7, 5, true, NOW + 1_000);
+        second.store().book().reporting(7, 5, NOW + 1_000);
+        second.store().book().reported(7, 5, true, NOW + 1_000);
         for (int i = 0; i < 2 * UseStore.SIZE / UseRecord.ENTRY; i++) {
-            second.store().book().took(8, 1, i % 2 == 0 ? 1 : -1, NOW + 1_000);
+            second.store().book().useChanged(8, 1, i % 2 == 0 ? 1 : -1, NOW + 1_000);
         }
         second.store().close();
         disk.failing.clear();
@@ -458,9 +458,9 @@
     void aRenameThatIsDoneAndReportedAsFailedCountsNothingTwice() throws Exception {
         FailingDisk disk = new FailingDisk();
         UseStore.Opened first = open(NOW, disk);
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         disk.failing.add("write");
-        first.store().book().took(7, 1, 5, NOW);
+        first.store().book().useChanged(7, 1, 5, NOW);
         disk.failing.clear();
         disk.failing.add("delete");
         disk.renamesThenFails = true;
--- a/src/test/java/rushpin/quota/UseRecordTest.java
+++ b/src/test/java/rushpin/quota/UseRecordTest.java
@@ -89,12 +89,12 @@
         for (int i = 0; i < 40; i++) {
             long customer = random.nextInt(4);
             if (i % 4 == 3 && telling.containsKey(customer)) {
-                memory.book.told(customer, telling.remove(customer), random.nextBoolean(), 5);
+                memory.book.reported(customer, telling.remove(customer), random.nextBoolean(), 5);
             } else if (i % 4 == 2 && !telling.containsKey(customer)) {
                 telling.put(customer, 1.5);
-                memory.book.telling(customer, 1.5, 5);
+                memory.book.reporting(customer, 1.5, 5);
             } else {
-                memory.book.took(customer, 1, 1 + random.nextInt(8), 5);
+                memory.book.useChanged(customer, 1, 1 + random.nextInt(8), 5);
             }
             after.add(units(memory.book.balances()));
         }
@@ -130,7 +130,7 @@
     void everyChangedBitIsNoticedAndNothingIsCountedByIt() {
         Memory memory = new Memory(6, 10);
         for (int i = 0; i < 6; i++) {
-            memory.book.took(i, 0, 2, 5);
+            memory.book.useChanged(i, 0, 2, 5);
         }
         for (int bit = 0; bit < memory.bytes.length * 8; bit++) {
             byte[] bent = memory.bytes.clone();
@@ -153,13 +153,13 @@
     @Test
     void whatWasBeingToldIsToldAgainAndWhatWasNotAddedToo() {
         Memory memory = new Memory(20, 10);
-        memory.book.took(1, 2 | 3 << 8, 8, 5);
-        memory.book.telling(1, 6, 6);
+        memory.book.useChanged(1, 2 | 3 << 8, 8, 5);
+        memory.book.reporting(1, 6, 6);
         assertEquals(Map.of(1L, 8.0), units(UseRecord.read(memory.bytes).balances()), "6 may have been added");
-        memory.book.told(1, 6, true, 7);
+        memory.book.reported(1, 6, true, 7);
         assertEquals(Map.of(1L, 2.0), units(UseRecord.read(memory.bytes).balances()));
-        memory.book.telling(1, 2, 8);
-        memory.book.told(1, 2, false, 9);
+        memory.book.reporting(1, 2, 8);
+        memory.book.reported(1, 2, false, 9);
         Balance balance = UseRecord.read(memory.bytes).balances().get(0);
         assertEquals(new Balance(1, 2 | 3 << 8, 2, 9), balance);
     }
@@ -168,23 +168,23 @@
     void beyondTheMostCustomersUseIsNotKept() {
         Memory memory = new Memory(100, 3);
         for (long customer = 0; customer < 5; customer++) {
-            memory.book.took(customer, 0, 1, 5);
+            memory.book.useChanged(customer, 0, 1, 5);
         }
         assertEquals(3, memory.book.balances().size());
-        memory.book.telling(0, 1, 6);
-        memory.book.told(0, 1, true, 6);
-        memory.book.took(9, 0, 1, 7);
+        memory.book.reporting(0, 1, 6);
+        memory.book.reported(0, 1, true, 6);
+        memory.book.useChanged(9, 0, 1, 7);
         assertTrue(units(memory.book.balances()).containsKey(9L), "one that is told makes room");
     }
 
     @Test
     void whatCouldNotBeStoredIsStoredWholeWithTheNextTry() {
         Memory memory = new Memory(20, 10);
-        memory.book.took(1, 1, 8, 5);
+        memory.book.useChanged(1, 1, 8, 5);
         memory.failing = true;
-        memory.book.took(1, 1, 2, 6);
-        memory.book.telling(1, 3, 6);
-        memory.book.took(2, 1, 4, 6);
+        memory.book.useChanged(1, 1, 2, 6);
+        memory.book.reporting(1, 3, 6);
+        memory.book.useChanged(2, 1, 4, 6);
         assertTrue(memory.book.isBehind());
         assertEquals(0, memory.tries, "an entry tries nothing by itself: a failing disk costs no request time");
         memory.book.catchUp(7);
@@ -195,7 +195,7 @@
         assertFalse(memory.book.isBehind());
         assertEquals(
                 Map.of(1L, 10.0, 2L, 4.0), units(UseRecord.read(memory.bytes).balances()));
-        memory.book.told(1, 3, true, 9);
+        memory.book.reported(1, 3, true, 9);
         assertEquals(
                 Map.of(1L, 7.0, 2L, 4.0), units(UseRecord.read(memory.bytes).balances()));
     }
@@ -203,7 +203,7 @@
     @Test
     void othersUseIsTakenOverWholeOrNotAtAll() {
         Memory memory = new Memory(20, 10);
-        memory.book.took(1, 1, 8, 5);
+        memory.book.useChanged(1, 1, 8, 5);
         memory.failing = true;
         assertFalse(memory.book.absorb(List.of(99L), List.of(new Balance(1, 1, 2, 4), new Balance(2, 1, 3, 4)), 6));
         assertEquals(Map.of(1L, 8.0), units(memory.book.balances()));
@@ -236,12 +236,12 @@
             int what = random.nextInt(3);
             if (what == 0 && out.size() < 3) {
                 double units = random.nextInt(1, 5);
-                memory.book.telling(customer, units, step);
+                memory.book.reporting(customer, units, step);
                 out.add(units);
             } else if (what == 1 && !out.isEmpty()) {
-                memory.book.told(customer, out.remove(0), random.nextBoolean(), step);
+                memory.book.reported(customer, out.remove(0), random.nextBoolean(), step);
             } else {
-                memory.book.took(customer, 1, random.nextInt(-3, 9), step);
+                memory.book.useChanged(customer, 1, random.nextInt(-3, 9), step);
             }
             assertEquals(
                     units(memory.book.balances()),
