--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -268,7 +268,7 @@
         Counter counter = new Counter(
                 settings.counter().present(),
                 settings.counter().timeout(),
-                settings.counter().settles(),
+                settings.counter().reportsTrueUnits(),
                 settings.counter().largest(),
                 true);
         return new Settings(
@@ -276,7 +276,7 @@
                 settings.siblings(),
                 settings.zone(),
                 settings.tick(),
-                settings.sizesTell(),
+                settings.sizesAreWeights(),
                 settings.reports(),
                 settings.classes(),
                 settings.plans(),
--- a/src/main/java/rushpin/gateway/Gateway.java
+++ b/src/main/java/rushpin/gateway/Gateway.java
@@ -120,7 +120,7 @@
         nextControl = now + SECOND;
         tickDue = now + TICK;
         out.timer(0, TICK);
-        if (cfg.limits().askForList()) {
+        if (cfg.limits().subscribeToList()) {
             out.watchList();
         }
     }
@@ -213,7 +213,7 @@
         restUntil = now + (long) (result.took() * Math.max(0, 1 / control.level - 1));
         backend.ended(job, result);
         job.lane.observe(job, result);
-        boolean told = cfg.counter().settles() && result.trueUnits() > 0;
+        boolean told = cfg.counter().reportsTrueUnits() && result.trueUnits() > 0;
         if (told && result.outcome() == Outcome.OK && job.inQuota) {
             job.customer.take(result.trueUnits() - job.request.units());
         }
@@ -860,7 +860,7 @@
 
         /** Nobody tells how many the others have out: a cap on these is divided, and each may have one. */
         boolean mayGo() {
-            int most = customer.plan.atOnce();
+            int most = customer.plan.maxConcurrent();
             return most <= 0 || customer.open < Math.max(1, most / customer.gateways);
         }
 
@@ -1242,12 +1242,12 @@
 
         boolean cold() {
             return entry.startedAt() > 0
-                    && now - entry.startedAt() < cfg.rules().coldSpan();
+                    && now - entry.startedAt() < cfg.rules().coldDuration();
         }
 
         double warmth() {
             double age = Math.max(0, now - entry.startedAt())
-                    / (double) Math.max(1, cfg.rules().coldSpan());
+                    / (double) Math.max(1, cfg.rules().coldDuration());
             return cfg.rules().coldFrom() + (1 - cfg.rules().coldFrom()) * Math.min(1, age);
         }
 
@@ -1273,7 +1273,7 @@
                 l = Math.max(l, (now - oldest.sentAt) * NANO / oldest.cost() / 2);
             }
             double safe = 1 - Math.min(0.97, risk());
-            double weight = cfg.sizesTell() && entry.size() > 0 ? entry.size() : 1;
+            double weight = cfg.sizesAreWeights() && entry.size() > 0 ? entry.size() : 1;
             l *= 1 + (load - usualLoad) / (1 + usualLoad) * Math.exp(-(now - reported) * NANO / REPORT_S);
             double s = l * (1 + outstanding.size() / weight) / (safe * safe);
             return entry.zone() == cfg.zone() ? s : s * 1.05;
@@ -1417,7 +1417,7 @@
         }
         // Few warm ones tell little of all: what one took when most were, half a request at a time at least.
         double known = Math.max(warmWork, 0.5 / cfg.siblings());
-        double most = warmWork > 0 ? Math.max(1, cfg.rules().fallMultiple()) * known : Double.MAX_VALUE;
+        double most = warmWork > 0 ? Math.max(1, cfg.rules().overloadFactor()) * known : Double.MAX_VALUE;
         double part = warm > 0 ? Math.min(sentWork / warm, most) : known;
         double work = part * b.warmth() * (now - b.coldAt) * NANO;
         b.coldAt = now;
--- a/src/main/java/rushpin/gateway/Ports.java
+++ b/src/main/java/rushpin/gateway/Ports.java
@@ -102,7 +102,7 @@
      *
      * @param rate units a second of the quota; 0 for none
      * @param burst units the quota's store holds
-     * @param atOnce attempts out at once; 0 for no limit
+     * @param maxConcurrent attempts out at once; 0 for no limit
      * @param price factor on the worth
      * @param beyondEarns the part of the worth earned beyond the quota
      * @param beyondCosts the part of the worth that sending beyond the quota costs
@@ -113,7 +113,7 @@
     public record Plan(
             double rate,
             double burst,
-            int atOnce,
+            int maxConcurrent,
             double price,
             double beyondEarns,
             double beyondCosts,
@@ -129,24 +129,24 @@
      * @param probes whether servers may be probed
      * @param retryAfter whether clients are told how long to stay away
      * @param maxRetryAfter the longest that a client heeds
-     * @param askForList whether changes of the list must be subscribed to
+     * @param subscribeToList whether changes of the list must be subscribed to
      */
     public record Limits(
-            int maxAttempts, int maxOpen, boolean probes, boolean retryAfter, long maxRetryAfter, boolean askForList) {}
+            int maxAttempts, int maxOpen, boolean probes, boolean retryAfter, long maxRetryAfter, boolean subscribeToList) {}
 
     /**
      * The shared quota counter.
      *
      * @param present whether there is one
      * @param timeout a call without an answer by then ends as {@link Outcome#TIMEOUT}
-     * @param settles whether answers tell the true units
+     * @param reportsTrueUnits whether answers tell the true units
      * @param largest the largest request, in units
      * @param first whether it is called before each first attempt, so that a hard kill forgets nothing
      */
-    public record Counter(boolean present, long timeout, boolean settles, double largest, boolean first) {
+    public record Counter(boolean present, long timeout, boolean reportsTrueUnits, double largest, boolean first) {
         /** A counter that is called as often as it bears. */
-        public Counter(boolean present, long timeout, boolean settles, double largest) {
-            this(present, timeout, settles, largest, false);
+        public Counter(boolean present, long timeout, boolean reportsTrueUnits, double largest) {
+            this(present, timeout, reportsTrueUnits, largest, false);
         }
     }
 
@@ -155,19 +155,19 @@
      *
      * @param answerSlack how long after the deadline a final answer still counts
      * @param coldFrom a server starts with this part of its capacity or more
-     * @param coldSpan and is warm after this
-     * @param fallMultiple sent more than this many times its present capacity
-     * @param fallSpan for this long, it falls over
+     * @param coldDuration and is warm after this
+     * @param overloadFactor sent more than this many times its present capacity
+     * @param overloadDuration for this long, it falls over
      * @param drainGrace how long after a drain was told a server may still be sent requests
      */
     public record Rules(
-            long answerSlack, double coldFrom, long coldSpan, double fallMultiple, long fallSpan, long drainGrace) {
+            long answerSlack, double coldFrom, long coldDuration, double overloadFactor, long overloadDuration, long drainGrace) {
         /** Where no grace is said: one second, in nanoseconds. */
-        public static final long USUAL_DRAIN_GRACE = 1_000_000_000L;
+        public static final long DEFAULT_DRAIN_GRACE = 1_000_000_000L;
 
         /** Rules with the usual grace for drains. */
-        public Rules(long answerSlack, double coldFrom, long coldSpan, double fallMultiple, long fallSpan) {
-            this(answerSlack, coldFrom, coldSpan, fallMultiple, fallSpan, USUAL_DRAIN_GRACE);
+        public Rules(long answerSlack, double coldFrom, long coldDuration, double overloadFactor, long overloadDuration) {
+            this(answerSlack, coldFrom, coldDuration, overloadFactor, overloadDuration, DEFAULT_DRAIN_GRACE);
         }
     }
 
@@ -178,7 +178,7 @@
      * @param siblings how many gateways there are
      * @param zone its zone
      * @param tick events come at most this often
-     * @param sizesTell whether the sizes in the list mean anything
+     * @param sizesAreWeights whether the sizes in the list mean anything
      * @param reports the names of the load report's values
      */
     public record Settings(
@@ -186,7 +186,7 @@
             int siblings,
             int zone,
             long tick,
-            boolean sizesTell,
+            boolean sizesAreWeights,
             List<String> reports,
             List<RequestClass> classes,
             List<Plan> plans,
--- a/src/main/java/rushpin/gateway/SettingsReader.java
+++ b/src/main/java/rushpin/gateway/SettingsReader.java
@@ -112,7 +112,7 @@
 
     private long drainGrace() {
         long told = whole("rules.stop-sending-within-ns");
-        return told > 0 ? told : Rules.USUAL_DRAIN_GRACE;
+        return told > 0 ? told : Rules.DEFAULT_DRAIN_GRACE;
     }
 
     private String text(String path) {
--- a/src/main/java/rushpin/model/Station.java
+++ b/src/main/java/rushpin/model/Station.java
@@ -151,9 +151,9 @@
     /** The part of its capacity that it has now. */
     double warmth() {
         double since = time.now() - startedAt;
-        return startedAt == 0 || since >= rules.coldSpan()
+        return startedAt == 0 || since >= rules.coldDuration()
                 ? 1
-                : Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * since / Math.max(1, rules.coldSpan()));
+                : Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * since / Math.max(1, rules.coldDuration()));
     }
 
     private void count(int by) {
@@ -261,10 +261,10 @@
         }
         pushes.add(new double[] {time.now(), work});
         pushed += work;
-        while (time.now() - pushes.peek()[0] > rules.fallSpan()) {
+        while (time.now() - pushes.peek()[0] > rules.overloadDuration()) {
             pushed -= pushes.poll()[1];
         }
-        if (rules.fallMultiple() > 0 && pushed > rules.fallMultiple() * warmth() * cores * rules.fallSpan()) {
+        if (rules.overloadFactor() > 0 && pushed > rules.overloadFactor() * warmth() * cores * rules.overloadDuration()) {
             fallen = true;
             fell.run();
             breakOff();
--- a/src/main/java/rushpin/model/World.java
+++ b/src/main/java/rushpin/model/World.java
@@ -89,7 +89,7 @@
                 day.nodes,
                 number % day.zones,
                 settings.tick(),
-                settings.sizesTell(),
+                settings.sizesAreWeights(),
                 settings.reports(),
                 settings.classes(),
                 settings.plans(),
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -469,7 +469,7 @@
                 settings.siblings(),
                 settings.zone(),
                 settings.tick(),
-                settings.sizesTell(),
+                settings.sizesAreWeights(),
                 settings.reports(),
                 List.copyOf(specs),
                 settings.plans(),
--- a/src/main/java/rushpin/node/Rehearsal.java
+++ b/src/main/java/rushpin/node/Rehearsal.java
@@ -189,7 +189,7 @@
                 .map(plan -> new Plan(
                         plan.rate(),
                         plan.burst(),
-                        plan.atOnce(),
+                        plan.maxConcurrent(),
                         plan.price(),
                         plan.beyondEarns(),
                         plan.beyondCosts(),
@@ -202,7 +202,7 @@
                 of.siblings(),
                 of.zone(),
                 of.tick(),
-                of.sizesTell(),
+                of.sizesAreWeights(),
                 of.reports(),
                 of.classes(),
                 plans,
--- a/src/main/java/rushpin/node/Witness.java
+++ b/src/main/java/rushpin/node/Witness.java
@@ -68,7 +68,7 @@
     private final String pool;
     private final List<String> zones;
     private final Rules rules;
-    private final boolean sizesTell;
+    private final boolean sizesAreWeights;
     private final LongSupplier clock;
     private final Consumer<Account> to;
     private final Map<String, OfClass> classes = new HashMap<>();
@@ -86,7 +86,7 @@
         this.pool = pool;
         zones = List.copyOf(names.zones());
         rules = settings.rules();
-        sizesTell = settings.sizesTell();
+        sizesAreWeights = settings.sizesAreWeights();
         this.clock = clock;
         this.to = to;
         classes(names.classes(), settings.classes());
@@ -244,13 +244,13 @@
         if (server.startedAt() == 0) {
             return 1;
         }
-        double age = Math.max(0, now - server.startedAt()) / (double) Math.max(1, rules.coldSpan());
+        double age = Math.max(0, now - server.startedAt()) / (double) Math.max(1, rules.coldDuration());
         return rules.coldFrom() + (1 - rules.coldFrom()) * Math.min(1, age);
     }
 
     /** The median of the list's; 0 where sizes mean nothing. */
     private double usualSize() {
-        double[] sizes = !sizesTell
+        double[] sizes = !sizesAreWeights
                 ? new double[0]
                 : listed.values().stream()
                         .mapToDouble(Server::size)
--- a/src/test/java/rushpin/gateway/RetuneTest.java
+++ b/src/test/java/rushpin/gateway/RetuneTest.java
@@ -38,7 +38,7 @@
                 s.siblings(),
                 s.zone(),
                 s.tick(),
-                s.sizesTell(),
+                s.sizesAreWeights(),
                 s.reports(),
                 classes,
                 s.plans(),
