--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -25,7 +25,7 @@
 import rushpin.net.Descriptors;
 import rushpin.net.Upstream;
 import rushpin.net.xds.XdsPlan;
-import rushpin.route.Reading;
+import rushpin.route.RequestTarget;
 import rushpin.route.Route;
 import rushpin.route.RouteTable;
 import rushpin.traffic.Keeping;
@@ -409,11 +409,11 @@
         }
         String name = host.startsWith("*.") ? host.substring(2) : host;
         try {
-            Reading reading = Reading.of("/", name, true);
+            RequestTarget reading = RequestTarget.of("/", name, true);
             if (reading.host().equals(name)) {
                 return host;
             }
-        } catch (Reading.Ambiguous e) {
+        } catch (RequestTarget.Ambiguous e) {
             // Reported below.
         }
         table.fault(
@@ -433,8 +433,8 @@
             why = "a prefix is whole segments and has no '/' at its end";
         }
         try {
-            Reading.checkPath(path);
-        } catch (Reading.Ambiguous e) {
+            RequestTarget.checkPath(path);
+        } catch (RequestTarget.Ambiguous e) {
             why = e.getMessage();
         }
         if (!why.isEmpty()) {
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -29,7 +29,7 @@
 import rushpin.net.Front;
 import rushpin.net.Refusal;
 import rushpin.net.WatchedLoopGroup;
-import rushpin.route.Reading;
+import rushpin.route.RequestTarget;
 import rushpin.route.RouteTable;
 import rushpin.traffic.Recorder;
 
@@ -332,13 +332,13 @@
         if (hosts.size() > 1) {
             throw new Refusal(HttpResponseStatus.BAD_REQUEST, "Host stands there twice");
         }
-        Reading reading;
+        RequestTarget reading;
         try {
-            reading = Reading.of(
+            reading = RequestTarget.of(
                     head.uri(),
                     hosts.isEmpty() ? null : hosts.get(0),
                     !head.protocolVersion().equals(HttpVersion.HTTP_1_0));
-        } catch (Reading.Ambiguous e) {
+        } catch (RequestTarget.Ambiguous e) {
             throw new Refusal(HttpResponseStatus.BAD_REQUEST, e.getMessage());
         }
         for (String name : table.headers()) {
--- a/src/main/java/rushpin/route/Reading.java
+++ b/src/main/java/rushpin/route/RequestTarget.java
@@ -14,7 +14,7 @@
  * @param target path and query as they came and as they go on
  * @param authority host and port as they came
  */
-public record Reading(String host, String path, String target, String authority) {
+public record RequestTarget(String host, String path, String target, String authority) {
     private static final int MOST_HOST = 253, MOST_LABEL = 63, MOST_PORT = 65_535;
     private static final String PATH = "-._~!$&'()*+,=:@/";
 
@@ -35,7 +35,7 @@
      * @param mustName whether Host must be there, as in HTTP/1.1
      * @throws Ambiguous if there is not just one reading
      */
-    public static Reading of(String target, String host, boolean mustName) throws Ambiguous {
+    public static RequestTarget of(String target, String host, boolean mustName) throws Ambiguous {
         if (host == null && mustName) {
             throw new Ambiguous("Host is missing; HTTP/1.1 wants one");
         }
@@ -67,7 +67,7 @@
                 throw new Ambiguous("the query holds what must be escaped there");
             }
         }
-        return new Reading(hostOf(authority), path, local, authority);
+        return new RequestTarget(hostOf(authority), path, local, authority);
     }
 
     private static int pathStart(String target, int from) {
--- a/src/main/java/rushpin/route/Route.java
+++ b/src/main/java/rushpin/route/Route.java
@@ -74,7 +74,7 @@
     }
 
     /** Whether a request belongs here; {@code header} tells a header's value by lower-case name, null for none. */
-    boolean matches(Reading reading, String asked, String named, UnaryOperator<String> header) {
+    boolean matches(RequestTarget reading, String asked, String named, UnaryOperator<String> header) {
         return matchesHost(reading.host())
                 && matchesPath(reading.path())
                 && (method == null || method.equals(asked))
--- a/src/main/java/rushpin/route/RouteTable.java
+++ b/src/main/java/rushpin/route/RouteTable.java
@@ -39,7 +39,7 @@
     }
 
     /** The pool a request belongs to; null if no route matches. */
-    public String find(Reading reading, String method, String requestClass, UnaryOperator<String> header) {
+    public String find(RequestTarget reading, String method, String requestClass, UnaryOperator<String> header) {
         for (Route route : routes) {
             if (route.matches(reading, method, requestClass, header)) {
                 return route.pool();
--- a/src/test/java/rushpin/route/ReadingTest.java
+++ b/src/test/java/rushpin/route/RequestTargetTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** One reading of a target and a host, or none. */
-class ReadingTest {
+class RequestTargetTest {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -61,7 +61,7 @@
             })
     void hasNoReading(String target) {
         String host = target.equals("http://h.example") ? "elsewhere.example" : "h.example";
-        assertThrows(Reading.Ambiguous.class, () -> Reading.of(target, host, true), target);
+        assertThrows(RequestTarget.Ambiguous.class, () -> RequestTarget.of(target, host, true), target);
     }
 
     @ParameterizedTest
@@ -79,7 +79,7 @@
         "/A, /A, /A"
     })
     void hasOneReading(String target, String path, String goesOn) throws Exception {
-        Reading reading = Reading.of(target, "h.example", true);
+        RequestTarget reading = RequestTarget.of(target, "h.example", true);
         assertEquals(path, reading.path());
         assertEquals(goesOn, reading.target());
         assertEquals("h.example", reading.host());
@@ -98,7 +98,7 @@
         "'', ''"
     })
     void readsAHost(String named, String host) throws Exception {
-        assertEquals(host, Reading.of("/", named, true).host());
+        assertEquals(host, RequestTarget.of("/", named, true).host());
     }
 
     @ParameterizedTest
@@ -131,13 +131,13 @@
                 "[::1]:"
             })
     void isNoHost(String named) {
-        assertThrows(Reading.Ambiguous.class, () -> Reading.of("/", named, true), named);
+        assertThrows(RequestTarget.Ambiguous.class, () -> RequestTarget.of("/", named, true), named);
     }
 
     @Test
     void onlyOldClientsNeedNotNameAHost() throws Exception {
-        assertThrows(Reading.Ambiguous.class, () -> Reading.of("/a", null, true));
-        assertEquals("", Reading.of("/a", null, false).host());
-        assertEquals("h.example", Reading.of("http://h.example/a", null, false).host());
+        assertThrows(RequestTarget.Ambiguous.class, () -> RequestTarget.of("/a", null, true));
+        assertEquals("", RequestTarget.of("/a", null, false).host());
+        assertEquals("h.example", RequestTarget.of("http://h.example/a", null, false).host());
     }
 }
--- a/src/test/java/rushpin/route/RoutePropertiesTest.java
+++ b/src/test/java/rushpin/route/RoutePropertiesTest.java
@@ -24,8 +24,8 @@
     private static final List<String> HOSTS = List.of("a.example", "b.example", "x.a.example", "example");
 
     record Asked(String host, String path, String method, String kind, Map<String, String> headers) {
-        String of(RouteTable table) throws Reading.Ambiguous {
-            return table.find(Reading.of(path, host, true), method, kind, headers::get);
+        String of(RouteTable table) throws RequestTarget.Ambiguous {
+            return table.find(RequestTarget.of(path, host, true), method, kind, headers::get);
         }
     }
 
@@ -139,7 +139,7 @@
                         "/Orders",
                         false))
                 .entrySet()) {
-            String pool = table.find(Reading.of(one.getKey(), "h", true), "GET", null, name -> null);
+            String pool = table.find(RequestTarget.of(one.getKey(), "h", true), "GET", null, name -> null);
             if (one.getValue()) {
                 assertEquals("p", pool, one.getKey());
             } else {
@@ -151,9 +151,9 @@
     @Test
     void aSuffixIsWhatIsBelowIt() throws Exception {
         RouteTable table = new RouteTable(List.of(new Route("p", "*.example", null, null, null, null, Map.of())));
-        assertEquals("p", table.find(Reading.of("/", "a.B.Example.:80", true), "GET", null, name -> null));
-        assertNull(table.find(Reading.of("/", "example", true), "GET", null, name -> null));
-        assertNull(table.find(Reading.of("/", "badexample", true), "GET", null, name -> null));
+        assertEquals("p", table.find(RequestTarget.of("/", "a.B.Example.:80", true), "GET", null, name -> null));
+        assertNull(table.find(RequestTarget.of("/", "example", true), "GET", null, name -> null));
+        assertNull(table.find(RequestTarget.of("/", "badexample", true), "GET", null, name -> null));
     }
 
     @Test
