--- a/src/main/java/rushpin/node/UseStore.java
+++ b/src/main/java/rushpin/node/UseStore.java
@@ -20,7 +20,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
-import rushpin.quota.Sink;
+import rushpin.quota.RecordBuffer;
 import rushpin.quota.UseBook;
 import rushpin.quota.UseRecord;
 import rushpin.quota.UseRecord.Balance;
@@ -397,7 +397,7 @@
     /** Begins a file with its first entries and gives it its name when these are whole. */
     private void create(long begin, List<Entry> first) throws IOException {
         byte[] image = new byte[SIZE];
-        Sink to = Sink.of(image);
+        RecordBuffer to = RecordBuffer.of(image);
         UseRecord.header(to, new Origin(node, pool, begin, steady()));
         for (int place = 0; place < first.size(); place++) {
             UseRecord.entry(to, place, first.get(place));
--- a/src/main/java/rushpin/quota/Sink.java
+++ b/src/main/java/rushpin/quota/RecordBuffer.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** Where a record's bytes stand: memory, or a file that is mapped into it. Big-endian. */
-public interface Sink {
+public interface RecordBuffer {
     /** Sets one byte. */
     void put(int at, byte value);
 
@@ -23,8 +23,8 @@
     byte[] copy(int at, int length);
 
     /** Bytes in memory. */
-    static Sink of(byte[] bytes) {
-        return new Sink() {
+    static RecordBuffer of(byte[] bytes) {
+        return new RecordBuffer() {
             @Override
             public void put(int at, byte value) {
                 bytes[at] = value;
--- a/src/main/java/rushpin/quota/UseRecord.java
+++ b/src/main/java/rushpin/quota/UseRecord.java
@@ -83,7 +83,7 @@
     private UseRecord() {}
 
     /** Writes a header at the beginning of a buffer. */
-    public static void header(Sink to, Origin origin) {
+    public static void header(RecordBuffer to, Origin origin) {
         byte[] node = name(origin.node()), pool = name(origin.pool());
         to.putLong(0, MAGIC);
         to.putLong(8, origin.begun());
@@ -113,14 +113,14 @@
     }
 
     /** Writes the entry of a place, counted from 0; its checksum is the last that is written of it. */
-    public static void entry(Sink to, int place, Entry entry) {
+    public static void entry(RecordBuffer to, int place, Entry entry) {
         entry(to, offset(place), place, entry);
     }
 
     /** The bytes of the entry of a place. */
     public static byte[] entry(int place, Entry entry) {
         byte[] bytes = new byte[ENTRY];
-        entry(Sink.of(bytes), 0, place, entry);
+        entry(RecordBuffer.of(bytes), 0, place, entry);
         return bytes;
     }
 
@@ -129,7 +129,7 @@
         return HEADER + place * ENTRY;
     }
 
-    private static void entry(Sink to, int at, int place, Entry entry) {
+    private static void entry(RecordBuffer to, int at, int place, Entry entry) {
         to.putInt(at, place + 1);
         to.putInt(at + 4, entry.kind().ordinal() << 16 | entry.plan() & 0xffff);
         to.putLong(at + 8, entry.customer());
@@ -146,7 +146,7 @@
 
     /** Reads what is whole of a record; it may have been cut at any byte. */
     public static Contents read(byte[] bytes) {
-        Sink from = Sink.of(bytes);
+        RecordBuffer from = RecordBuffer.of(bytes);
         if (bytes.length < HEADER
                 || from.getLong(0) != MAGIC
                 || from.getInt(HEADER - 4) != checksum(from.copy(0, HEADER - 4))) {
@@ -203,14 +203,14 @@
         }
     }
 
-    private static boolean isWhole(Sink from, int place) {
+    private static boolean isWhole(RecordBuffer from, int place) {
         int at = offset(place);
         return from.getInt(at) == place + 1
                 && from.getInt(at + CHECKED) == checksum(from.copy(at, CHECKED))
                 && (from.getInt(at + 4) >>> 16) < Kind.values().length;
     }
 
-    private static Entry get(Sink from, int place) {
+    private static Entry get(RecordBuffer from, int place) {
         int at = offset(place);
         int kind = from.getInt(at + 4);
         return new Entry(
--- a/src/test/java/rushpin/quota/UseRecordTest.java
+++ b/src/test/java/rushpin/quota/UseRecordTest.java
@@ -37,7 +37,7 @@
         Memory(int most, int customers) {
             this.most = most;
             bytes = new byte[UseRecord.HEADER + most * UseRecord.ENTRY];
-            UseRecord.header(Sink.of(bytes), ORIGIN);
+            UseRecord.header(RecordBuffer.of(bytes), ORIGIN);
             book = new UseBook(most, customers, List.of(), 0, this);
         }
 
@@ -46,7 +46,7 @@
             if (failing) {
                 return false;
             }
-            UseRecord.entry(Sink.of(bytes), place, entry);
+            UseRecord.entry(RecordBuffer.of(bytes), place, entry);
             return true;
         }
 
@@ -57,10 +57,10 @@
                 return UseBook.NOT_STORED;
             }
             bytes = new byte[UseRecord.HEADER + most * UseRecord.ENTRY];
-            UseRecord.header(Sink.of(bytes), new Origin("n3", "bookings", ++begun));
-            UseRecord.entry(Sink.of(bytes), 0, new Entry(Kind.ABSORBED, 0, begun - 1, 0, now));
+            UseRecord.header(RecordBuffer.of(bytes), new Origin("n3", "bookings", ++begun));
+            UseRecord.entry(RecordBuffer.of(bytes), 0, new Entry(Kind.ABSORBED, 0, begun - 1, 0, now));
             for (int i = 0; i < open.size(); i++) {
-                UseRecord.entry(Sink.of(bytes), i + 1, open.get(i));
+                UseRecord.entry(RecordBuffer.of(bytes), i + 1, open.get(i));
             }
             renewed++;
             return open.size() + 1;
