--- a/src/main/java/rushpin/drill/Drill.java
+++ b/src/main/java/rushpin/drill/Drill.java
@@ -7,11 +7,14 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** The adapter's entry point: plays many gateways on the simulator's wire until its input ends. */
+/** The entry point of the simulator's adapter: runs many gateways on standard input and output until the input ends. */
 public final class Drill {
     private Drill() {}
 
-    /** Runs the drill; the only argument is the word {@code drill}. */
+    /**
+     * Runs the adapter; the only argument is {@code drill}. Exits with 1 on malformed input or an I/O error, and with 2
+     * on wrong usage.
+     */
     public static void main(String[] args) {
         if (args.length != 1 || !args[0].equals("drill")) {
             System.err.println("usage: rushpin.jar drill");
@@ -25,7 +28,7 @@
             System.err.println(e.getMessage());
             System.exit(1);
         } catch (IOException e) {
-            System.err.println("the wire broke: " + e.getMessage());
+            System.err.println("cannot read the input or write the output: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/src/main/java/rushpin/drill/MalformedInput.java
+++ b/src/main/java/rushpin/drill/MalformedInput.java
@@ -1,6 +1,6 @@
 package rushpin.drill;
 
-/** Input that is not of the wire; the message names the line and what is wrong with it. */
+/** Thrown for input that violates the protocol; the message names the line and the violation. */
 final class MalformedInput extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rushpin/drill/WireWriter.java
+++ b/src/main/java/rushpin/drill/WireWriter.java
@@ -4,7 +4,7 @@
 import java.io.Writer;
 import rushpin.gateway.Ports.Actions;
 
-/** Writes actions as lines of the wire. */
+/** Writes the actions of gateways as lines to the simulator. */
 final class WireWriter {
     private final Writer out;
     private final StringBuilder reply = new StringBuilder();
@@ -13,12 +13,12 @@
         this.out = out;
     }
 
-    /** The actions of one instance. */
+    /** Returns the actions of one gateway. */
     Actions actionsOf(int node) {
         return new NodeActions(node);
     }
 
-    /** Ends the reply to a batch. */
+    /** Ends the reply to a batch and sends it. */
     void flush() throws IOException {
         reply.append("yield\n");
         out.append(reply);
@@ -38,14 +38,14 @@
         }
 
         @Override
-        public void send(String id, String server, long patience) {
+        public void send(String id, String server, long timeout) {
             line("try")
                     .append(' ')
                     .append(id)
                     .append(' ')
                     .append(server)
                     .append(' ')
-                    .append(patience)
+                    .append(timeout)
                     .append('\n');
         }
 
@@ -81,8 +81,8 @@
         }
 
         @Override
-        public void timer(long token, long span) {
-            line("after").append(' ').append(token).append(' ').append(span).append('\n');
+        public void timer(long token, long delay) {
+            line("after").append(' ').append(token).append(' ').append(delay).append('\n');
         }
 
         @Override
--- a/src/main/java/rushpin/gateway/Ports.java
+++ b/src/main/java/rushpin/gateway/Ports.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * The interface of the decision module {@link Gateway}: the settings it is given, the events its host calls in
- * and the actions it asks for. Types only; nothing here decides.
+ * The interface of the decision module {@link Gateway}: its settings, the events that its host reports and the
+ * actions that it asks for. It holds types only, no logic.
  *
- * <p>All times are nanoseconds of one clock that never runs backwards; it may start anywhere. Spans are
- * nanoseconds too. One thread at a time may call an instance, and {@link Actions} are called on that thread,
- * from within an event. Instances share nothing.
+ * <p>All times are nanoseconds of one monotonic clock with any origin; durations are nanoseconds too. One thread
+ * at a time may call an instance, and {@link Actions} are called on that thread, from within an event. Instances
+ * share no state.
  */
 public final class Ports {
     private Ports() {}
 
     /** How often a request of a class may take effect. */
     public enum Repeat {
-        /** May be repeated freely. */
+        /** May run any number of times. */
         SAFE,
-        /** Carries a key; a group of servers drops its repeats for a while. */
+        /** Carries an idempotency key; a group of servers drops its repeats for a while. */
         KEYED,
-        /** Must never run twice. */
+        /** Must not run twice. */
         UNSAFE
     }
 
@@ -27,29 +27,29 @@
     public enum Group {
         /** Every server. */
         ALL,
-        /** The servers of the zone first sent to. */
+        /** The servers in the zone of the first attempt that may have run. */
         ZONE,
-        /** The servers of the cell first sent to. */
+        /** The servers in the cell of the first attempt that may have run. */
         CELL
     }
 
     /** How an attempt, a probe or a call to the counter ended. */
     public enum Outcome {
-        /** Served, or counted. */
+        /** The request was served, or the call was counted. */
         OK(false),
         /** The server answered with an error; the request may have run. */
         ERROR(false),
-        /** Turned away unseen. */
+        /** Refused for want of room, without any effect. */
         FULL(true),
-        /** No answer in time; it may have run, or may have been counted. */
+        /** No answer before the timeout; it may have run, or may have been counted. */
         TIMEOUT(false),
-        /** No connection in time. */
+        /** No connection before the timeout. */
         CONNECT_FAILED(true),
         /** The connection broke; it may have run. */
         RESET(false),
-        /** Withdrawn; it may have run. */
+        /** The host cancelled it; it may have run. */
         CANCELLED(false),
-        /** Never sent by the host. */
+        /** The host did not send it. */
         NOT_SENT(true);
 
         private final boolean neverRan;
@@ -64,51 +64,54 @@
         }
     }
 
-    /** What the list says of a server. */
+    /** The state of a server in the server list. */
     public enum Readiness {
+        /** Removed from the list. */
         GONE,
+        /** May be sent requests. */
         READY,
+        /** Finishes its requests and may be sent no new ones. */
         DRAINING
     }
 
-    /** What a list message holds. */
+    /** The content of a message with the server list. */
     public enum ListKind {
         /** The whole list. */
         FULL,
-        /** The whole list as saved before this start; may be old. */
+        /** The whole list as saved before this start; it may be stale. */
         CACHED,
         /** Changed entries only. */
         DELTA,
-        /** A request to the list failed; the old list stands. */
+        /** A request for the list failed; the present list stays in use. */
         FAILED
     }
 
     /**
      * A class of requests.
      *
-     * @param aim an answer within this span is worth all
-     * @param deadline how long a client waits over all its tries
-     * @param repeat how it may be repeated
-     * @param group which servers drop repeats, if keyed
-     * @param keyWindow for how long they do, from the first attempt that may have run
-     * @param lateValue the part of the worth that an answer after the aim earns
+     * @param aim latency in nanoseconds within which an answer has its full worth
+     * @param deadline how long a client waits over all its tries, in nanoseconds
+     * @param repeat how often a request may run
+     * @param group which servers drop repeats of a keyed request
+     * @param keyWindow how long they do so, in nanoseconds from the first attempt that may have run
+     * @param lateValue the part of the worth that an answer after the aim has
      * @param worth the worth of one request
      */
     public record RequestClass(
             long aim, long deadline, Repeat repeat, Group group, long keyWindow, double lateValue, double worth) {}
 
     /**
-     * A plan; its figures hold for each customer over all gateways.
+     * A customer's tariff. Its limits hold for each customer, over all gateways.
      *
-     * @param rate units a second of the quota; 0 for none
-     * @param burst units the quota's store holds
-     * @param maxConcurrent attempts out at once; 0 for no limit
+     * @param rate units a second of the quota; 0 for no quota
+     * @param burst capacity of the quota's token bucket, in units
+     * @param maxConcurrent the highest number of attempts in flight; 0 for no limit
      * @param price factor on the worth
-     * @param beyondEarns the part of the worth earned beyond the quota
+     * @param beyondEarns the part of the worth that is earned beyond the quota
      * @param beyondCosts the part of the worth that sending beyond the quota costs
-     * @param ceilingRate units a second of the hard ceiling; 0 for none
-     * @param ceilingBurst units the ceiling's store holds
-     * @param ceilingSlack how far below nothing that store may fall
+     * @param ceilingRate units a second of the hard ceiling; 0 for no ceiling
+     * @param ceilingBurst capacity of the ceiling's token bucket, in units
+     * @param ceilingSlack how far below zero that bucket may fall, in units
      */
     public record Plan(
             double rate,
@@ -122,64 +125,75 @@
             double ceilingSlack) {}
 
     /**
-     * What the site allows.
+     * The limits of the site.
      *
-     * @param maxAttempts most attempts of one request
-     * @param maxOpen most requests an instance may hold
+     * @param maxAttempts the highest number of attempts of one request
+     * @param maxOpen the highest number of requests that an instance may hold
      * @param probes whether servers may be probed
-     * @param retryAfter whether clients are told how long to stay away
-     * @param maxRetryAfter the longest that a client heeds
-     * @param subscribeToList whether changes of the list must be subscribed to
+     * @param retryAfter whether clients respect the advice on when to retry
+     * @param maxRetryAfter the longest such advice that clients respect, in nanoseconds
+     * @param subscribeToList whether the gateway must subscribe to changes of the server list
      */
     public record Limits(
-            int maxAttempts, int maxOpen, boolean probes, boolean retryAfter, long maxRetryAfter, boolean subscribeToList) {}
+            int maxAttempts,
+            int maxOpen,
+            boolean probes,
+            boolean retryAfter,
+            long maxRetryAfter,
+            boolean subscribeToList) {}
 
     /**
-     * The shared quota counter.
+     * The quota counter that all gateways share.
      *
-     * @param present whether there is one
-     * @param timeout a call without an answer by then ends as {@link Outcome#TIMEOUT}
-     * @param reportsTrueUnits whether answers tell the true units
-     * @param largest the largest request, in units
-     * @param first whether it is called before each first attempt, so that a hard kill forgets nothing
+     * @param present whether there is a counter
+     * @param timeout nanoseconds after which a call without an answer ends as {@link Outcome#TIMEOUT}
+     * @param reportsTrueUnits whether answers of app servers report the true units
+     * @param largest the size of the largest request, in units
+     * @param first whether it is called before each first attempt, so that no use is lost in a hard kill
      */
     public record Counter(boolean present, long timeout, boolean reportsTrueUnits, double largest, boolean first) {
-        /** A counter that is called as often as it bears. */
+        /** A counter that is called as often as it has capacity, not before each first attempt. */
         public Counter(boolean present, long timeout, boolean reportsTrueUnits, double largest) {
             this(present, timeout, reportsTrueUnits, largest, false);
         }
     }
 
     /**
-     * The figures of the rules.
+     * The parameters of the rules that gateways have to keep; durations in nanoseconds.
      *
      * @param answerSlack how long after the deadline a final answer still counts
-     * @param coldFrom a server starts with this part of its capacity or more
-     * @param coldDuration and is warm after this
-     * @param overloadFactor sent more than this many times its present capacity
-     * @param overloadDuration for this long, it falls over
-     * @param drainGrace how long after a drain was told a server may still be sent requests
+     * @param coldFrom the part of its capacity that a server has at least when it starts
+     * @param coldDuration how long after its start a server is cold
+     * @param overloadFactor the multiple of its present capacity at which a server is overloaded
+     * @param overloadDuration how long a server bears such an overload before it fails
+     * @param drainGrace how long after the notice of its drain a server may still be sent requests
      */
     public record Rules(
-            long answerSlack, double coldFrom, long coldDuration, double overloadFactor, long overloadDuration, long drainGrace) {
-        /** Where no grace is said: one second, in nanoseconds. */
+            long answerSlack,
+            double coldFrom,
+            long coldDuration,
+            double overloadFactor,
+            long overloadDuration,
+            long drainGrace) {
+        /** The grace period for drains where none is configured, one second in nanoseconds. */
         public static final long DEFAULT_DRAIN_GRACE = 1_000_000_000L;
 
-        /** Rules with the usual grace for drains. */
-        public Rules(long answerSlack, double coldFrom, long coldDuration, double overloadFactor, long overloadDuration) {
+        /** Rules with the default grace period for drains. */
+        public Rules(
+                long answerSlack, double coldFrom, long coldDuration, double overloadFactor, long overloadDuration) {
             this(answerSlack, coldFrom, coldDuration, overloadFactor, overloadDuration, DEFAULT_DRAIN_GRACE);
         }
     }
 
     /**
-     * What an instance is told at its start.
+     * The settings of an instance.
      *
-     * @param me its number, from 0
-     * @param siblings how many gateways there are
-     * @param zone its zone
-     * @param tick events come at most this often
-     * @param sizesAreWeights whether the sizes in the list mean anything
-     * @param reports the names of the load report's values
+     * @param me the instance's number, from 0
+     * @param siblings the number of gateways, this one included
+     * @param zone the instance's zone
+     * @param tick the shortest interval between events, in nanoseconds
+     * @param sizesAreWeights whether the sizes in the server list are meaningful
+     * @param reports the names of the values in a load report
      */
     public record Settings(
             int me,
@@ -198,12 +212,12 @@
     public record Server(String id, double size, int zone, int cell, int kind, Readiness readiness, long startedAt) {}
 
     /**
-     * A request as it comes in.
+     * A request from a client.
      *
-     * @param deadline the moment at which the client stops waiting for this try
-     * @param units what it takes from the quota, perhaps a guess
-     * @param setSize how many gateways this customer comes through
-     * @param setFirst the first of them
+     * @param deadline when the client stops waiting for this try
+     * @param units what it takes from the quota, perhaps an estimate
+     * @param setSize how many gateways this customer's requests come through
+     * @param setFirst the number of the first of them
      * @param repeat whether the client marked it as a repeat
      */
     public record Request(
@@ -220,9 +234,9 @@
     /**
      * The end of an attempt.
      *
-     * @param took the span since it was sent
-     * @param complete nothing more is owed for the request
-     * @param trueUnits the units that take the place of the guess; 0 if not told
+     * @param took the time since it was sent, in nanoseconds
+     * @param complete whether the request has its final answer
+     * @param trueUnits the units that replace the estimate; 0 if not reported
      * @param report the server's load report; empty if none
      */
     public record Result(
@@ -235,128 +249,135 @@
             double trueUnits,
             List<Double> report) {}
 
-    /** What the host calls, in the order in which things happen. */
+    /** The events that the host reports, in the order in which they happen. */
     public interface Events {
-        /** The server list, or changes to it. */
+        /** The server list came, or changes to it. */
         void list(long now, ListKind kind, List<Server> entries);
 
-        /** A request came in; exactly one final answer is owed. */
+        /** A request came in; it must get exactly one final answer. */
         void request(long now, Request request);
 
-        /** An attempt is over; each attempt ends exactly once. */
+        /** An attempt ended; each attempt ends exactly once. */
         void attemptEnded(long now, Result result);
 
-        /** The stream of a request began; no deadline binds it any more. */
+        /** The answer to a request has begun to stream; its deadline no longer applies. */
         void streamStarted(long now, String id);
 
-        /** What was sent of the request's body is gone: it cannot be sent again, and gets no further attempt. */
+        /** The part of the body that was sent is no longer kept, so the request gets no further attempt. */
         void bodyGone(long now, String id);
 
-        /** The client left; nothing is owed any more. */
+        /** The client left; the request needs no answer any more. */
         void clientGone(long now, String id);
 
-        /** A call to the counter ended; calls of one name end in their order. */
+        /** A call to the counter ended; calls of the same name end in the order in which they were made. */
         void counted(long now, long name, Outcome outcome, double total);
 
         /** A probe ended. */
         void probed(long now, String server, Outcome outcome, long took, List<Double> report);
 
-        /** A timer came due. */
+        /** A timer expired. */
         void timer(long now, long token);
 
-        /** Units that this gateway took before it was killed, and that the counter was not told of. */
+        /** Restores units that this gateway took before it was killed and that were not reported to the counter. */
         void restore(long now, long customer, int plan, int setSize, double units);
 
         /**
-         * A part of what customers' ceilings hold here goes to another process of this gateway: told by
-         * {@link Actions#ceilingReleased}, and gone from here.
+         * Hands a part of the units that customers' ceilings hold here to another process of this gateway, by
+         * {@link Actions#ceilingReleased}; they are no longer held here.
          *
-         * @param part from 0 for nothing to 1 for all
+         * @param part the part handed over, from 0 to 1
          */
         void releaseCeiling(long now, double part);
 
-        /** What another process of this gateway gave away of a customer's ceiling, in units. */
+        /** Takes over units of a customer's ceiling that another process of this gateway handed over. */
         void acquireCeiling(long now, long customer, int plan, int setSize, double units);
 
         /**
-         * So many processes act as this gateway, this one among them: for as long as one replaces another. What a
-         * customer's ceiling gives this gateway is then dealt out to them.
+         * Sets how many processes act as this gateway, this one included; there are several while one replaces another.
+         * They divide this gateway's part of each customer's ceiling.
          */
         void processes(long now, int count);
 
         /**
-         * Classes and limits as they are for requests from now on; those that are open keep what held when they came.
-         * All else of the settings is as it was.
+         * Sets the classes and limits for requests from now on; open requests keep those that they came with. The other
+         * settings must be unchanged.
          *
-         * @param was for each class of {@code next} which one of those until now it is; -1 for a new one
+         * @param was for each class of {@code next} its number until now; -1 for a new class
          */
         void settings(long now, Settings next, int[] was);
 
         /**
-         * A plan of where requests go from now on. For each a zone is drawn by these parts, and a server within it; where
-         * nobody there may be used, the plan's other zones follow by their parts. A zone that is not named gets nothing but
-         * what a group binds to it.
+         * Sets the zones that requests go to from now on. For each request a zone is drawn by these parts, and a server
+         * is chosen within it; if none there may be used, another zone of the plan is drawn. A zone without a part gets
+         * only the requests that their group binds to it.
          *
-         * @param parts for each class, and in it for each zone, thousandths with one above 0 at least; null for a class that
-         *     goes wherever its answer should come from soonest, or for all. Not to be changed any more
+         * @param parts for each class and zone, thousandths, with at least one above 0 in each class; null for a class
+         *     that goes to the fastest server of any zone, or null for all classes. The caller must not change it
+         *     afterwards
          */
         void zones(long now, int[][] parts);
 
         /**
-         * The same, with a way out: while all servers of the own zone are held out, first attempts may go to others too.
+         * The same with overflow: while all servers of the own zone are held out, first attempts may go to other zones.
          *
-         * @param spare for each class, and in it for each zone, the thousandths that may; null for none
+         * @param spare for each class and zone, the thousandths that may overflow there; null for none
          */
         default void zones(long now, int[][] parts, int[][] spare) {
             zones(now, parts);
         }
 
-        /** The machines' clock has been set: it is so far ahead of this node's, in nanoseconds; below 0 if behind. */
+        /** Sets how far the machines' clock is ahead of this node's, in nanoseconds; negative if it is behind. */
         void clock(long now, long ahead);
     }
 
-    /** What the module asks of its host; each takes effect at once. */
+    /** The actions that the module asks of its host; each takes effect immediately. */
     public interface Actions {
-        /** Starts an attempt and gives it up after {@code patience}. */
+        /** Starts an attempt that the host ends after {@code patience} nanoseconds without an answer. */
         void send(String id, String server, long patience);
 
         /**
-         * As {@link #send(String, String, long)}, for a request that may have run: nothing of it may be written later than
-         * {@code startWithin} nanoseconds from now, since servers then forget its key. A host that never writes later than
-         * it is asked to need not look at it.
+         * As {@link #send(String, String, long)}, for a request that may have run: nothing of it may be written later
+         * than {@code startWithin} nanoseconds from now, since servers then forget its key. A host that writes
+         * immediately may ignore the limit.
          */
         default void send(String id, String server, long patience, long startWithin) {
             send(id, server, patience);
         }
 
-        /** Final answer: refused, trying again is harmless; 0 for no advice on when. */
+        /** Final answer: refused, and safe to retry after {@code retryAfter} nanoseconds; 0 for no advice on when. */
         void refuse(String id, long retryAfter);
 
-        /** Final answer: failed, with no promise about the effect. */
+        /** Final answer: failed; the request may have had its effect. */
         void fail(String id);
 
-        /** Probes a server; only where the settings allow it. */
+        /** Probes a server; called only if the settings allow it. */
         void probe(String server);
 
-        /** Adds to a named count that lives for {@code lifetime} from its first call; {@code customer} whose use it is. */
+        /**
+         * Adds to a named count of the counter.
+         *
+         * @param customer whose use it is
+         * @param lifetime how long the counter keeps the name after the first call, in nanoseconds
+         */
         void count(long customer, long name, double amount, long lifetime);
 
         /**
-         * A customer's use has changed by so many units that the counter is yet to be told of; below 0 they were given
-         * back. A host that keeps this over a hard kill brings it back by {@link Events#restore}.
+         * Notifies the host that a customer's use has changed by {@code units} that are not reported to the counter
+         * yet; negative if units were given back. A host that stores this passes it to {@link Events#restore} after a
+         * hard kill.
          */
         default void useChanged(long customer, int plan, int setSize, double units) {}
 
-        /** So many units of what a customer's ceiling held are another process's now; told from within a give. */
+        /** Hands units of a customer's ceiling to another process; called only from within {@link Events#releaseCeiling}. */
         default void ceilingReleased(long customer, int plan, int setSize, double units) {}
 
-        /** Asks for {@link Events#timer} after a span. */
-        void timer(long token, long span);
+        /** Asks for {@link Events#timer} after a delay in nanoseconds. */
+        void timer(long token, long delay);
 
-        /** Subscribes to changes of the server list, where these must be asked for. */
+        /** Subscribes to changes of the server list; called only if the settings ask for it. */
         void watchList();
 
-        /** A line for the operators. */
+        /** Writes a line to the log. */
         void log(String text);
     }
 }
--- a/src/main/java/rushpin/gateway/RecursiveLeastSquares.java
+++ b/src/main/java/rushpin/gateway/RecursiveLeastSquares.java
@@ -2,26 +2,29 @@
 
 import org.ejml.simple.SimpleMatrix;
 
-/** Recursive least squares with forgetting: y = theta phi, all outputs sharing one covariance. */
+/** Recursive least squares with a forgetting factor: y = theta phi, where all outputs share one covariance. */
 final class RecursiveLeastSquares {
-    /** The estimator's memory of some 50 intervals. */
-    private static final double FORGET = 0.98;
-    /** The bound on the covariance's trace in a quiet spell, for each input. */
-    private static final double TRACE = 100;
+    /** The forgetting factor: a memory of some 50 intervals. */
+    private static final double FORGETTING_FACTOR = 0.98;
+    /** Upper bound of the covariance's trace per input; without excitation it would grow without bound. */
+    private static final double MAX_TRACE_PER_INPUT = 100;
 
+    /** The fitted parameters: a row for each output. */
     private final SimpleMatrix theta;
+
     private SimpleMatrix covariance;
     private int updates;
 
+    /** Creates an estimator whose parameters start at zero. */
     RecursiveLeastSquares(int outputs, int inputs) {
         theta = new SimpleMatrix(outputs, inputs);
-        covariance = SimpleMatrix.identity(inputs).scale(TRACE / 10);
+        covariance = SimpleMatrix.identity(inputs).scale(MAX_TRACE_PER_INPUT / 10);
     }
 
-    /** Folds one observation in; outputs that are no number keep their parameters. */
+    /** Updates the fit with one observation; the parameters of an output that is NaN are kept. */
     void update(SimpleMatrix phi, double... y) {
         SimpleMatrix pPhi = covariance.mult(phi);
-        SimpleMatrix gain = pPhi.divide(FORGET + phi.dot(pPhi));
+        SimpleMatrix gain = pPhi.divide(FORGETTING_FACTOR + phi.dot(pPhi));
         for (int i = 0; i < y.length; i++) {
             if (!Double.isNaN(y[i])) {
                 double error = y[i] - predict(phi).get(i);
@@ -30,25 +33,25 @@
                 }
             }
         }
-        covariance = covariance.minus(gain.mult(pPhi.transpose())).divide(FORGET);
-        double bound = TRACE * theta.getNumCols();
-        if (covariance.trace() > bound) {
-            covariance = covariance.scale(bound / covariance.trace());
+        covariance = covariance.minus(gain.mult(pPhi.transpose())).divide(FORGETTING_FACTOR);
+        double maxTrace = MAX_TRACE_PER_INPUT * theta.getNumCols();
+        if (covariance.trace() > maxTrace) {
+            covariance = covariance.scale(maxTrace / covariance.trace());
         }
         updates++;
     }
 
-    /** The outputs that are expected for these inputs. */
+    /** Returns the outputs that the fit predicts for these inputs. */
     SimpleMatrix predict(SimpleMatrix phi) {
         return theta.mult(phi);
     }
 
-    /** What was fitted: a row for each output. */
+    /** Returns the fitted parameters, a row for each output. */
     SimpleMatrix parameters() {
         return theta;
     }
 
-    /** How many observations were folded in. */
+    /** Returns how many observations the fit was updated with. */
     int updates() {
         return updates;
     }
--- a/src/main/java/rushpin/gateway/SettingsReader.java
+++ b/src/main/java/rushpin/gateway/SettingsReader.java
@@ -14,8 +14,8 @@
 import rushpin.gateway.Ports.Settings;
 
 /**
- * Turns path=value pairs into {@link Settings}; unknown paths are ignored. The simulator's wire and the real
- * edge node's configuration share it, so that both run the module on the same reading of the same names.
+ * Reads {@link Settings} from path=value pairs; unknown paths are ignored. The simulator's adapter and the edge
+ * node's configuration share it, so that both give the module the same settings for the same names.
  */
 public final class SettingsReader {
     private final Map<String, String> pairs;
@@ -24,7 +24,11 @@
         this.pairs = pairs;
     }
 
-    /** Reads the pairs that stand on a line of the wire, from part {@code from} on. */
+    /**
+     * Reads the pairs of a line of the simulator, from part {@code from} on.
+     *
+     * @throws IllegalArgumentException if a part is not path=value or a value is not a number
+     */
     public static Settings read(String[] parts, int from) {
         Map<String, String> pairs = new HashMap<>();
         for (int i = from; i < parts.length; i++) {
@@ -37,52 +41,56 @@
         return read(pairs);
     }
 
-    /** Reads pairs; a list of objects has its length under {@code .count}, plain values are joined by commas. */
+    /**
+     * Reads pairs. A list of objects has its length under {@code .count}; a list of plain values is joined by commas.
+     *
+     * @throws IllegalArgumentException if a value is not a number
+     */
     public static Settings read(Map<String, String> pairs) {
         return new SettingsReader(pairs).settings();
     }
 
     private Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < whole("classes.count"); i++) {
-            String at = "classes." + i + ".";
+        for (int i = 0; i < roundedNumber("classes.count"); i++) {
+            String prefix = "classes." + i + ".";
             classes.add(new RequestClass(
-                    whole(at + "aim-ns"),
-                    whole(at + "deadline-ns"),
-                    switch (text(at + "idempotency")) {
+                    roundedNumber(prefix + "aim-ns"),
+                    roundedNumber(prefix + "deadline-ns"),
+                    switch (text(prefix + "idempotency")) {
                         case "retryable" -> Repeat.SAFE;
                         case "dedup" -> Repeat.KEYED;
                         default -> Repeat.UNSAFE;
                     },
-                    switch (text(at + "group")) {
+                    switch (text(prefix + "group")) {
                         case "all" -> Group.ALL;
                         case "zone" -> Group.ZONE;
                         default -> Group.CELL;
                     },
-                    whole(at + "key-ttl-ns"),
-                    number(at + "late-value"),
-                    number(at + "worth")));
+                    roundedNumber(prefix + "key-ttl-ns"),
+                    number(prefix + "late-value"),
+                    number(prefix + "worth")));
         }
         List<Plan> plans = new ArrayList<>();
-        for (int i = 0; i < whole("tariffs.count"); i++) {
-            String at = "tariffs." + i + ".";
+        for (int i = 0; i < roundedNumber("tariffs.count"); i++) {
+            String prefix = "tariffs." + i + ".";
             plans.add(new Plan(
-                    number(at + "units-per-s"),
-                    number(at + "peak-units"),
-                    (int) whole(at + "at-once"),
-                    number(at + "price"),
-                    number(at + "beyond-earns"),
-                    number(at + "beyond-costs"),
-                    number(at + "hard-rate"),
-                    number(at + "hard-burst"),
-                    number(at + "hard-slack")));
+                    number(prefix + "units-per-s"),
+                    number(prefix + "peak-units"),
+                    (int) roundedNumber(prefix + "at-once"),
+                    number(prefix + "price"),
+                    number(prefix + "beyond-earns"),
+                    number(prefix + "beyond-costs"),
+                    number(prefix + "hard-rate"),
+                    number(prefix + "hard-burst"),
+                    number(prefix + "hard-slack")));
         }
         String names = text("load-info.names");
         return new Settings(
-                (int) whole("my-number"),
-                (int) Math.max(1, whole("siblings")),
-                (int) whole("my-zone"),
-                whole("tick-ns"),
+                (int) roundedNumber("my-number"),
+                (int) Math.max(1, roundedNumber("siblings")),
+                (int) roundedNumber("my-zone"),
+                roundedNumber("tick-ns"),
                 !text("weights").equals("off"),
                 text("load-info.source").equals("off") || names.isEmpty() || names.equals("-")
                         ? List.of()
@@ -90,29 +98,29 @@
                 List.copyOf(classes),
                 List.copyOf(plans),
                 new Limits(
-                        (int) whole("caps.max-attempts"),
-                        (int) whole("caps.max-open"),
+                        (int) roundedNumber("caps.max-attempts"),
+                        (int) roundedNumber("caps.max-open"),
                         flag("caps.probes"),
                         flag("caps.retry-after"),
-                        whole("caps.max-retry-after-ns"),
+                        roundedNumber("caps.max-retry-after-ns"),
                         text("discovery").equals("subscribe")),
                 new Counter(
                         flag("domain.has-counter"),
-                        whole("domain.count-wait-ns"),
+                        roundedNumber("domain.count-wait-ns"),
                         flag("domain.trued-up"),
                         number("domain.units-top")),
                 new Rules(
-                        whole("rules.answer-slack-ns"),
+                        roundedNumber("rules.answer-slack-ns"),
                         number("rules.cold-from"),
-                        whole("rules.ramp-time-ns"),
+                        roundedNumber("rules.ramp-time-ns"),
                         number("rules.overload-factor"),
-                        whole("rules.tip-after-ns"),
+                        roundedNumber("rules.tip-after-ns"),
                         drainGrace()));
     }
 
     private long drainGrace() {
-        long told = whole("rules.stop-sending-within-ns");
-        return told > 0 ? told : Rules.DEFAULT_DRAIN_GRACE;
+        long grace = roundedNumber("rules.stop-sending-within-ns");
+        return grace > 0 ? grace : Rules.DEFAULT_DRAIN_GRACE;
     }
 
     private String text(String path) {
@@ -123,7 +131,7 @@
         return text(path).equals("true") || text(path).equals("1");
     }
 
-    private long whole(String path) {
+    private long roundedNumber(String path) {
         return Math.round(number(path));
     }
 
--- a/src/main/java/rushpin/quota/RecordBuffer.java
+++ b/src/main/java/rushpin/quota/RecordBuffer.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Where a record's bytes stand: memory, or a file that is mapped into it. Big-endian. */
+/** The bytes of a record, in memory or in a mapped file; numbers are big-endian. */
 public interface RecordBuffer {
     /** Sets one byte. */
     void put(int at, byte value);
@@ -13,16 +13,16 @@
     /** Sets eight bytes. */
     void putLong(int at, long value);
 
-    /** Four bytes. */
+    /** Reads four bytes. */
     int getInt(int at);
 
-    /** Eight bytes. */
+    /** Reads eight bytes. */
     long getLong(int at);
 
-    /** A copy of some bytes. */
+    /** Returns a copy of {@code length} bytes from {@code at} on. */
     byte[] copy(int at, int length);
 
-    /** Bytes in memory. */
+    /** Returns a buffer over an array, which it writes through to. */
     static RecordBuffer of(byte[] bytes) {
         return new RecordBuffer() {
             @Override
--- a/src/main/java/rushpin/quota/UseBook.java
+++ b/src/main/java/rushpin/quota/UseBook.java
@@ -9,146 +9,161 @@
 import rushpin.quota.UseRecord.Kind;
 
 /**
- * Keeps a record of use within its size: says which entry goes where, and when the record is to be begun anew with the
- * balances alone. No I/O; one thread at a time.
+ * Keeps a record of use within its size: decides where each entry goes, and when the record is to be compacted to the
+ * balances alone. It does no I/O itself and may be used by one thread at a time.
  *
- * <p>Bounds: so many entries, and so many customers with untold use; use of customers beyond that is not recorded.
+ * <p>The number of entries and the number of customers with unreported use are bounded; use of further customers is not
+ * recorded.
  */
 public final class UseBook {
-    /** Where entries go. */
+    /** The storage of the record. */
     public interface Port {
-        /** The entry at a place of the present record; whether it was stored. */
+        /** Writes the entry at a place of the present record; returns whether it was stored. */
         boolean write(int place, Entry entry);
 
         /**
-         * A new record with these entries takes the present one's place whole; returns how many it begins with, or
-         * {@link #NOT_STORED} if the present one still stands.
+         * Replaces the present record atomically by a new one with these entries; returns how many entries it begins
+         * with, or {@link #NOT_STORED} if the present one is still in place.
          *
-         * @param absorbed the begins of further records that it takes over
+         * @param absorbed the start times of other records whose balances are among the entries
          */
         int renew(List<Long> absorbed, List<Entry> open, long now);
 
-        /** The time to be noted for one that the wall's clock says; another's where that may be set. */
+        /** Returns the time to record for one of the wall clock, for storage that has a clock of its own. */
         default long time(long wall) {
             return wall;
         }
 
-        /** A line for the operators. */
+        /** Writes a line to the log. */
         void log(String text);
     }
 
-    private static final class Open {
+    /** The use of one customer that the counter may not know of. */
+    private static final class OpenUse {
         private int plan;
-        private double untold, telling;
+        /** Units that no call has reported. */
+        private double unreported;
+        /** Units that calls in flight report. */
+        private double reporting;
+        /** When the customer's last entry was made, in milliseconds of the wall clock. */
         private long at;
 
-        Open copy() {
-            Open copy = new Open();
+        OpenUse copy() {
+            OpenUse copy = new OpenUse();
             copy.plan = plan;
-            copy.untold = untold;
-            copy.telling = telling;
+            copy.unreported = unreported;
+            copy.reporting = reporting;
             copy.at = at;
             return copy;
         }
     }
 
-    /** The module tells millionths: what is left of rounding is nothing. */
-    static final double NOTHING = 1e-5;
-    /** In place of a number of entries: there is no record, or no new one. */
+    /** Units below this are rounding errors, as the module reports millionths. */
+    static final double ROUNDING = 1e-5;
+    /** Stands for a number of entries if there is no record, or no new one could be stored. */
     public static final int NOT_STORED = -1;
 
     private final Port port;
-    private final int most, mostCustomers;
-    private final Map<Long, Open> open = new LinkedHashMap<>();
+    private final int maxEntries;
+    private final int maxCustomers;
+    private final Map<Long, OpenUse> open = new LinkedHashMap<>();
+    /** The place of the next entry. */
     private int next;
-    private boolean crowded;
-    /** The record lacks something: entries go to memory alone until it has been written anew. */
+
+    /** Whether it was logged that the record is full. */
+    private boolean fullLogged;
+
+    /** Whether the record lacks entries; new ones are kept in memory alone until it has been written anew. */
     private boolean behind;
 
     /**
-     * A book whose record holds {@code most} entries, of which {@code begun} are written and say what is open;
-     * {@link #NOT_STORED} if there is no record yet.
+     * Creates a book.
+     *
+     * @param maxEntries how many entries a record holds
+     * @param maxCustomers how many customers with unreported use are recorded
+     * @param balances the use that the record holds
+     * @param begun how many entries are written; {@link #NOT_STORED} if there is no record yet
      */
-    public UseBook(int most, int mostCustomers, List<Balance> balances, int begun, Port port) {
-        this.most = most;
-        this.mostCustomers = mostCustomers;
+    public UseBook(int maxEntries, int maxCustomers, List<Balance> balances, int begun, Port port) {
+        this.maxEntries = maxEntries;
+        this.maxCustomers = maxCustomers;
         this.port = port;
         next = begun;
         behind = begun == NOT_STORED;
         balances.forEach(this::open);
     }
 
-    /** Units were taken, or given back if below 0. */
+    /** Records that units were taken, or given back if negative. */
     public void useChanged(long customer, int plan, double units, long at) {
         add(new Entry(Kind.TOOK, plan, customer, units, port.time(at)));
     }
 
-    /** The counter is about to be called. */
+    /** Records that a call to the counter is about to report units. */
     public void reporting(long customer, double units, long at) {
         add(new Entry(Kind.TELLING, plan(customer), customer, units, port.time(at)));
     }
 
-    /** A call has ended; {@code added} unless it is known that nothing was. */
+    /** Records that a call has ended; {@code added} is false only if the units are known not to have been counted. */
     public void reported(long customer, double units, boolean added, long at) {
         add(new Entry(added ? Kind.TOLD : Kind.UNTOLD, plan(customer), customer, units, port.time(at)));
     }
 
     private int plan(long customer) {
-        Open of = open.get(customer);
-        return of == null ? 0 : of.plan;
+        OpenUse use = open.get(customer);
+        return use == null ? 0 : use.plan;
     }
 
     private void add(Entry entry) {
         if (entry.units() == 0) {
             return;
         }
-        Open of = open.get(entry.customer());
-        if (of == null) {
-            if (open.size() >= mostCustomers) {
+        OpenUse use = open.get(entry.customer());
+        if (use == null) {
+            if (open.size() >= maxCustomers) {
                 open.values().removeIf(UseBook::isBlank);
             }
-            if (open.size() >= mostCustomers) {
-                tellCrowded();
+            if (open.size() >= maxCustomers) {
+                logFull();
                 return;
             }
-            of = new Open();
-            open.put(entry.customer(), of);
+            use = new OpenUse();
+            open.put(entry.customer(), use);
         }
-        of.plan = entry.plan();
-        of.at = entry.at();
+        use.plan = entry.plan();
+        use.at = entry.at();
         switch (entry.kind()) {
-            case TOOK -> of.untold += entry.units();
+            case TOOK -> use.unreported += entry.units();
             case TELLING -> {
-                of.untold -= entry.units();
-                of.telling += entry.units();
+                use.unreported -= entry.units();
+                use.reporting += entry.units();
             }
-            case TOLD -> of.telling -= entry.units();
+            case TOLD -> use.reporting -= entry.units();
             default -> {
-                of.untold += entry.units();
-                of.telling -= entry.units();
+                use.unreported += entry.units();
+                use.reporting -= entry.units();
             }
         }
         if (behind) {
             return;
         }
-        if (next < most) {
+        if (next < maxEntries) {
             behind = !port.write(next++, entry);
         } else {
             behind = !renew(List.of(), List.of(), entry.at());
         }
     }
 
-    /** Takes over what other records held, all or nothing; false for nothing: they are still theirs. */
+    /** Takes over the balances of other records; on false none was taken over, and they still hold them. */
     public boolean absorb(List<Long> begins, List<Balance> balances, long at) {
         return renew(begins, balances, port.time(at));
     }
 
-    /** Whether something that is open is not stored: to be tried again by {@link #catchUp}. */
+    /** Returns whether some unreported use is not stored; {@link #catchUp} tries again. */
     public boolean isBehind() {
         return behind;
     }
 
-    /** Stores all that is open, if some of it is not stored. */
+    /** Stores all unreported use, if some of it is not stored. */
     public void catchUp(long at) {
         if (behind) {
             renew(List.of(), List.of(), port.time(at));
@@ -159,36 +174,36 @@
         open(balance, open);
     }
 
-    private void open(Balance balance, Map<Long, Open> into) {
-        if (!into.containsKey(balance.customer()) && into.size() >= mostCustomers) {
-            tellCrowded();
+    private void open(Balance balance, Map<Long, OpenUse> target) {
+        if (!target.containsKey(balance.customer()) && target.size() >= maxCustomers) {
+            logFull();
             return;
         }
-        Open of = into.computeIfAbsent(balance.customer(), customer -> new Open());
-        of.plan = balance.plan();
-        of.untold += balance.units();
-        of.at = balance.at();
+        OpenUse use = target.computeIfAbsent(balance.customer(), customer -> new OpenUse());
+        use.plan = balance.plan();
+        use.unreported += balance.units();
+        use.at = balance.at();
     }
 
-    private void tellCrowded() {
-        if (!crowded) {
-            crowded = true;
+    private void logFull() {
+        if (!fullLogged) {
+            fullLogged = true;
             port.log("the record of use is full: use of further customers is not kept over a hard kill");
         }
     }
 
-    private static boolean isBlank(Open of) {
-        return Math.abs(of.untold) < NOTHING && Math.abs(of.telling) < NOTHING;
+    private static boolean isBlank(OpenUse use) {
+        return Math.abs(use.unreported) < ROUNDING && Math.abs(use.reporting) < ROUNDING;
     }
 
-    /** Whether a new record stands with what is open, the entry at hand included, and with balances of others. */
+    /** Replaces the record by one of all unreported use and other records' balances; returns whether it was stored. */
     private boolean renew(List<Long> absorbed, List<Balance> balances, long at) {
         open.values().removeIf(UseBook::isBlank);
-        crowded = false;
-        Map<Long, Open> all = open;
+        fullLogged = false;
+        Map<Long, OpenUse> all = open;
         if (!balances.isEmpty()) {
             all = new LinkedHashMap<>();
-            for (Map.Entry<Long, Open> each : open.entrySet()) {
+            for (Map.Entry<Long, OpenUse> each : open.entrySet()) {
                 all.put(each.getKey(), each.getValue().copy());
             }
             for (Balance balance : balances) {
@@ -208,26 +223,26 @@
         return true;
     }
 
-    /** Half of a new record at most, or it would be renewed for ever. */
-    private static List<Entry> entries(Map<Long, Open> all) {
-        List<Entry> first = new ArrayList<>();
-        all.forEach((customer, of) -> {
-            if (Math.abs(of.untold + of.telling) > NOTHING) {
-                first.add(new Entry(Kind.TOOK, of.plan, customer, of.untold + of.telling, of.at));
+    /** Returns the entries of a new record: half of it at most, or it would be replaced with every entry. */
+    private static List<Entry> entries(Map<Long, OpenUse> all) {
+        List<Entry> entries = new ArrayList<>();
+        all.forEach((customer, use) -> {
+            if (Math.abs(use.unreported + use.reporting) > ROUNDING) {
+                entries.add(new Entry(Kind.TOOK, use.plan, customer, use.unreported + use.reporting, use.at));
             }
-            if (Math.abs(of.telling) > NOTHING) {
-                first.add(new Entry(Kind.TELLING, of.plan, customer, of.telling, of.at));
+            if (Math.abs(use.reporting) > ROUNDING) {
+                entries.add(new Entry(Kind.TELLING, use.plan, customer, use.reporting, use.at));
             }
         });
-        return first;
+        return entries;
     }
 
-    /** What is open, as a record read now would say. */
+    /** Returns the unreported use, as it would be read from the record now. */
     public List<Balance> balances() {
         List<Balance> all = new ArrayList<>();
-        open.forEach((customer, of) -> {
-            if (Math.abs(of.untold + of.telling) > NOTHING) {
-                all.add(new Balance(customer, of.plan, of.untold + of.telling, of.at));
+        open.forEach((customer, use) -> {
+            if (Math.abs(use.unreported + use.reporting) > ROUNDING) {
+                all.add(new Balance(customer, use.plan, use.unreported + use.reporting, use.at));
             }
         });
         return all;
--- a/src/main/java/rushpin/quota/UseRecord.java
+++ b/src/main/java/rushpin/quota/UseRecord.java
@@ -8,57 +8,68 @@
 import java.util.zip.CRC32;
 
 /**
- * The form of a record of use: what customers' units were taken, and what of them was told to the counter. Entries of
- * fixed size stand one behind another, each with its place and a checksum, so that a record cut at any byte says what
- * was whole. Bytes in, values out; no I/O.
+ * The binary form of a record of use: which customers took how many units, and which of these were reported to the
+ * counter. Entries have a fixed size and follow each other, each with its place and a checksum, so that the complete
+ * entries of a record can be read wherever it was truncated. It does no I/O.
  *
- * <p>A header of {@link #HEADER} bytes: magic, version, the time it was begun, the node's and the pool's name, the same
- * time by the machine's steady clock, a checksum.
+ * <p>The header of {@link #HEADER} bytes holds a magic number with the version, the time when the record was begun, the
+ * names of the node and the pool, the same time by the machine's monotonic clock, and a checksum.
  */
 public final class UseRecord {
-    /** Bytes of the header and of an entry. */
-    public static final int HEADER = 128, ENTRY = 40;
+    /** Size of the header in bytes. */
+    public static final int HEADER = 128;
+    /** Size of an entry in bytes. */
+    public static final int ENTRY = 40;
 
     private static final long MAGIC = 0x5255535045_0001L;
-    private static final int MOST_NAME = 48, CHECKED = 32, STEADY = 120;
-
-    /** What an entry says. */
+    /** The longest name of a node or pool, in bytes. */
+    private static final int MAX_NAME_BYTES = 48;
+    /** Offset of the checksum in an entry, which covers the bytes before it. */
+    private static final int CHECKSUM_OFFSET = 32;
+    /** Offset of the monotonic time in the header. */
+    private static final int STEADY_OFFSET = 120;
+
+    /** The kinds of entry; their order is part of the binary form. */
     public enum Kind {
-        /** Units were taken, or given back if below 0, and are not told yet. */
+        /** Units were taken, or given back if negative, and are not reported yet. */
         TOOK,
-        /** The counter is about to be called with these units. */
+        /** A call to the counter is about to report these units. */
         TELLING,
-        /** The call is over, and they were added or may have been. */
+        /** The call has ended, and the units were counted or may have been. */
         TOLD,
-        /** The call is over, and they were not added. */
+        /** The call has ended, and the units were not counted. */
         UNTOLD,
-        /** All that another record held was taken over into this one; {@code customer} is that record's begin. */
+        /** The balances of another record were taken over; {@code customer} is the time when that record was begun. */
         ABSORBED
     }
 
-    /** One entry; times in milliseconds of the wall's clock. */
+    /** An entry of the record; {@code at} is in milliseconds of the wall clock. */
     public record Entry(Kind kind, int plan, long customer, double units, long at) {}
 
     /**
-     * Where a record comes from. Names of more than {@value #MOST_NAME} bytes stand for themselves by their beginning and a
+     * The origin of a record. A name of more than {@value #MAX_NAME_BYTES} bytes is replaced by its beginning and a
      * checksum.
      *
-     * @param begun in milliseconds of the wall's clock
-     * @param steady the same moment in seconds of a clock that nobody sets, as all processes of the machine have it since it
-     *     was booted; 0 where that is not known
+     * @param begun when the record was begun, in milliseconds of the wall clock
+     * @param steady the same time in seconds of the monotonic clock that all processes of the machine share since its
+     *     boot; 0 if unknown
      */
     public record Origin(String node, String pool, long begun, int steady) {
+        /** Shortens the names. */
         public Origin {
             node = shortened(node);
             pool = shortened(pool);
         }
 
-        /** One whose steady time is not known. */
+        /** Creates an origin whose monotonic time is unknown. */
         public Origin(String node, String pool, long begun) {
             this(node, pool, begun, 0);
         }
 
-        /** How old an entry of this record is: by the clock that says less, as the wall's may have been set, and not below 0. */
+        /**
+         * Returns the age of an entry of this record, in milliseconds and never negative. Of the two clocks the one
+         * with the lower age is used, as the wall clock may have been set.
+         */
         public long age(long at, long nowMs, int nowSteady) {
             long byWall = nowMs - at;
             long bySteady = steady == 0 ? byWall : (nowSteady - steady) * 1_000L - (at - begun);
@@ -66,34 +77,35 @@
         }
     }
 
-    /** Use of a customer that the counter may not know of. */
+    /** Use of a customer that the counter may not know of; {@code at} is the time of its last entry. */
     public record Balance(long customer, int plan, double units, long at) {}
 
     /**
-     * What a record holds.
+     * The contents of a record.
      *
-     * @param origin null if the header cannot be read: nothing else is known then
-     * @param balances what was taken and not told, of the entries that are whole
-     * @param absorbed the begins of records that this one took over
-     * @param entries how many entries are whole
-     * @param damaged whether there are whole entries behind one that is not: bits have changed, and no balance is safe
+     * @param origin null if the header cannot be read; nothing else is known then
+     * @param balances the use that was not reported, by the valid entries; empty if damaged
+     * @param absorbed the times at which the records were begun whose balances this one took over
+     * @param entries how many entries are valid, up to the first that is not
+     * @param damaged whether a valid entry follows an invalid one: bits have changed, so no balance can be trusted
      */
     public record Contents(Origin origin, List<Balance> balances, List<Long> absorbed, int entries, boolean damaged) {}
 
     private UseRecord() {}
 
-    /** Writes a header at the beginning of a buffer. */
+    /** Writes a header at the beginning of a record. */
     public static void header(RecordBuffer to, Origin origin) {
-        byte[] node = name(origin.node()), pool = name(origin.pool());
+        byte[] node = name(origin.node());
+        byte[] pool = name(origin.pool());
         to.putLong(0, MAGIC);
         to.putLong(8, origin.begun());
         to.putInt(16, node.length);
         to.putInt(20, pool.length);
-        for (int i = 0; i < MOST_NAME; i++) {
+        for (int i = 0; i < MAX_NAME_BYTES; i++) {
             to.put(24 + i, i < node.length ? node[i] : 0);
-            to.put(24 + MOST_NAME + i, i < pool.length ? pool[i] : 0);
+            to.put(24 + MAX_NAME_BYTES + i, i < pool.length ? pool[i] : 0);
         }
-        to.putInt(STEADY, origin.steady());
+        to.putInt(STEADY_OFFSET, origin.steady());
         to.putInt(HEADER - 4, checksum(to.copy(0, HEADER - 4)));
     }
 
@@ -103,28 +115,28 @@
 
     private static String shortened(String text) {
         byte[] bytes = name(text);
-        if (bytes.length <= MOST_NAME) {
+        if (bytes.length <= MAX_NAME_BYTES) {
             return text;
         }
         String sum = String.format("~%08x", checksum(bytes));
-        String begin = new String(bytes, 0, MOST_NAME - sum.length(), StandardCharsets.UTF_8);
-        // A character that was cut in two is left out.
+        String begin = new String(bytes, 0, MAX_NAME_BYTES - sum.length(), StandardCharsets.UTF_8);
+        // A character that was cut in two decodes to U+FFFD and is left out.
         return begin.replace("\uFFFD", "") + sum;
     }
 
-    /** Writes the entry of a place, counted from 0; its checksum is the last that is written of it. */
+    /** Writes the entry of a place, counted from 0; its checksum is written last. */
     public static void entry(RecordBuffer to, int place, Entry entry) {
         entry(to, offset(place), place, entry);
     }
 
-    /** The bytes of the entry of a place. */
+    /** Returns the bytes of the entry of a place. */
     public static byte[] entry(int place, Entry entry) {
         byte[] bytes = new byte[ENTRY];
         entry(RecordBuffer.of(bytes), 0, place, entry);
         return bytes;
     }
 
-    /** Where the entry of a place stands in a record. */
+    /** Returns the offset of the entry of a place in a record. */
     public static int offset(int place) {
         return HEADER + place * ENTRY;
     }
@@ -135,7 +147,7 @@
         to.putLong(at + 8, entry.customer());
         to.putLong(at + 16, Double.doubleToRawLongBits(entry.units()));
         to.putLong(at + 24, entry.at());
-        to.putInt(at + CHECKED, checksum(to.copy(at, CHECKED)));
+        to.putInt(at + CHECKSUM_OFFSET, checksum(to.copy(at, CHECKSUM_OFFSET)));
     }
 
     private static int checksum(byte[] bytes) {
@@ -144,7 +156,7 @@
         return (int) sum.getValue();
     }
 
-    /** Reads what is whole of a record; it may have been cut at any byte. */
+    /** Reads the valid entries of a record, which may have been truncated at any byte. */
     public static Contents read(byte[] bytes) {
         RecordBuffer from = RecordBuffer.of(bytes);
         if (bytes.length < HEADER
@@ -154,59 +166,61 @@
         }
         Origin origin = new Origin(
                 text(bytes, 24, from.getInt(16)),
-                text(bytes, 24 + MOST_NAME, from.getInt(20)),
+                text(bytes, 24 + MAX_NAME_BYTES, from.getInt(20)),
                 from.getLong(8),
-                from.getInt(STEADY));
-        int places = (bytes.length - HEADER) / ENTRY, whole = 0;
-        while (whole < places && isWhole(from, whole)) {
-            whole++;
+                from.getInt(STEADY_OFFSET));
+        int places = (bytes.length - HEADER) / ENTRY;
+        int valid = 0;
+        while (valid < places && isValid(from, valid)) {
+            valid++;
         }
         boolean damaged = false;
-        for (int place = whole + 1; place < places; place++) {
-            damaged |= isWhole(from, place);
+        for (int place = valid + 1; place < places; place++) {
+            damaged |= isValid(from, place);
         }
         Map<Long, double[]> open = new LinkedHashMap<>();
         List<Long> absorbed = new ArrayList<>();
-        for (int place = 0; place < whole; place++) {
+        for (int place = 0; place < valid; place++) {
             apply(get(from, place), open, absorbed);
         }
         List<Balance> balances = new ArrayList<>();
-        open.forEach((customer, b) -> {
-            // What was being told may not have come: it is told again, too much rather than too little.
-            double units = b[0] + b[1];
-            if (Math.abs(units) > UseBook.NOTHING) {
-                balances.add(new Balance(customer, (int) b[2], units, (long) b[3]));
+        open.forEach((customer, use) -> {
+            // A report in flight may not have been counted: it is sent again, as counting twice is the safer error.
+            double units = use[0] + use[1];
+            if (Math.abs(units) > UseBook.ROUNDING) {
+                balances.add(new Balance(customer, (int) use[2], units, (long) use[3]));
             }
         });
-        return new Contents(origin, damaged ? List.of() : balances, absorbed, whole, damaged);
+        return new Contents(origin, damaged ? List.of() : balances, absorbed, valid, damaged);
     }
 
+    /** Applies an entry to the customers' use: units unreported, units of calls in flight, plan and time. */
     private static void apply(Entry entry, Map<Long, double[]> open, List<Long> absorbed) {
         if (entry.kind() == Kind.ABSORBED) {
             absorbed.add(entry.customer());
             return;
         }
-        double[] b = open.computeIfAbsent(entry.customer(), c -> new double[4]);
-        b[2] = entry.plan();
-        b[3] = entry.at();
+        double[] use = open.computeIfAbsent(entry.customer(), key -> new double[4]);
+        use[2] = entry.plan();
+        use[3] = entry.at();
         switch (entry.kind()) {
-            case TOOK -> b[0] += entry.units();
+            case TOOK -> use[0] += entry.units();
             case TELLING -> {
-                b[0] -= entry.units();
-                b[1] += entry.units();
+                use[0] -= entry.units();
+                use[1] += entry.units();
             }
-            case TOLD -> b[1] -= entry.units();
+            case TOLD -> use[1] -= entry.units();
             default -> {
-                b[0] += entry.units();
-                b[1] -= entry.units();
+                use[0] += entry.units();
+                use[1] -= entry.units();
             }
         }
     }
 
-    private static boolean isWhole(RecordBuffer from, int place) {
+    private static boolean isValid(RecordBuffer from, int place) {
         int at = offset(place);
         return from.getInt(at) == place + 1
-                && from.getInt(at + CHECKED) == checksum(from.copy(at, CHECKED))
+                && from.getInt(at + CHECKSUM_OFFSET) == checksum(from.copy(at, CHECKSUM_OFFSET))
                 && (from.getInt(at + 4) >>> 16) < Kind.values().length;
     }
 
@@ -222,6 +236,6 @@
     }
 
     private static String text(byte[] bytes, int at, int length) {
-        return length < 0 || length > MOST_NAME ? "" : new String(bytes, at, length, StandardCharsets.UTF_8);
+        return length < 0 || length > MAX_NAME_BYTES ? "" : new String(bytes, at, length, StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/rushpin/route/RequestTarget.java
+++ b/src/main/java/rushpin/route/RequestTarget.java
@@ -3,22 +3,25 @@
 import java.util.Locale;
 
 /**
- * The one reading of where a request wants to go. A target or host that two programs could read in two ways is none:
- * what is routed is what is forwarded, byte for byte, so there must be nothing left to normalise behind the router.
+ * The parsed destination of a request. A target or host that two programs could parse differently is rejected: the
+ * router forwards byte for byte what it routed, so nothing may be left for the app server to normalize.
  *
  * <p>Sources: RFC 9112 sections 3.2 (forms of the target) and 3.2.2 (absolute form), RFC 3986 sections 3.2.2 (host),
- * 3.3 (path) and 6.2.2 (what normalising would change). Stricter than these where normalising is left to the reader.
+ * 3.3 (path) and 6.2.2 (normalization). It is stricter than these where they leave normalization to the recipient.
  *
- * @param host in lower case, without port and closing dot; empty where an HTTP/1.0 client named none
- * @param path as it came
- * @param target path and query as they came and as they go on
- * @param authority host and port as they came
+ * @param host the host in lower case, without port and trailing dot; empty if an HTTP/1.0 client named none
+ * @param path the path as received
+ * @param target path and query as received and as forwarded
+ * @param authority host and port as received
  */
 public record RequestTarget(String host, String path, String target, String authority) {
-    private static final int MOST_HOST = 253, MOST_LABEL = 63, MOST_PORT = 65_535;
-    private static final String PATH = "-._~!$&'()*+,=:@/";
+    private static final int MAX_HOST_LENGTH = 253;
+    private static final int MAX_LABEL_LENGTH = 63;
+    private static final int MAX_PORT = 65_535;
+    /** The characters that a path may hold besides letters, digits and escapes. */
+    private static final String PATH_CHARACTERS = "-._~!$&'()*+,=:@/";
 
-    /** A head that has no reading, or more than one; the text says why and what is allowed. */
+    /** Thrown for a request that cannot be parsed in exactly one way; the message says why and what is allowed. */
     public static final class Ambiguous extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -28,12 +31,12 @@
     }
 
     /**
-     * Reads a target and the only Host.
+     * Parses a request's target and its only Host header.
      *
-     * @param target the request line's target
+     * @param target the target of the request line
      * @param host the value of Host; null if there is none
-     * @param mustName whether Host must be there, as in HTTP/1.1
-     * @throws Ambiguous if there is not just one reading
+     * @param mustName whether Host is required, as in HTTP/1.1
+     * @throws Ambiguous if the request cannot be parsed in exactly one way
      */
     public static RequestTarget of(String target, String host, boolean mustName) throws Ambiguous {
         if (host == null && mustName) {
@@ -48,7 +51,7 @@
             }
             int slash = pathStart(target, end + 3);
             String named = target.substring(end + 3, slash);
-            if (host != null && !key(named).equals(key(authority))) {
+            if (host != null && !normalized(named).equals(normalized(authority))) {
                 throw new Ambiguous("Host and the target name different hosts");
             }
             if (named.isEmpty()) {
@@ -79,7 +82,11 @@
         return target.length();
     }
 
-    /** Whether a path has one reading only: also the rule for paths in the operator's file. */
+    /**
+     * Checks that a path can be parsed in one way only; paths in the operator's file follow the same rule.
+     *
+     * @throws Ambiguous if it cannot
+     */
     public static void checkPath(String path) throws Ambiguous {
         int segment = 1;
         for (int i = 0; i < path.length(); i++) {
@@ -89,23 +96,23 @@
                 i += 2;
             } else if (c == '/' && i > 0 && path.charAt(i - 1) == '/') {
                 throw new Ambiguous("the path has an empty segment, '//'");
-            } else if (!isAlphanumeric(c) && PATH.indexOf(c) < 0) {
+            } else if (!isAlphanumeric(c) && PATH_CHARACTERS.indexOf(c) < 0) {
                 throw new Ambiguous("the path holds '" + (c > ' ' && c <= '~' ? c : '?') + "'; letters, digits, "
-                        + PATH.replace("/", "") + " and escapes are allowed");
+                        + PATH_CHARACTERS.replace("/", "") + " and escapes are allowed");
             }
         }
         while (segment <= path.length()) {
             int end = path.indexOf('/', segment);
             end = end < 0 ? path.length() : end;
-            String one = path.substring(segment, end);
-            if (one.equals(".") || one.equals("..")) {
+            String name = path.substring(segment, end);
+            if (name.equals(".") || name.equals("..")) {
                 throw new Ambiguous("the path has a dot segment");
             }
             segment = end + 1;
         }
     }
 
-    /** An escape of what needs none is another spelling of the same path; that of a separator may become one. */
+    /** Rejects escapes that give one path two spellings, and those that become separators when decoded. */
     private static void checkEscape(String path, int at) throws Ambiguous {
         int high = at + 2 < path.length() ? Character.digit(path.charAt(at + 1), 16) : -1;
         int low = at + 2 < path.length() ? Character.digit(path.charAt(at + 2), 16) : -1;
@@ -125,8 +132,8 @@
         return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9';
     }
 
-    /** Host and port for comparison: port 80 is what none means. */
-    private static String key(String authority) throws Ambiguous {
+    /** Returns host and port for comparison, with port 80 as the default. */
+    private static String normalized(String authority) throws Ambiguous {
         String port = portOf(authority);
         return hostOf(authority) + ":" + (port.isEmpty() ? "80" : port);
     }
@@ -144,13 +151,13 @@
         }
         String port = authority.substring(colon + 1);
         boolean digits = !port.isEmpty() && port.length() <= 5 && port.chars().allMatch(c -> c >= '0' && c <= '9');
-        if (!digits || Integer.parseInt(port) < 1 || Integer.parseInt(port) > MOST_PORT) {
-            throw new Ambiguous("the host's port is not a number from 1 to " + MOST_PORT);
+        if (!digits || Integer.parseInt(port) < 1 || Integer.parseInt(port) > MAX_PORT) {
+            throw new Ambiguous("the host's port is not a number from 1 to " + MAX_PORT);
         }
         return Integer.toString(Integer.parseInt(port));
     }
 
-    /** The host's name as it is compared: lower case, no port, no closing dot. */
+    /** Returns the host as it is compared: in lower case, without port and trailing dot. */
     static String hostOf(String authority) throws Ambiguous {
         portOf(authority);
         int colon = portColon(authority);
@@ -173,17 +180,17 @@
         throw new Ambiguous("the host has no name");
     }
 
-    /** Whether a host's name, in lower case, is one. */
+    /** Checks the syntax of a host name in lower case. */
     static void checkName(String host) throws Ambiguous {
-        if (host.length() > MOST_HOST) {
-            throw new Ambiguous("the host's name has more than " + MOST_HOST + " characters");
+        if (host.length() > MAX_HOST_LENGTH) {
+            throw new Ambiguous("the host's name has more than " + MAX_HOST_LENGTH + " characters");
         }
         if (host.isEmpty()) {
             return;
         }
         for (String label : host.split("\\.", -1)) {
             if (label.isEmpty()
-                    || label.length() > MOST_LABEL
+                    || label.length() > MAX_LABEL_LENGTH
                     || !label.chars()
                             .allMatch(c -> c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' || c == '_')) {
                 throw new Ambiguous("the host is not made of labels of letters, digits, '-' and '_'");
--- a/src/main/java/rushpin/route/Route.java
+++ b/src/main/java/rushpin/route/Route.java
@@ -8,19 +8,19 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One rule of which requests belong to a pool. What is null or empty matches all.
+ * A rule that assigns requests to a pool. A condition that is null or empty matches all requests.
  *
- * <p>Order of specificity, the first difference decides: host (exact, longer suffix, shorter suffix, any), path (exact,
- * longer prefix, shorter prefix, any), method named, class named, more headers named. Two routes that are equally
- * specific and match a common request are a tie, which the operator's file must not have.
+ * <p>Routes are ordered by specificity; the first difference decides: host (exact, longer suffix, shorter suffix, any),
+ * path (exact, longer prefix, shorter prefix, any), a method, a class, more headers. Two routes that are equally
+ * specific and match a common request are a tie, which the operator's file must not contain.
  *
  * @param pool the pool's name
- * @param host an exact name, or {@code *.suffix} for all names below it; lower case
+ * @param host an exact name, or {@code *.suffix} for all names below the suffix; lower case
  * @param path the whole path
- * @param prefix the path's first segments; {@code /} for all
- * @param method the method, as it stands in requests
- * @param requestClass the class, as {@code X-Qos} names it
- * @param headers values by lower-case name, all of which must be there just so
+ * @param prefix the first segments of the path; {@code /} for all paths
+ * @param method the method, as written in requests
+ * @param requestClass the class, as named in {@code X-Qos}
+ * @param headers required values by lower-case header name
  */
 public record Route(
         String pool,
@@ -38,7 +38,7 @@
             .thenComparingInt(r -> r.headers.size())
             .reversed();
 
-    /** Headers are kept under lower-case names, in their order. */
+    /** Creates a route; the names of the headers are converted to lower case and sorted. */
     public Route {
         Map<String, String> lower = new TreeMap<>();
         headers.forEach((name, value) -> lower.put(name.toLowerCase(Locale.ROOT), value));
@@ -64,27 +64,31 @@
                         : host.equals(name));
     }
 
-    private boolean matchesPath(String of) {
+    private boolean matchesPath(String requested) {
         return path != null
-                ? path.equals(of)
+                ? path.equals(requested)
                 : prefix == null
                         || prefix.equals("/")
-                        || of.startsWith(prefix)
-                                && (of.length() == prefix.length() || of.charAt(prefix.length()) == '/');
+                        || requested.startsWith(prefix)
+                                && (requested.length() == prefix.length() || requested.charAt(prefix.length()) == '/');
     }
 
-    /** Whether a request belongs here; {@code header} tells a header's value by lower-case name, null for none. */
-    boolean matches(RequestTarget reading, String asked, String named, UnaryOperator<String> header) {
-        return matchesHost(reading.host())
-                && matchesPath(reading.path())
-                && (method == null || method.equals(asked))
-                && (requestClass == null || requestClass.equals(named))
+    /**
+     * Returns whether a request matches this route.
+     *
+     * @param header returns the value of a header by its lower-case name, null if there is none
+     */
+    boolean matches(RequestTarget target, String requestMethod, String className, UnaryOperator<String> header) {
+        return matchesHost(target.host())
+                && matchesPath(target.path())
+                && (method == null || method.equals(requestMethod))
+                && (requestClass == null || requestClass.equals(className))
                 && (headers.isEmpty()
                         || headers.entrySet().stream()
                                 .allMatch(e -> e.getValue().equals(header.apply(e.getKey()))));
     }
 
-    /** Whether neither is the more specific and some request matches both. */
+    /** Returns whether two routes are equally specific and some request matches both. */
     boolean ties(Route other) {
         return ORDER.compare(this, other) == 0
                 && Objects.equals(host, other.host)
--- a/src/main/java/rushpin/route/RouteTable.java
+++ b/src/main/java/rushpin/route/RouteTable.java
@@ -6,26 +6,26 @@
 import java.util.TreeSet;
 import java.util.function.UnaryOperator;
 
-/** All routes, in an order of their own: the order in the operator's file means nothing. No I/O. */
+/** The routes of all pools, ordered by specificity; their order in the operator's file has no effect. */
 public final class RouteTable {
-    /** Two routes, by their places in the list they came in, between which nothing decides. */
+    /** Two routes that tie, by their indexes in the given list. */
     public record Tie(int first, int second) {}
 
     private final List<Route> routes;
     private final Set<String> headers = new TreeSet<>();
 
-    /** The routes must have no {@link #ties}. */
-    public RouteTable(List<Route> of) {
-        routes = of.stream().sorted(Route.ORDER).toList();
+    /** Creates a table of routes that have no {@link #ties}. */
+    public RouteTable(List<Route> all) {
+        routes = all.stream().sorted(Route.ORDER).toList();
         routes.forEach(route -> headers.addAll(route.headers().keySet()));
     }
 
-    /** The pairs of routes that tie. */
-    public static List<Tie> ties(List<Route> of) {
+    /** Returns the pairs of routes that tie. */
+    public static List<Tie> ties(List<Route> all) {
         List<Tie> ties = new ArrayList<>();
-        for (int i = 0; i < of.size(); i++) {
-            for (int j = i + 1; j < of.size(); j++) {
-                if (of.get(i).ties(of.get(j))) {
+        for (int i = 0; i < all.size(); i++) {
+            for (int j = i + 1; j < all.size(); j++) {
+                if (all.get(i).ties(all.get(j))) {
                     ties.add(new Tie(i, j));
                 }
             }
@@ -33,15 +33,15 @@
         return ties;
     }
 
-    /** Lower-case names of the headers that any route looks at: one that stands twice in a request has no reading. */
+    /** Returns the lower-case names of the headers that routes match on; a request must not repeat one of them. */
     public Set<String> headers() {
         return headers;
     }
 
-    /** The pool a request belongs to; null if no route matches. */
-    public String find(RequestTarget reading, String method, String requestClass, UnaryOperator<String> header) {
+    /** Returns the pool of a request; null if no route matches. */
+    public String find(RequestTarget target, String method, String requestClass, UnaryOperator<String> header) {
         for (Route route : routes) {
-            if (route.matches(reading, method, requestClass, header)) {
+            if (route.matches(target, method, requestClass, header)) {
                 return route.pool();
             }
         }
