--- a/src/main/java/rushpin/net/AnswerHandler.java
+++ b/src/main/java/rushpin/net/AnswerHandler.java
@@ -199,7 +199,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-            Trouble.report("an answer", cause);
+            ErrorLog.report("an answer", cause);
         }
         spoil();
     }
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -68,7 +68,7 @@
     /** A look that comes so late was kept from it by more than a busy loop. */
     private static final long STOOD = 4 * SWEEP;
     /** Loaded with this class: where no descriptor is left a class that stands in a folder can't be. */
-    private static final Class<?> TOLD_BY = Trouble.class;
+    private static final Class<?> TOLD_BY = ErrorLog.class;
     /** How soon accepting is tried again where it failed. */
     private static final long AGAIN = 250 * MS;
     /**
@@ -232,7 +232,7 @@
                         pauseAccepting(context.channel());
                         if (System.nanoTime() - untaken > AGAIN) {
                             untaken = System.nanoTime();
-                            Trouble.report("a new connection is not taken", cause);
+                            ErrorLog.report("a new connection is not taken", cause);
                         }
                     }
                 })
@@ -376,7 +376,7 @@
                 loop.schedule(() -> takeAndClose(idleToo, tries - 1), TAKE_AGAIN, TimeUnit.NANOSECONDS);
                 return;
             }
-            Trouble.report("connections that wait are not taken", e);
+            ErrorLog.report("connections that wait are not taken", e);
         }
         closeOwn();
         listening.close();
@@ -390,7 +390,7 @@
         try {
             own.close();
         } catch (IOException e) {
-            Trouble.report("the listening socket", e);
+            ErrorLog.report("the listening socket", e);
         }
         own = null;
     }
@@ -1062,7 +1062,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-                Trouble.report("a client's connection", cause);
+                ErrorLog.report("a client's connection", cause);
             }
             channel.close();
         }
--- a/src/main/java/rushpin/net/DiscoveryClient.java
+++ b/src/main/java/rushpin/net/DiscoveryClient.java
@@ -313,7 +313,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!ended) {
-                Trouble.report("discovery", cause);
+                ErrorLog.report("discovery", cause);
             }
             ended = true;
             context.close();
--- a/src/main/java/rushpin/net/Trouble.java
+++ b/src/main/java/rushpin/net/ErrorLog.java
@@ -1,8 +1,8 @@
 package rushpin.net;
 
 /** One line for what should not have happened; it ends one request or connection, never the process. */
-public final class Trouble {
-    private Trouble() {}
+public final class ErrorLog {
+    private ErrorLog() {}
 
     /** Says what was hit, by what, and where. */
     public static void report(String what, Throwable e) {
--- a/src/main/java/rushpin/net/LoopWatch.java
+++ b/src/main/java/rushpin/net/LoopWatch.java
@@ -63,7 +63,7 @@
                 task.run();
             } catch (RuntimeException e) {
                 // One task's trouble must not end the loop, nor keep the others from running.
-                Trouble.report("what waited for the sockets to be read", e);
+                ErrorLog.report("what waited for the sockets to be read", e);
             }
         }
     }
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -22,7 +22,7 @@
 import rushpin.membership.xds.ReconnectBackoff;
 import rushpin.membership.xds.Subscription;
 import rushpin.net.DiscoveryClient;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 
 /**
  * A pool's servers from an xDS management server or file. Messages are read and decided on a thread of its own, so that
@@ -148,7 +148,7 @@
             try {
                 work.run();
             } catch (RuntimeException e) {
-                Trouble.report("xds of pool " + name, e);
+                ErrorLog.report("xds of pool " + name, e);
             }
         };
     }
--- a/src/main/java/rushpin/node/Desk.java
+++ b/src/main/java/rushpin/node/Desk.java
@@ -5,7 +5,7 @@
 import rushpin.console.OutOfService;
 import rushpin.console.ProcessMetrics;
 import rushpin.console.ProcessRegistry;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 
 /**
  * What operators' calls go to.
@@ -30,7 +30,7 @@
         try {
             return beside.others();
         } catch (IOException e) {
-            Trouble.report("the folder of this node's processes", e);
+            ErrorLog.report("the folder of this node's processes", e);
             return 0;
         }
     }
@@ -40,7 +40,7 @@
         try {
             beside.close();
         } catch (IOException e) {
-            Trouble.report("the folder of this node's processes", e);
+            ErrorLog.report("the folder of this node's processes", e);
         }
     }
 }
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -43,7 +43,7 @@
 import rushpin.net.RequestReader;
 import rushpin.net.ServerPool;
 import rushpin.net.Service;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 import rushpin.net.xds.LastGood;
 import rushpin.net.xds.XdsSource;
 import rushpin.quota.UseRecord;
@@ -253,7 +253,7 @@
             deskTrouble = false;
         } catch (IOException e) {
             if (!deskTrouble) {
-                Trouble.report("the folder that this node's processes share", e);
+                ErrorLog.report("the folder that this node's processes share", e);
             }
             deskTrouble = true;
         }
@@ -287,7 +287,7 @@
                 give(1);
             }
         } catch (IOException e) {
-            Trouble.report("what was given to another process", e);
+            ErrorLog.report("what was given to another process", e);
         }
     }
 
@@ -594,7 +594,7 @@
             call.accept(now());
         } catch (RuntimeException e) {
             // One request's trouble must not end the process, nor leave that request without an answer.
-            Trouble.report("the module failed", e);
+            ErrorLog.report("the module failed", e);
             if (about != null) {
                 fail(about);
                 // The module must not go on counting it; an attempt that is out still ends.
--- a/src/main/java/rushpin/node/Rehearsal.java
+++ b/src/main/java/rushpin/node/Rehearsal.java
@@ -50,7 +50,7 @@
 import rushpin.net.AnswerHandler;
 import rushpin.net.ServerPool;
 import rushpin.net.Transport;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 
 /**
  * What a node does before it serves: a second node of the same settings, with a module of its own, answers made-up
@@ -104,7 +104,7 @@
         try (Rehearsal rehearsal = new Rehearsal(config, requests, parent)) {
             return rehearsal.play(span);
         } catch (Exception e) {
-            Trouble.report("no rehearsal", e);
+            ErrorLog.report("no rehearsal", e);
             return 0;
         }
     }
--- a/src/main/java/rushpin/node/Together.java
+++ b/src/main/java/rushpin/node/Together.java
@@ -25,7 +25,7 @@
 import rushpin.accord.Terms;
 import rushpin.accord.Who;
 import rushpin.config.FleetConfig;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 import rushpin.peer.Failure;
 import rushpin.peer.Mailbox;
 import rushpin.peer.Pace;
@@ -389,7 +389,7 @@
         try {
             turn();
         } catch (RuntimeException e) {
-            Trouble.report("what is shared", e);
+            ErrorLog.report("what is shared", e);
             timer = thread.schedule(this::timed, pace.beat(), TimeUnit.NANOSECONDS);
         }
     }
@@ -644,7 +644,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException | RejectedExecutionException e) {
-            Trouble.report("the end of what is shared", e);
+            ErrorLog.report("the end of what is shared", e);
         }
         thread.shutdownNow();
         sockets.close();
--- a/src/main/java/rushpin/node/Voter.java
+++ b/src/main/java/rushpin/node/Voter.java
@@ -40,7 +40,7 @@
 import rushpin.accord.log.Folder;
 import rushpin.accord.log.Replica;
 import rushpin.config.FleetConfig;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 import rushpin.peer.Ballots;
 import rushpin.peer.Busy;
 import rushpin.peer.Codec;
@@ -388,7 +388,7 @@
                 }
             }
         } catch (RuntimeException e) {
-            Trouble.report("a voter's look round", e);
+            ErrorLog.report("a voter's look round", e);
         }
     }
 
--- a/src/main/java/rushpin/peer/Mailbox.java
+++ b/src/main/java/rushpin/peer/Mailbox.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 
 /**
  * Messages to one task, which reads them one at a time on its executor, in order. Bounded; an offer never blocks.
@@ -151,7 +151,7 @@
             try {
                 reader.accept(message);
             } catch (RuntimeException e) {
-                Trouble.report("mailbox", e);
+                ErrorLog.report("mailbox", e);
             }
         }
         schedule();
--- a/src/main/java/rushpin/peer/PeerServer.java
+++ b/src/main/java/rushpin/peer/PeerServer.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import rushpin.accord.log.Carrier;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 import rushpin.peer.wire.Wire;
 
 /**
@@ -108,7 +108,7 @@
                 }
             });
         } catch (RuntimeException e) {
-            Trouble.report("a request of another voter", e);
+            ErrorLog.report("a request of another voter", e);
             fail(to, e);
         }
     }
@@ -125,7 +125,7 @@
         try {
             answer(to, Codec.wire(ballots.introduce(Codec.introduced(asked))));
         } catch (RuntimeException e) {
-            Trouble.report("an introduction", e);
+            ErrorLog.report("an introduction", e);
             fail(to, e);
         }
     }
--- a/src/main/java/rushpin/peer/Proposals.java
+++ b/src/main/java/rushpin/peer/Proposals.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletionException;
 import rushpin.accord.Command;
 import rushpin.accord.Encoding;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 import rushpin.peer.wire.Wire;
 
 /** What becomes of a command that has come here: proposed, or passed on once to the voter that leads. */
@@ -57,7 +57,7 @@
         try {
             here = ballots.propose(command).thenApply(codec::bytes);
         } catch (RuntimeException e) {
-            Trouble.report("a proposal", e);
+            ErrorLog.report("a proposal", e);
             here = CompletableFuture.failedFuture(e);
         }
         here.whenComplete((outcome, cause) -> {
--- a/src/main/java/rushpin/peer/SessionClient.java
+++ b/src/main/java/rushpin/peer/SessionClient.java
@@ -25,7 +25,7 @@
 import rushpin.accord.Plan;
 import rushpin.accord.Report;
 import rushpin.accord.Who;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 import rushpin.peer.wire.Wire;
 
 /**
@@ -206,7 +206,7 @@
         try {
             what.run();
         } catch (RuntimeException e) {
-            Trouble.report("what hears of a session", e);
+            ErrorLog.report("what hears of a session", e);
         }
     }
 
@@ -215,7 +215,7 @@
             try {
                 work.run();
             } catch (RuntimeException e) {
-                Trouble.report("a session", e);
+                ErrorLog.report("a session", e);
             }
         };
     }
--- a/src/main/java/rushpin/peer/SessionDesk.java
+++ b/src/main/java/rushpin/peer/SessionDesk.java
@@ -20,7 +20,7 @@
 import rushpin.accord.Plan;
 import rushpin.accord.Report;
 import rushpin.accord.Who;
-import rushpin.net.Trouble;
+import rushpin.net.ErrorLog;
 import rushpin.peer.wire.Wire;
 
 /**
@@ -175,7 +175,7 @@
             }
             passOn();
         } catch (RuntimeException e) {
-            Trouble.report("the desk of sessions", e);
+            ErrorLog.report("the desk of sessions", e);
         }
     }
 
@@ -198,7 +198,7 @@
         try {
             evidence.accept(Codec.report(report));
         } catch (RuntimeException e) {
-            Trouble.report("a report", e);
+            ErrorLog.report("a report", e);
         }
     }
 
