--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -88,7 +88,7 @@
      */
     private static final long DRAIN_TAKES = 400_000_000L, DRAIN_WAITS = 3_000_000_000L;
 
-    private final Front node;
+    private final ServerCallbacks node;
     private final EventLoop loop;
     private final SocketAddress listen;
     private final ByteBudget budget;
@@ -125,13 +125,13 @@
      * @param byTurns whether the loop's time is dealt out to pools: a request is decoded when its pool's turn comes
      */
     public ClientServer(
-            Front node, EventLoop loop, SocketAddress listen, int sockets, ByteBudget budget, boolean byTurns) {
+            ServerCallbacks node, EventLoop loop, SocketAddress listen, int sockets, ByteBudget budget, boolean byTurns) {
         this(node, loop, listen, sockets, budget, byTurns, ServerSocketChannel::accept);
     }
 
     /** As above; accepts by way of {@code accepts}. */
     ClientServer(
-            Front node,
+            ServerCallbacks node,
             EventLoop loop,
             SocketAddress listen,
             int sockets,
@@ -827,7 +827,7 @@
                 return;
             }
             try {
-                Front.Way way = node.route(whole);
+                ServerCallbacks.Destination way = node.route(whole);
                 line = way.service().name();
                 Reply reply = new Reply(way.service(), whole.protocolVersion().equals(HttpVersion.HTTP_1_1));
                 upload = more ? uploadTo(way.service().loop()) : null;
--- a/src/main/java/rushpin/net/RequestReader.java
+++ b/src/main/java/rushpin/net/RequestReader.java
@@ -33,7 +33,7 @@
     /**
      * Reads a request; what it cannot read it names. Nothing is taken that means different things to readers.
      */
-    static OpenRequest read(HttpRequest head, ByteBuf body, Front.Way way, long now, OpenRequest.Answers answers)
+    static OpenRequest read(HttpRequest head, ByteBuf body, ServerCallbacks.Destination way, long now, OpenRequest.Answers answers)
             throws Refusal {
         return read(head, body, way, now, answers, null, 0);
     }
@@ -42,7 +42,7 @@
     static OpenRequest read(
             HttpRequest head,
             ByteBuf body,
-            Front.Way way,
+            ServerCallbacks.Destination way,
             long now,
             OpenRequest.Answers answers,
             Passage rest,
--- a/src/main/java/rushpin/net/Front.java
+++ b/src/main/java/rushpin/net/ServerCallbacks.java
@@ -3,12 +3,12 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /** What the listening side asks of the process behind it; called on the listening side's loop. */
-public interface Front {
+public interface ServerCallbacks {
     /** Where a request goes. */
-    record Way(Service service, String host) {}
+    record Destination(Service service, String host) {}
 
     /** The pool a request belongs to; a refusal if there is none, or if its head can be read in two ways. */
-    Way route(HttpRequest head) throws Refusal;
+    Destination route(HttpRequest head) throws Refusal;
 
     /** Whether new clients should come. */
     boolean ready();
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -14,12 +14,12 @@
 import rushpin.lifecycle.Lifecycle;
 import rushpin.net.ByteBudget;
 import rushpin.net.ClientServer;
-import rushpin.net.Front;
+import rushpin.net.ServerCallbacks;
 import rushpin.net.Refusal;
 import rushpin.net.WatchedLoopGroup;
 
 /** A real edge node: the listening side on one event loop, and the services behind it. */
-public final class EdgeNode implements Front, Lifecycle.Port, AutoCloseable {
+public final class EdgeNode implements ServerCallbacks, Lifecycle.Port, AutoCloseable {
     private static final long MS = 1_000_000L;
     /** How long connections go on coming after SIGTERM (0.4 s at most), and some more. */
     private static final long DRAIN_GRACE = 600 * MS;
@@ -211,7 +211,7 @@
     }
 
     @Override
-    public Way route(HttpRequest head) throws Refusal {
+    public Destination route(HttpRequest head) throws Refusal {
         return services.route(head);
     }
 
--- a/src/main/java/rushpin/node/PlatformService.java
+++ b/src/main/java/rushpin/node/PlatformService.java
@@ -8,14 +8,14 @@
 import rushpin.config.OperatorConfig;
 import rushpin.config.PoolConfig;
 import rushpin.net.ByteBudget;
-import rushpin.net.Front;
+import rushpin.net.ServerCallbacks;
 import rushpin.net.Refusal;
 
 /** The platform's one pool, on the listening side's loop, with all that the process has. */
 final class PlatformService implements Services {
     private final EventLoop loop;
     private final Pool pool;
-    private final Front.Way way;
+    private final ServerCallbacks.Destination way;
 
     PlatformService(Config config, EventLoop loop, Clock clock, ByteBudget bytes, Desk desk) {
         this.loop = loop;
@@ -23,7 +23,7 @@
         if (desk != null) {
             pool.serveDesk(desk);
         }
-        way = new Front.Way(pool, null);
+        way = new ServerCallbacks.Destination(pool, null);
     }
 
     @Override
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public Front.Way route(HttpRequest head) throws Refusal {
+    public ServerCallbacks.Destination route(HttpRequest head) throws Refusal {
         String uri = head.uri();
         if (!uri.equals("/api") && !uri.startsWith("/api?")) {
             throw new Refusal(HttpResponseStatus.NOT_FOUND, "no such path");
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -26,7 +26,7 @@
 import rushpin.gateway.Ports.ListKind;
 import rushpin.membership.AddressOwners;
 import rushpin.membership.ServerListUpdate;
-import rushpin.net.Front;
+import rushpin.net.ServerCallbacks;
 import rushpin.net.Refusal;
 import rushpin.net.WatchedLoopGroup;
 import rushpin.route.RequestTarget;
@@ -327,7 +327,7 @@
     }
 
     @Override
-    public Front.Way route(HttpRequest head) throws Refusal {
+    public ServerCallbacks.Destination route(HttpRequest head) throws Refusal {
         List<String> hosts = head.headers().getAll(HttpHeaderNames.HOST);
         if (hosts.size() > 1) {
             throw new Refusal(HttpResponseStatus.BAD_REQUEST, "Host stands there twice");
@@ -352,7 +352,7 @@
         }
         // What goes on is the path that was routed: an absolute target's host goes as Host.
         head.setUri(reading.target());
-        return new Front.Way(running.get(pool).pool(), reading.authority());
+        return new ServerCallbacks.Destination(running.get(pool).pool(), reading.authority());
     }
 
     @Override
--- a/src/main/java/rushpin/node/Services.java
+++ b/src/main/java/rushpin/node/Services.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import rushpin.config.Config;
 import rushpin.config.OperatorConfig;
-import rushpin.net.Front;
+import rushpin.net.ServerCallbacks;
 import rushpin.net.Refusal;
 
 /** The pools of a process as the process sees them: one by the platform's settings, or those of an operator's file. */
@@ -14,7 +14,7 @@
     void start() throws Exception;
 
     /** The pool a request belongs to; called on the listening side's loop. */
-    Front.Way route(HttpRequest head) throws Refusal;
+    ServerCallbacks.Destination route(HttpRequest head) throws Refusal;
 
     /** Whether every pool has heard its list, or has waited for it long enough. */
     boolean ready();
--- a/src/test/java/rushpin/net/ClientServerTest.java
+++ b/src/test/java/rushpin/net/ClientServerTest.java
@@ -47,9 +47,9 @@
 
     private ClientServer server;
 
-    private static final class Healthy implements Front {
+    private static final class Healthy implements ServerCallbacks {
         @Override
-        public Way route(HttpRequest head) throws Refusal {
+        public Destination route(HttpRequest head) throws Refusal {
             throw Refusal.bad("there is no pool");
         }
 
