--- a/src/main/java/rushpin/net/AnswerHandler.java
+++ b/src/main/java/rushpin/net/AnswerHandler.java
@@ -16,7 +16,7 @@
 /**
  * Puts a peer's answers together and tells a spoilt one as early as that can be: a length that is too large, or two
  * of them, is told by the head. After a spoilt answer nothing else that comes is looked at. What is too long to be
- * kept goes through a {@link Passage}, where there is one.
+ * kept goes through a {@link BodyStream}, where there is one.
  */
 public abstract class AnswerHandler extends SimpleChannelInboundHandler<HttpObject> {
     /** So many 1xx answers ahead of one are nobody's courtesy any more. */
@@ -31,7 +31,7 @@
     private int informational;
     private boolean spoilt;
     /** Where the pieces of a long answer go; else null. */
-    private Passage passage;
+    private BodyStream passage;
 
     private long length, passed;
 
@@ -54,7 +54,7 @@
     protected abstract void spoilt();
 
     /** A long answer goes through from now on, {@code length} bytes or -1; null if there is no way for it. */
-    Passage begins(HttpResponse answer, long length) {
+    BodyStream begins(HttpResponse answer, long length) {
         return null;
     }
 
@@ -164,7 +164,7 @@
         head = null;
         informational = 0;
         if (passage != null) {
-            Passage all = passage;
+            BodyStream all = passage;
             passage = null;
             all.end(true);
             passedOn(answer);
--- a/src/main/java/rushpin/net/Passage.java
+++ b/src/main/java/rushpin/net/BodyStream.java
@@ -10,13 +10,13 @@
  * than {@value #MOST} bytes and one read, or its even part of a {@link Room}. The sides may live on different loops; each
  * calls and is called on its own. Every piece is released, whoever ends first.
  */
-public final class Passage {
+public final class BodyStream {
     /** Bytes on the way at which a sender is no longer read from, where there is room, and where there is none. */
     static final int MOST = 32 * 1024, LEAST = 4 * 1024;
     /** Nanoseconds for which nothing may move, and for which it may last in all. */
     private static final long STILL = 10_000_000_000L, LASTS = 1_000_000_000_000L;
     /** The longest that goes through. */
-    static final long LONGEST = 40_000_000L;
+    static final long MAX_LENGTH = 40_000_000L;
 
     /** What all passages of a process may have on the way together. Any thread. */
     static final class Room {
@@ -48,7 +48,7 @@
 
     /** Who takes. */
     interface Sink {
-        /** Takes a piece over; {@link Passage#taken} follows once it is written. */
+        /** Takes a piece over; {@link BodyStream#written} follows once it is written. */
         void piece(ByteBuf piece);
 
         /** No more pieces come; {@code whole} if that is all of it, else the sender broke off. */
@@ -71,7 +71,7 @@
     private Sink sink;
     private boolean last, whole, over;
 
-    Passage(EventLoop sending, Source source, EventLoop taking, Room room) {
+    BodyStream(EventLoop sending, Source source, EventLoop taking, Room room) {
         this.room = room;
         room.open.incrementAndGet();
         this.sending = sending;
@@ -134,7 +134,7 @@
         if (over) {
             int size = piece.readableBytes();
             piece.release();
-            taken(size);
+            written(size);
         } else if (sink == null) {
             waiting.add(piece);
         } else {
@@ -162,7 +162,7 @@
     }
 
     /** The taker's: so much was written. */
-    void taken(int bytes) {
+    void written(int bytes) {
         on(sending, () -> {
             onTheWay -= bytes;
             progress = System.nanoTime();
@@ -182,7 +182,7 @@
             dropped += waiting.peek().readableBytes();
             waiting.poll().release();
         }
-        taken(dropped);
+        written(dropped);
         on(sending, () -> {
             if (!ended) {
                 ended = true;
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -92,7 +92,7 @@
     private final EventLoop loop;
     private final SocketAddress listen;
     private final ByteBudget budget;
-    private final Passage.Room room;
+    private final BodyStream.Room room;
     private final Set<Session> sessions = new LinkedHashSet<>();
     private final int most, mostKept;
     /** Where several pools share this loop: whose connection is read next; else null, and each is as it comes. */
@@ -142,7 +142,7 @@
         this.node = node;
         this.budget = budget;
         // As much again as requests may hold.
-        room = new Passage.Room(budget.most());
+        room = new BodyStream.Room(budget.most());
         this.loop = loop;
         this.listen = listen;
         watch = LoopWatch.of(loop);
@@ -501,7 +501,7 @@
         private HttpRequest head;
         private Reply current;
         /** Where the rest of a body goes that is longer than is kept, else null. */
-        private Passage upload;
+        private BodyStream upload;
 
         private final Pace pace = new Pace();
         private long length;
@@ -732,7 +732,7 @@
                 if (upload == null) {
                     handle(false);
                 } else {
-                    Passage all = upload;
+                    BodyStream all = upload;
                     upload = null;
                     begun = false;
                     current.bodyCame(age());
@@ -743,7 +743,7 @@
 
         private void came(ByteBuf bytes) {
             pace.came(bytes.readableBytes(), System.nanoTime());
-            if (pace.bytes() > Passage.LONGEST) {
+            if (pace.bytes() > BodyStream.MAX_LENGTH) {
                 breakOff();
                 refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
             } else if (upload != null) {
@@ -757,10 +757,10 @@
         }
 
         /** What still comes of a body that is not kept. */
-        private Passage uploadTo(EventLoop taking) {
-            return new Passage(
+        private BodyStream uploadTo(EventLoop taking) {
+            return new BodyStream(
                     loop,
-                    new Passage.Source() {
+                    new BodyStream.Source() {
                         @Override
                         public void flow(boolean go) {
                             pace.hold(!go, System.nanoTime());
@@ -779,7 +779,7 @@
 
         /** The client ends, or is ended, before the last byte of its request: there is none to be answered. */
         private void breakOff() {
-            Passage broken = upload;
+            BodyStream broken = upload;
             Reply left = current;
             upload = null;
             if (broken != null) {
@@ -793,7 +793,7 @@
         /** Turns a body away that is too large by what the head says, before any of it is read. */
         private void weigh(HttpRequest coming) {
             length = HttpUtil.getContentLength(coming, -1L);
-            if (length > Passage.LONGEST) {
+            if (length > BodyStream.MAX_LENGTH) {
                 refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
             } else if (!budget.allows(Math.min(length, LEAST_KEPT))) {
                 refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
@@ -936,7 +936,7 @@
 
         /** An answer goes out while the body still comes: nobody wants the rest. Returns whether it was so. */
         private boolean dropUpload() {
-            Passage dropped = upload;
+            BodyStream dropped = upload;
             upload = null;
             if (dropped != null) {
                 dropped.end(false);
@@ -945,7 +945,7 @@
         }
 
         /** An answer that goes through, piece by piece; the connection is between requests again at its end. */
-        private void pass(Reply reply, Passage passage, long size) {
+        private void pass(Reply reply, BodyStream passage, long size) {
             // No app server answers before it has the whole request: nothing of that is on the way any more.
             boolean last = mustClose();
             HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -967,12 +967,12 @@
                 reply.watch(giving);
             }
             channel.writeAndFlush(answer);
-            passage.attach(new Passage.Sink() {
+            passage.attach(new BodyStream.Sink() {
                 @Override
                 public void piece(ByteBuf piece) {
                     int bytes = piece.readableBytes();
                     giving.gave(bytes, node.now());
-                    channel.writeAndFlush(new DefaultHttpContent(piece)).addListener(done -> passage.taken(bytes));
+                    channel.writeAndFlush(new DefaultHttpContent(piece)).addListener(done -> passage.written(bytes));
                 }
 
                 @Override
@@ -1074,7 +1074,7 @@
             /** Whether its pool has it. */
             private boolean taken;
             /** A long answer that goes through, and who hears of its end. */
-            private Passage passage;
+            private BodyStream passage;
 
             private Consumer<Boolean> ended;
             private Future<?> watch;
@@ -1180,7 +1180,7 @@
             }
 
             @Override
-            public void begun(Passage from, long size, Consumer<Boolean> hears) {
+            public void begun(BodyStream from, long size, Consumer<Boolean> hears) {
                 on(() -> {
                     ended = hears;
                     if (isOpen()) {
@@ -1193,8 +1193,8 @@
             }
 
             @Override
-            public Passage passage(EventLoop sending, Passage.Source source) {
-                return new Passage(sending, source, loop, room);
+            public BodyStream passage(EventLoop sending, BodyStream.Source source) {
+                return new BodyStream(sending, source, loop, room);
             }
 
             @Override
--- a/src/main/java/rushpin/net/OpenRequest.java
+++ b/src/main/java/rushpin/net/OpenRequest.java
@@ -18,10 +18,10 @@
          * Passes on a long answer, {@code length} bytes or -1, as it comes; {@code ended} hears on the pool's loop
          * whether all of it went through.
          */
-        void begun(Passage passage, long length, Consumer<Boolean> ended);
+        void begun(BodyStream passage, long length, Consumer<Boolean> ended);
 
         /** A passage towards its client. */
-        Passage passage(EventLoop sending, Passage.Source source);
+        BodyStream passage(EventLoop sending, BodyStream.Source source);
 
         /** Says that trying again is harmless; {@code retryAfter} nanoseconds from now, 0 for no advice. */
         void refused(long retryAfter);
@@ -42,7 +42,7 @@
     private final ByteBuf body;
     private final Answers answers;
     /** What is not in {@code body} yet, and how long all of it is, -1 if unknown; null if it is whole. */
-    private final Passage rest;
+    private final BodyStream rest;
 
     private final long length;
     /** How long the client waits from its last byte on. */
@@ -65,7 +65,7 @@
             String host,
             ByteBuf body,
             Answers answers,
-            Passage rest,
+            BodyStream rest,
             long length,
             long span) {
         this.rest = rest;
@@ -111,7 +111,7 @@
     }
 
     /** Where the rest of its body comes from; null if all of it was there from the start. */
-    Passage rest() {
+    BodyStream rest() {
         return rest;
     }
 
@@ -125,7 +125,7 @@
         return span;
     }
 
-    Passage passageFrom(EventLoop sending, Passage.Source source) {
+    BodyStream passageFrom(EventLoop sending, BodyStream.Source source) {
         return answers.passage(sending, source);
     }
 
--- a/src/main/java/rushpin/net/RequestReader.java
+++ b/src/main/java/rushpin/net/RequestReader.java
@@ -45,7 +45,7 @@
             ServerCallbacks.Destination way,
             long now,
             OpenRequest.Answers answers,
-            Passage rest,
+            BodyStream rest,
             long length)
             throws Refusal {
         Names names = way.service().names();
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -64,7 +64,7 @@
         void attemptEnded(OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body);
 
         /** An attempt has a long answer, which goes through from now on; {@code length} bytes, or -1. */
-        void answerBegins(OpenRequest of, long took, String server, double units, Passage passage, long length);
+        void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length);
 
         /** For how much longer the client of a request waits, nanoseconds. */
         long left(OpenRequest of);
@@ -516,7 +516,7 @@
         }
 
         /** The attempt's end for the module, while its answer goes on. */
-        void begun(double units, Passage passage, long length) {
+        void begun(double units, BodyStream passage, long length) {
             over = true;
             expiry.cancel(false);
             on.attempt = null;
@@ -631,7 +631,7 @@
     }
 
     /** A connection to an app server. */
-    private final class Connection extends AnswerHandler implements Passage.Source {
+    private final class Connection extends AnswerHandler implements BodyStream.Source {
         private final AnswerDecoder decoder;
         private Channel channel;
         private Endpoint endpoint;
@@ -643,7 +643,7 @@
         private long readAt, lookedAt;
 
         Connection(AnswerDecoder decoder) {
-            super(MOST_BODY, Passage.LONGEST);
+            super(MOST_BODY, BodyStream.MAX_LENGTH);
             this.decoder = decoder;
         }
 
@@ -687,7 +687,7 @@
             OpenRequest of = next.of;
             channel.write(next.longHead());
             channel.writeAndFlush(new DefaultHttpContent(of.body().retainedDuplicate()));
-            of.rest().attach(new Passage.Sink() {
+            of.rest().attach(new BodyStream.Sink() {
                 private boolean gone;
 
                 @Override
@@ -698,7 +698,7 @@
                         node.bodyGone(of);
                     }
                     channel.writeAndFlush(new DefaultHttpContent(piece))
-                            .addListener(done -> of.rest().taken(size));
+                            .addListener(done -> of.rest().written(size));
                 }
 
                 @Override
@@ -720,13 +720,13 @@
         }
 
         @Override
-        Passage begins(HttpResponse answer, long length) {
+        BodyStream begins(HttpResponse answer, long length) {
             if (outcome(answer) != Outcome.OK) {
                 return null;
             }
             Attempt of = attempt;
             awaitRest(false);
-            Passage passage = of.of.passageFrom(loop, this);
+            BodyStream passage = of.of.passageFrom(loop, this);
             of.begun(units(answer), passage, length);
             return passage;
         }
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -38,7 +38,7 @@
 import rushpin.net.DiscoveryClient;
 import rushpin.net.LoopWatch;
 import rushpin.net.OpenRequest;
-import rushpin.net.Passage;
+import rushpin.net.BodyStream;
 import rushpin.net.ReadBarrier;
 import rushpin.net.RequestReader;
 import rushpin.net.ServerPool;
@@ -757,7 +757,7 @@
 
     /** To the module the attempt is over: the app server has done its work, and no further one may go out. */
     @Override
-    public void answerBegins(OpenRequest of, long took, String server, double units, Passage passage, long length) {
+    public void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
         of.attemptEnds();
         noteAttempt(of, Outcome.OK, took, server, units);
         int attempt = of.attempts() - 1;
--- a/src/test/java/rushpin/net/PassageTest.java
+++ b/src/test/java/rushpin/net/BodyStreamTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class PassageTest {
+class BodyStreamTest {
     /** Whatever the order: bytes arrive in order, what is on the way is bounded, the end comes once, all is released. */
     @Property(tries = 1_000)
     void inOrderBoundedAndReleased(@ForAll @Size(min = 1, max = 80) List<@IntRange(min = 0, max = 99) Integer> steps) {
@@ -26,11 +26,11 @@
         List<Byte> took = new ArrayList<>();
         List<Boolean> ends = new ArrayList<>();
         boolean[] go = {true};
-        Passage.Room room = new Passage.Room(Long.MAX_VALUE);
+        BodyStream.Room room = new BodyStream.Room(Long.MAX_VALUE);
         int[] stopped = {0};
-        Passage passage = new Passage(
+        BodyStream passage = new BodyStream(
                 loop,
-                new Passage.Source() {
+                new BodyStream.Source() {
                     @Override
                     public void flow(boolean now) {
                         go[0] = now;
@@ -43,7 +43,7 @@
                 },
                 loop,
                 room);
-        Passage.Sink sink = new Passage.Sink() {
+        BodyStream.Sink sink = new BodyStream.Sink() {
             @Override
             public void piece(ByteBuf piece) {
                 took.add(piece.getByte(piece.readerIndex()));
@@ -66,8 +66,8 @@
                     made.add(piece);
                     onTheWay += size;
                     passage.push(piece);
-                    assertTrue(onTheWay < Passage.MOST + 12_000, onTheWay + " on the way after " + steps);
-                    assertEquals(onTheWay < Passage.MOST, go[0], "after " + steps);
+                    assertTrue(onTheWay < BodyStream.MOST + 12_000, onTheWay + " on the way after " + steps);
+                    assertEquals(onTheWay < BodyStream.MOST, go[0], "after " + steps);
                 }
             } else if (step < 85) {
                 ByteBuf written = unwritten.poll();
@@ -75,7 +75,7 @@
                     int size = written.readableBytes();
                     written.release();
                     onTheWay -= size;
-                    passage.taken(size);
+                    passage.written(size);
                 }
             } else if (step < 92) {
                 if (!attached && !over) {
@@ -101,8 +101,8 @@
         made.forEach(piece -> assertEquals(0, piece.refCnt(), "not released after " + steps));
     }
 
-    private static Passage.Source holding(boolean[] go) {
-        return new Passage.Source() {
+    private static BodyStream.Source holding(boolean[] go) {
+        return new BodyStream.Source() {
             @Override
             public void flow(boolean now) {
                 go[0] = now;
@@ -119,13 +119,13 @@
     @Test
     void allTogetherHoldNoMoreThanTheirRoom() {
         EventLoop loop = new EmbeddedChannel().eventLoop();
-        Passage.Room room = new Passage.Room(400_000);
+        BodyStream.Room room = new BodyStream.Room(400_000);
         int total = 0;
-        List<Passage> all = new ArrayList<>();
+        List<BodyStream> all = new ArrayList<>();
         List<boolean[]> may = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             boolean[] go = {true};
-            all.add(new Passage(loop, holding(go), loop, room));
+            all.add(new BodyStream(loop, holding(go), loop, room));
             may.add(go);
         }
         for (int round = 0; round < 100; round++) {
@@ -137,7 +137,7 @@
             }
         }
         assertTrue(total <= 400_000 + 50 * 1_000, total + " on the way");
-        all.forEach(Passage::stop);
+        all.forEach(BodyStream::stop);
         assertEquals(0, room.open(), "room is given back");
     }
 
@@ -145,12 +145,12 @@
     @Test
     void roomIsGivenBackOnceAllIsTaken() {
         EventLoop loop = new EmbeddedChannel().eventLoop();
-        Passage.Room room = new Passage.Room(400_000);
-        Passage passage = new Passage(loop, holding(new boolean[1]), loop, room);
+        BodyStream.Room room = new BodyStream.Room(400_000);
+        BodyStream passage = new BodyStream(loop, holding(new boolean[1]), loop, room);
         passage.push(Unpooled.buffer(500).writeZero(500));
         passage.end(true);
         assertEquals(1, room.open());
-        passage.taken(500);
+        passage.written(500);
         assertEquals(0, room.open());
         passage.stop();
         assertEquals(0, room.open());
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -323,7 +323,7 @@
         }
 
         @Override
-        public void answerBegins(OpenRequest of, long took, String server, double units, Passage passage, long length) {
+        public void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
             throw new AssertionError("no long answers here");
         }
 
--- a/src/test/java/rushpin/net/ServerConnectTest.java
+++ b/src/test/java/rushpin/net/ServerConnectTest.java
@@ -180,7 +180,7 @@
         }
 
         @Override
-        public void answerBegins(OpenRequest of, long took, String server, double units, Passage passage, long length) {
+        public void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
             throw new AssertionError("no answer is long here");
         }
 
