--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -842,7 +842,7 @@
                     // Its client may have left in that time, which shows once its connection is read again.
                     watch.afterNextLook(reply::takeUnlessGone);
                 }
-            } catch (Refusal e) {
+            } catch (RequestRejectedException e) {
                 content.release();
                 refuse(e.status(), e.getMessage());
             }
--- a/src/main/java/rushpin/net/RequestReader.java
+++ b/src/main/java/rushpin/net/RequestReader.java
@@ -34,7 +34,7 @@
      * Reads a request; what it cannot read it names. Nothing is taken that means different things to readers.
      */
     static OpenRequest read(HttpRequest head, ByteBuf body, ServerCallbacks.Destination way, long now, OpenRequest.Answers answers)
-            throws Refusal {
+            throws RequestRejectedException {
         return read(head, body, way, now, answers, null, 0);
     }
 
@@ -47,7 +47,7 @@
             OpenRequest.Answers answers,
             BodyStream rest,
             long length)
-            throws Refusal {
+            throws RequestRejectedException {
         Names names = way.service().names();
         Settings settings = way.service().settings();
         HttpHeaders headers = head.headers();
@@ -57,7 +57,7 @@
         RequestClass spec = settings.classes().get(requestClass);
         HttpMethod method = spec.repeat() == Repeat.SAFE ? HttpMethod.GET : HttpMethod.POST;
         if (!head.method().equals(method)) {
-            throw new Refusal(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class goes by " + method);
+            throw new RequestRejectedException(HttpResponseStatus.METHOD_NOT_ALLOWED, "this class goes by " + method);
         }
         String key = only(headers, "Idempotency-Key");
         if (key != null || spec.repeat() == Repeat.KEYED) {
@@ -95,49 +95,49 @@
     }
 
     /** A header that stands once at most; null if it does not stand there. */
-    private static String only(HttpHeaders headers, String name) throws Refusal {
+    private static String only(HttpHeaders headers, String name) throws RequestRejectedException {
         Iterator<String> values = headers.valueStringIterator(name);
         String value = values.hasNext() ? values.next() : null;
         if (values.hasNext()) {
-            throw Refusal.bad(name + " stands there twice");
+            throw RequestRejectedException.bad(name + " stands there twice");
         }
         return value;
     }
 
-    private static String need(HttpHeaders headers, String name) throws Refusal {
+    private static String need(HttpHeaders headers, String name) throws RequestRejectedException {
         String value = only(headers, name);
         if (value == null || value.isBlank()) {
-            throw Refusal.bad(name + " is missing");
+            throw RequestRejectedException.bad(name + " is missing");
         }
         return value;
     }
 
     /** These go on to app servers and must arrive there as they came. */
-    private static String name(String value, String header) throws Refusal {
+    private static String name(String value, String header) throws RequestRejectedException {
         boolean good = value.length() <= MOST_NAME;
         for (int i = 0; good && i < value.length(); i++) {
             good = value.charAt(i) > ' ' && value.charAt(i) < 127;
         }
         if (!good) {
-            throw Refusal.bad(header + " is no name");
+            throw RequestRejectedException.bad(header + " is no name");
         }
         return value;
     }
 
-    private static int index(List<String> names, HttpHeaders headers, String name) throws Refusal {
+    private static int index(List<String> names, HttpHeaders headers, String name) throws RequestRejectedException {
         int index = names.indexOf(need(headers, name));
         if (index < 0) {
-            throw Refusal.bad(name + " is unknown");
+            throw RequestRejectedException.bad(name + " is unknown");
         }
         return index;
     }
 
-    private static long customer(HttpHeaders headers) throws Refusal {
+    private static long customer(HttpHeaders headers) throws RequestRejectedException {
         String found = null;
         for (Cookie cookie : ServerCookieDecoder.LAX.decodeAll(need(headers, "Cookie"))) {
             if (cookie.name().equals("customer")) {
                 if (found != null) {
-                    throw Refusal.bad("the cookie names two customers");
+                    throw RequestRejectedException.bad("the cookie names two customers");
                 }
                 found = cookie.value();
             }
@@ -148,24 +148,24 @@
                 return customer;
             }
         }
-        throw Refusal.bad("the cookie names no customer");
+        throw RequestRejectedException.bad("the cookie names no customer");
     }
 
-    private static Map<String, String> quota(String text) throws Refusal {
+    private static Map<String, String> quota(String text) throws RequestRejectedException {
         Map<String, String> parts = new HashMap<>();
         for (String part : text.split(",")) {
             String[] pair = part.trim().split("=", 2);
             if (parts.put(pair[0], pair.length > 1 ? pair[1] : "") != null) {
-                throw Refusal.bad("X-Quota says " + pair[0] + " twice");
+                throw RequestRejectedException.bad("X-Quota says " + pair[0] + " twice");
             }
         }
         return parts;
     }
 
-    private static double units(String text, double most) throws Refusal {
+    private static double units(String text, double most) throws RequestRejectedException {
         double units = Figures.amount(text, most);
         if (Double.isNaN(units)) {
-            throw Refusal.bad("X-Quota units is not a number above 0 that one request may count");
+            throw RequestRejectedException.bad("X-Quota units is not a number above 0 that one request may count");
         }
         return units;
     }
@@ -179,13 +179,13 @@
         return true;
     }
 
-    private static long whole(String text, String name, long least, long most) throws Refusal {
+    private static long whole(String text, String name, long least, long most) throws RequestRejectedException {
         if (text != null && !text.isEmpty() && text.length() <= MOST_DIGITS && isOf(text, 10)) {
             long value = Long.parseLong(text);
             if (value >= least && value <= most) {
                 return value;
             }
         }
-        throw Refusal.bad(name + " is not a whole number from " + least + " to " + most);
+        throw RequestRejectedException.bad(name + " is not a whole number from " + least + " to " + most);
     }
 }
--- a/src/main/java/rushpin/net/Refusal.java
+++ b/src/main/java/rushpin/net/RequestRejectedException.java
@@ -3,12 +3,12 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /** A request that is none: the status says why. */
-public final class Refusal extends Exception {
+public final class RequestRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient HttpResponseStatus status;
 
     /** Says with which status, and one line for the client. */
-    public Refusal(HttpResponseStatus status, String why) {
+    public RequestRejectedException(HttpResponseStatus status, String why) {
         super(why, null, false, false);
         this.status = status;
     }
@@ -17,7 +17,7 @@
         return status;
     }
 
-    static Refusal bad(String why) {
-        return new Refusal(HttpResponseStatus.BAD_REQUEST, why);
+    static RequestRejectedException bad(String why) {
+        return new RequestRejectedException(HttpResponseStatus.BAD_REQUEST, why);
     }
 }
--- a/src/main/java/rushpin/net/ServerCallbacks.java
+++ b/src/main/java/rushpin/net/ServerCallbacks.java
@@ -8,7 +8,7 @@
     record Destination(Service service, String host) {}
 
     /** The pool a request belongs to; a refusal if there is none, or if its head can be read in two ways. */
-    Destination route(HttpRequest head) throws Refusal;
+    Destination route(HttpRequest head) throws RequestRejectedException;
 
     /** Whether new clients should come. */
     boolean ready();
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -15,7 +15,7 @@
 import rushpin.net.ByteBudget;
 import rushpin.net.ClientServer;
 import rushpin.net.ServerCallbacks;
-import rushpin.net.Refusal;
+import rushpin.net.RequestRejectedException;
 import rushpin.net.WatchedLoopGroup;
 
 /** A real edge node: the listening side on one event loop, and the services behind it. */
@@ -211,7 +211,7 @@
     }
 
     @Override
-    public Destination route(HttpRequest head) throws Refusal {
+    public Destination route(HttpRequest head) throws RequestRejectedException {
         return services.route(head);
     }
 
--- a/src/main/java/rushpin/node/PlatformService.java
+++ b/src/main/java/rushpin/node/PlatformService.java
@@ -9,7 +9,7 @@
 import rushpin.config.PoolConfig;
 import rushpin.net.ByteBudget;
 import rushpin.net.ServerCallbacks;
-import rushpin.net.Refusal;
+import rushpin.net.RequestRejectedException;
 
 /** The platform's one pool, on the listening side's loop, with all that the process has. */
 final class PlatformService implements Services {
@@ -32,10 +32,10 @@
     }
 
     @Override
-    public ServerCallbacks.Destination route(HttpRequest head) throws Refusal {
+    public ServerCallbacks.Destination route(HttpRequest head) throws RequestRejectedException {
         String uri = head.uri();
         if (!uri.equals("/api") && !uri.startsWith("/api?")) {
-            throw new Refusal(HttpResponseStatus.NOT_FOUND, "no such path");
+            throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND, "no such path");
         }
         return way;
     }
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -27,7 +27,7 @@
 import rushpin.membership.AddressOwners;
 import rushpin.membership.ServerListUpdate;
 import rushpin.net.ServerCallbacks;
-import rushpin.net.Refusal;
+import rushpin.net.RequestRejectedException;
 import rushpin.net.WatchedLoopGroup;
 import rushpin.route.RequestTarget;
 import rushpin.route.RouteTable;
@@ -327,10 +327,10 @@
     }
 
     @Override
-    public ServerCallbacks.Destination route(HttpRequest head) throws Refusal {
+    public ServerCallbacks.Destination route(HttpRequest head) throws RequestRejectedException {
         List<String> hosts = head.headers().getAll(HttpHeaderNames.HOST);
         if (hosts.size() > 1) {
-            throw new Refusal(HttpResponseStatus.BAD_REQUEST, "Host stands there twice");
+            throw new RequestRejectedException(HttpResponseStatus.BAD_REQUEST, "Host stands there twice");
         }
         RequestTarget reading;
         try {
@@ -339,16 +339,16 @@
                     hosts.isEmpty() ? null : hosts.get(0),
                     !head.protocolVersion().equals(HttpVersion.HTTP_1_0));
         } catch (RequestTarget.Ambiguous e) {
-            throw new Refusal(HttpResponseStatus.BAD_REQUEST, e.getMessage());
+            throw new RequestRejectedException(HttpResponseStatus.BAD_REQUEST, e.getMessage());
         }
         for (String name : table.headers()) {
             if (head.headers().getAll(name).size() > 1) {
-                throw new Refusal(HttpResponseStatus.BAD_REQUEST, name + " stands there twice");
+                throw new RequestRejectedException(HttpResponseStatus.BAD_REQUEST, name + " stands there twice");
             }
         }
         String pool = table.find(reading, head.method().name(), head.headers().get("X-Qos"), head.headers()::get);
         if (pool == null) {
-            throw new Refusal(HttpResponseStatus.NOT_FOUND, "no route leads from here");
+            throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND, "no route leads from here");
         }
         // What goes on is the path that was routed: an absolute target's host goes as Host.
         head.setUri(reading.target());
--- a/src/main/java/rushpin/node/Services.java
+++ b/src/main/java/rushpin/node/Services.java
@@ -6,7 +6,7 @@
 import rushpin.config.Config;
 import rushpin.config.OperatorConfig;
 import rushpin.net.ServerCallbacks;
-import rushpin.net.Refusal;
+import rushpin.net.RequestRejectedException;
 
 /** The pools of a process as the process sees them: one by the platform's settings, or those of an operator's file. */
 interface Services {
@@ -14,7 +14,7 @@
     void start() throws Exception;
 
     /** The pool a request belongs to; called on the listening side's loop. */
-    ServerCallbacks.Destination route(HttpRequest head) throws Refusal;
+    ServerCallbacks.Destination route(HttpRequest head) throws RequestRejectedException;
 
     /** Whether every pool has heard its list, or has waited for it long enough. */
     boolean ready();
--- a/src/test/java/rushpin/net/ClientServerTest.java
+++ b/src/test/java/rushpin/net/ClientServerTest.java
@@ -49,8 +49,8 @@
 
     private static final class Healthy implements ServerCallbacks {
         @Override
-        public Destination route(HttpRequest head) throws Refusal {
-            throw Refusal.bad("there is no pool");
+        public Destination route(HttpRequest head) throws RequestRejectedException {
+            throw RequestRejectedException.bad("there is no pool");
         }
 
         @Override
