--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -344,7 +344,7 @@
     /** What SIGKILL finds unanswered is lost if it came late: it is to be over by then, by whichever answer. */
     private void endBeforeKill(OpenRequest taken) {
         if (draining && turns == null) {
-            taken.hurry(taken.dueAt() - (drainingSince + DRAIN_TAKES + Math.min(taken.span(), DRAIN_WAITS)));
+            taken.hurry(taken.deadlineNanos() - (drainingSince + DRAIN_TAKES + Math.min(taken.timeoutNanos(), DRAIN_WAITS)));
         }
     }
 
@@ -735,7 +735,7 @@
                     BodyStream all = upload;
                     upload = null;
                     begun = false;
-                    current.bodyCame(age());
+                    current.bodyReceived(age());
                     all.end(true);
                 }
             }
@@ -833,7 +833,7 @@
                 upload = more ? uploadTo(way.service().loop()) : null;
                 reply.of = RequestReader.read(whole, content, way, node.now(), reply, upload, length);
                 long age = more ? 0 : age();
-                reply.of.hurry(Math.min(age, reply.of.span()));
+                reply.of.hurry(Math.min(age, reply.of.timeoutNanos()));
                 endBeforeKill(reply.of);
                 current = reply;
                 if (age == 0) {
@@ -962,7 +962,7 @@
             }
             boolean close = last;
             reply.passage = passage;
-            Giving giving = new Giving(reply.of.dueAt(), node.now());
+            Giving giving = new Giving(reply.of.deadlineNanos(), node.now());
             if (size < 0) {
                 reply.watch(giving);
             }
@@ -1068,7 +1068,7 @@
         }
 
         /** Writes the one answer of the request in hand, from whichever loop its pool lives on. */
-        private final class Reply implements OpenRequest.Answers {
+        private final class Reply implements OpenRequest.Responder {
             private final Service service;
             private OpenRequest of;
             /** Whether its pool has it. */
@@ -1102,11 +1102,11 @@
                 }
             }
 
-            void bodyCame(long age) {
+            void bodyReceived(long age) {
                 if (service.loop() == loop) {
-                    service.bodyCame(of, age);
+                    service.bodyReceived(of, age);
                 } else {
-                    service.loop().execute(() -> service.bodyCame(of, age));
+                    service.loop().execute(() -> service.bodyReceived(of, age));
                 }
             }
 
@@ -1180,7 +1180,7 @@
             }
 
             @Override
-            public void begun(BodyStream from, long size, Consumer<Boolean> hears) {
+            public void streamed(BodyStream from, long size, Consumer<Boolean> hears) {
                 on(() -> {
                     ended = hears;
                     if (isOpen()) {
--- a/src/main/java/rushpin/net/OpenRequest.java
+++ b/src/main/java/rushpin/net/OpenRequest.java
@@ -10,7 +10,7 @@
 /** A request that was taken: what goes on to app servers, and what is still owed to its client. */
 public final class OpenRequest {
     /** Where the one final answer goes; told on the pool's loop only. */
-    public interface Answers {
+    public interface Responder {
         /** Passes on an app server's answer; the buffer stays the caller's. */
         void served(ByteBuf body);
 
@@ -18,7 +18,7 @@
          * Passes on a long answer, {@code length} bytes or -1, as it comes; {@code ended} hears on the pool's loop
          * whether all of it went through.
          */
-        void begun(BodyStream passage, long length, Consumer<Boolean> ended);
+        void streamed(BodyStream passage, long length, Consumer<Boolean> ended);
 
         /** A passage towards its client. */
         BodyStream passage(EventLoop sending, BodyStream.Source source);
@@ -40,7 +40,7 @@
     private final String className;
     private Request request;
     private final ByteBuf body;
-    private final Answers answers;
+    private final Responder answers;
     /** What is not in {@code body} yet, and how long all of it is, -1 if unknown; null if it is whole. */
     private final BodyStream rest;
 
@@ -64,7 +64,7 @@
             String key,
             String host,
             ByteBuf body,
-            Answers answers,
+            Responder answers,
             BodyStream rest,
             long length,
             long span) {
@@ -121,16 +121,16 @@
     }
 
     /** How long its client waits, nanoseconds. */
-    long span() {
+    long timeoutNanos() {
         return span;
     }
 
-    BodyStream passageFrom(EventLoop sending, BodyStream.Source source) {
+    BodyStream openResponseStream(EventLoop sending, BodyStream.Source source) {
         return answers.passage(sending, source);
     }
 
     /** When its client stops waiting, as far as is known. */
-    public long dueAt() {
+    public long deadlineNanos() {
         return dueAt;
     }
 
@@ -140,7 +140,7 @@
     }
 
     /** The last byte of its body has come, so long ago at most: its client waits for its span from then on. */
-    public void bodyCame(long now, long age) {
+    public void bodyReceived(long now, long age) {
         whole = true;
         dueAt = now + span - Math.min(age, span);
     }
@@ -156,18 +156,18 @@
     }
 
     /** Whether an attempt is out. */
-    public boolean isAttemptOut() {
+    public boolean isAttemptInFlight() {
         return attemptOut;
     }
 
     /** An attempt begins; the one before has ended. */
-    public void attemptBegins() {
+    public void beginAttempt() {
         attempts++;
         attemptOut = true;
     }
 
     /** The attempt that was out has ended. */
-    public void attemptEnds() {
+    public void endAttempt() {
         attemptOut = false;
     }
 
@@ -177,7 +177,7 @@
     }
 
     /** The answers' side if nothing was answered yet, else null: a request has one final answer. */
-    public Answers answerOnce() {
+    public Responder answerOnce() {
         if (answered) {
             return null;
         }
@@ -186,7 +186,7 @@
     }
 
     /** Sets the backstop that ends it shortly before its client's time is up. */
-    public void backstop(Future<?> then) {
+    public void setTimeoutTask(Future<?> then) {
         if (overdue != null) {
             overdue.cancel(false);
         }
--- a/src/main/java/rushpin/net/RequestReader.java
+++ b/src/main/java/rushpin/net/RequestReader.java
@@ -33,7 +33,7 @@
     /**
      * Reads a request; what it cannot read it names. Nothing is taken that means different things to readers.
      */
-    static OpenRequest read(HttpRequest head, ByteBuf body, ServerCallbacks.Destination way, long now, OpenRequest.Answers answers)
+    static OpenRequest read(HttpRequest head, ByteBuf body, ServerCallbacks.Destination way, long now, OpenRequest.Responder answers)
             throws RequestRejectedException {
         return read(head, body, way, now, answers, null, 0);
     }
@@ -44,7 +44,7 @@
             ByteBuf body,
             ServerCallbacks.Destination way,
             long now,
-            OpenRequest.Answers answers,
+            OpenRequest.Responder answers,
             BodyStream rest,
             long length)
             throws RequestRejectedException {
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -551,7 +551,7 @@
         /** The head of a request whose body is longer than is kept. */
         HttpRequest longHead() {
             HttpRequest message = new DefaultHttpRequest(HttpVersion.HTTP_1_1, of.method, of.uri);
-            address(message, of.span() / MS);
+            address(message, of.timeoutNanos() / MS);
             if (of.length() < 0) {
                 message.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             } else {
@@ -726,7 +726,7 @@
             }
             Attempt of = attempt;
             awaitRest(false);
-            BodyStream passage = of.of.passageFrom(loop, this);
+            BodyStream passage = of.of.openResponseStream(loop, this);
             of.begun(units(answer), passage, length);
             return passage;
         }
--- a/src/main/java/rushpin/net/Service.java
+++ b/src/main/java/rushpin/net/Service.java
@@ -25,7 +25,7 @@
     void take(OpenRequest request);
 
     /** The last byte of a request's body came {@code age} nanoseconds ago at most; the request had been taken without. */
-    void bodyCame(OpenRequest of, long age);
+    void bodyReceived(OpenRequest of, long age);
 
     /** The client left before its answer. */
     void clientGone(OpenRequest gone);
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -202,8 +202,8 @@
     }
 
     /** The way of a request's one answer, which is counted; null if it was given. */
-    private OpenRequest.Answers answer(OpenRequest of, Consumer<ProcessMetrics.ClassMetrics> as) {
-        OpenRequest.Answers answers = of.answerOnce();
+    private OpenRequest.Responder answer(OpenRequest of, Consumer<ProcessMetrics.ClassMetrics> as) {
+        OpenRequest.Responder answers = of.answerOnce();
         if (answers != null) {
             ended(of, as);
         }
@@ -680,7 +680,7 @@
         }
         long left = lastMoment(taken) - now();
         // The backstop for a module that is late: no request may be left without an answer.
-        taken.backstop(loop.schedule(() -> overdue(taken), Math.max(0, left), TimeUnit.NANOSECONDS));
+        taken.setTimeoutTask(loop.schedule(() -> overdue(taken), Math.max(0, left), TimeUnit.NANOSECONDS));
         enter(taken);
     }
 
@@ -694,7 +694,7 @@
     }
 
     private static long lastMoment(OpenRequest of) {
-        return of.dueAt() + RequestReader.ANSWER_MARGIN - LAST_MOMENT;
+        return of.deadlineNanos() + RequestReader.ANSWER_MARGIN - LAST_MOMENT;
     }
 
     private void overdue(OpenRequest late) {
@@ -715,14 +715,14 @@
 
     @Override
     public void attemptEnded(OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
-        of.attemptEnds();
+        of.endAttempt();
         noteAttempt(of, outcome, took, server, units);
         int attempt = of.attempts() - 1;
         // After a stall answers are read before the backstop has its turn: what comes too late was not served.
         if (outcome == Outcome.OK && now() > lastMoment(of)) {
             fail(of);
         } else if (outcome == Outcome.OK) {
-            OpenRequest.Answers answers = answer(of, ProcessMetrics.ClassMetrics::served);
+            OpenRequest.Responder answers = answer(of, ProcessMetrics.ClassMetrics::served);
             if (answers != null) {
                 note(of, Entry.End.SERVED);
                 answers.served(body);
@@ -738,16 +738,16 @@
     }
 
     @Override
-    public void bodyCame(OpenRequest of, long age) {
-        of.bodyCame(now(), age);
+    public void bodyReceived(OpenRequest of, long age) {
+        of.bodyReceived(now(), age);
         if (!of.isAnswered()) {
-            of.backstop(loop.schedule(() -> overdue(of), Math.max(0, lastMoment(of) - now()), TimeUnit.NANOSECONDS));
+            of.setTimeoutTask(loop.schedule(() -> overdue(of), Math.max(0, lastMoment(of) - now()), TimeUnit.NANOSECONDS));
         }
     }
 
     @Override
     public long left(OpenRequest of) {
-        return of.dueAt() - now();
+        return of.deadlineNanos() - now();
     }
 
     @Override
@@ -758,18 +758,18 @@
     /** To the module the attempt is over: the app server has done its work, and no further one may go out. */
     @Override
     public void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
-        of.attemptEnds();
+        of.endAttempt();
         noteAttempt(of, Outcome.OK, took, server, units);
         int attempt = of.attempts() - 1;
         if (now() > lastMoment(of)) {
             fail(of);
         }
-        OpenRequest.Answers answers = of.answerOnce();
+        OpenRequest.Responder answers = of.answerOnce();
         if (answers == null) {
             passage.stop();
         } else {
             note(of, Entry.End.SERVED);
-            answers.begun(
+            answers.streamed(
                     passage,
                     length,
                     whole -> ended(
@@ -813,7 +813,7 @@
 
     /** Forgets a request once it is answered and no attempt of it is out. */
     private void settle(OpenRequest of) {
-        if (of.isAnswered() && !of.isAttemptOut() && open.remove(of.request().id(), of)) {
+        if (of.isAnswered() && !of.isAttemptInFlight() && open.remove(of.request().id(), of)) {
             if (tap != null) {
                 tap.settled(of, names.plans());
             }
@@ -831,13 +831,13 @@
     @Override
     public void send(String id, String server, long patience, long startWithin) {
         OpenRequest of = open.get(id);
-        if (of == null || of.isAnswered() || of.isAttemptOut()) {
+        if (of == null || of.isAnswered() || of.isAttemptInFlight()) {
             // It may not go out, but the module counts it as out until it hears how it ended.
             Result moot = new Result(id, Outcome.NOT_SENT, 0, server, of == null || of.isAnswered(), 0, 0, List.of());
             loop.execute(() -> event(null, now -> gateway.attemptEnded(now, moot)));
             return;
         }
-        of.attemptBegins();
+        of.beginAttempt();
         if (tap != null) {
             tap.sent(of, server, now());
         }
@@ -871,7 +871,7 @@
     @Override
     public void refuse(String id, long retryAfter) {
         OpenRequest of = open.get(id);
-        OpenRequest.Answers answers = of == null ? null : answer(of, ProcessMetrics.ClassMetrics::refused);
+        OpenRequest.Responder answers = of == null ? null : answer(of, ProcessMetrics.ClassMetrics::refused);
         if (answers != null) {
             note(of, Entry.End.REFUSED);
             answers.refused(retryAfter);
@@ -888,7 +888,7 @@
     }
 
     private void fail(OpenRequest of) {
-        OpenRequest.Answers answers = answer(of, ProcessMetrics.ClassMetrics::failed);
+        OpenRequest.Responder answers = answer(of, ProcessMetrics.ClassMetrics::failed);
         if (answers != null) {
             note(of, Entry.End.FAILED);
             answers.failed();
