--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -104,7 +104,7 @@
                 new ResourceLimits(
                         sockets,
                         Descriptors.of(sockets).servers(),
-                        ByteBudget.most(memory) / 2,
+                        ByteBudget.capacity(memory) / 2,
                         Math.max(8, sockets / 16)),
                 new ResourceLimits(MAX_AMOUNT, MAX_AMOUNT, MAX_AMOUNT, MAX_AMOUNT));
         OperatorConfig.Listener listener = OperatorConfig.Listener.valueOf(
--- a/src/main/java/rushpin/net/ByteBudget.java
+++ b/src/main/java/rushpin/net/ByteBudget.java
@@ -10,22 +10,22 @@
 
     private static final long LEAST = 1L << 20, MOST = 8L << 20;
 
-    private final long most;
+    private final long capacity;
     private long used;
 
     /** A sixteenth of the memory, within bounds. */
     public ByteBudget(long memory) {
-        most = most(memory);
+        capacity = capacity(memory);
     }
 
     /** How many bytes a process of so much memory may hold. */
-    public static long most(long memory) {
+    public static long capacity(long memory) {
         return Math.max(LEAST, Math.min(MOST, memory / 16));
     }
 
     /** Whether a request that holds, or will hold, so much may go on growing. */
     public boolean allows(long size) {
-        return used < (size > SMALL ? most / 4 * 3 : most);
+        return used < (size > SMALL ? capacity / 4 * 3 : capacity);
     }
 
     /** Counts bytes taken, or given back if below 0. */
@@ -33,8 +33,8 @@
         used += by;
     }
 
-    long most() {
-        return most;
+    long capacity() {
+        return capacity;
     }
 
     public long used() {
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -142,7 +142,7 @@
         this.node = node;
         this.budget = budget;
         // As much again as requests may hold.
-        room = new BodyStream.Room(budget.most());
+        room = new BodyStream.Room(budget.capacity());
         this.loop = loop;
         this.listen = listen;
         watch = LoopWatch.of(loop);
@@ -184,7 +184,7 @@
     }
 
     /** Begins to listen beside other processes at the same address; each has a queue of its own. */
-    public CompletableFuture<Void> bindBeside() {
+    public CompletableFuture<Void> bindReusePort() {
         return bindOwn(true);
     }
 
@@ -196,18 +196,18 @@
                 own.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
             own.bind(listen, BACKLOG);
-            return acceptAt(() -> ListeningChannel.own(own, acceptor, watch, BACKLOG));
+            return acceptFrom(() -> ListeningChannel.own(own, acceptor, watch, BACKLOG));
         } catch (IOException e) {
             return CompletableFuture.failedFuture(e);
         }
     }
 
     /** Accepts at a socket that listens already, and is others' too: they share one queue. */
-    public CompletableFuture<Void> acceptAt(ServerSocketChannel passed) {
-        return acceptAt(() -> ListeningChannel.shared(passed, acceptor, watch));
+    public CompletableFuture<Void> acceptFrom(ServerSocketChannel passed) {
+        return acceptFrom(() -> ListeningChannel.shared(passed, acceptor, watch));
     }
 
-    private CompletableFuture<Void> acceptAt(ChannelFactory<ServerChannel> queue) {
+    private CompletableFuture<Void> acceptFrom(ChannelFactory<ServerChannel> queue) {
         return told(accepting(new ServerBootstrap()
                         .group(loop)
                         .channelFactory(queue)
@@ -382,7 +382,7 @@
         listening.close();
         letting = false;
         leave(idleToo);
-        node.connectionEnded(open());
+        node.connectionEnded(openConnections());
     }
 
     /** At once, and not by way of the pipeline: each microsecond counts here. */
@@ -424,7 +424,7 @@
     }
 
     /** How many connections are open, one more while some may wait to be taken; on the loop. */
-    public int open() {
+    public int openConnections() {
         return sessions.size() + (letting ? 1 : 0);
     }
 
@@ -1056,7 +1056,7 @@
             if (left != null) {
                 left.gone();
             }
-            node.connectionEnded(open());
+            node.connectionEnded(openConnections());
         }
 
         @Override
--- a/src/main/java/rushpin/net/ReadBarrier.java
+++ b/src/main/java/rushpin/net/ReadBarrier.java
@@ -49,16 +49,16 @@
      *
      * @param isOver whether the task has become needless, so that it runs without waiting any longer
      */
-    public void pass(BooleanSupplier isOver, Runnable task) {
-        pass(isOver, task, MOST_LOOKS);
+    public void runAfterRead(BooleanSupplier isOver, Runnable task) {
+        runAfterRead(isOver, task, MOST_LOOKS);
     }
 
-    private void pass(BooleanSupplier isOver, Runnable task, int looks) {
+    private void runAfterRead(BooleanSupplier isOver, Runnable task, int looks) {
         long unread = unread();
         if (unread <= usual || looks <= 0 && unread <= most || isOver.getAsBoolean()) {
             task.run();
         } else {
-            own.afterNextLook(() -> pass(isOver, task, looks - 1));
+            own.afterNextLook(() -> runAfterRead(isOver, task, looks - 1));
         }
     }
 }
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -100,12 +100,12 @@
         }
         switch (listener) {
             case OWN -> clients.bind().get();
-            case REUSEPORT -> clients.bindBeside().get();
+            case REUSEPORT -> clients.bindReusePort().get();
             case INHERITED -> {
                 if (!(System.inheritedChannel() instanceof ServerSocketChannel passed)) {
                     throw new IOException("process.listener is inherited and standard input is no listening socket");
                 }
-                clients.acceptAt(passed).get();
+                clients.acceptFrom(passed).get();
             }
         }
         loop.submit(() -> lifecycle.serves(now())).get();
@@ -157,7 +157,7 @@
                 // Alone, it goes on taking those who still come for a moment; else they are the other process's.
                 lifecycle.shared(desk.others() > 0);
             }
-            lifecycle.terminate(now(), clients.open());
+            lifecycle.terminate(now(), clients.openConnections());
         });
         return drained.thenCombine(left, (cut, none) -> cut);
     }
@@ -184,7 +184,7 @@
 
     @Override
     public void wake(long span) {
-        loop.schedule(() -> lifecycle.time(now(), clients.open()), span, TimeUnit.NANOSECONDS);
+        loop.schedule(() -> lifecycle.time(now(), clients.openConnections()), span, TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -843,7 +843,7 @@
         }
         long decidedAt = System.nanoTime();
         // The list and the clients decide whether anything may still be sent.
-        barrier.pass(
+        barrier.runAfterRead(
                 () -> of.isAnswered() || System.nanoTime() - decidedAt >= Math.min(patience, startWithin),
                 () -> sendOnceRead(of, server, patience, startWithin, decidedAt));
     }
@@ -865,7 +865,7 @@
 
     @Override
     public void whenRead(BooleanSupplier isOver, Runnable task) {
-        barrier.pass(isOver, task);
+        barrier.runAfterRead(isOver, task);
     }
 
     @Override
--- a/src/test/java/rushpin/net/ClientServerTest.java
+++ b/src/test/java/rushpin/net/ClientServerTest.java
@@ -214,7 +214,7 @@
     }
 
     private void assertClosed(InetSocketAddress at) throws Exception {
-        while (loop.submit(() -> server.open()).get() > 0) {
+        while (loop.submit(() -> server.openConnections()).get() > 0) {
             Thread.onSpinWait();
         }
         assertThrows(ConnectException.class, () -> new Socket(at.getAddress(), at.getPort()).close());
--- a/src/test/java/rushpin/net/ReadBarrierTest.java
+++ b/src/test/java/rushpin/net/ReadBarrierTest.java
@@ -24,7 +24,7 @@
     }
 
     private void pass(LoopWatch own, LoopWatch clients) {
-        new ReadBarrier(own, clients, USUAL, MOST).pass(() -> false, passed::incrementAndGet);
+        new ReadBarrier(own, clients, USUAL, MOST).runAfterRead(() -> false, passed::incrementAndGet);
     }
 
     @Test
@@ -74,7 +74,7 @@
     @Test
     void whatIsOverDoesNotWaitAnyLonger() {
         LoopWatch watch = looked(5_000 * MS);
-        new ReadBarrier(watch, watch, USUAL, MOST).pass(() -> true, passed::incrementAndGet);
+        new ReadBarrier(watch, watch, USUAL, MOST).runAfterRead(() -> true, passed::incrementAndGet);
         assertEquals(1, passed.get());
     }
 
