--- a/src/main/java/rushpin/net/Acceptance.java
+++ b/src/main/java/rushpin/net/AcceptBatchLimiter.java
@@ -9,14 +9,14 @@
  * How many connections a listening socket takes in one go: as many as there are places, {@value #MOST} at most. Netty takes up to 16 before it
  * tells of the first one, so that whoever counts them then is over its bound by 15.
  */
-final class Acceptance extends DefaultMaxMessagesRecvByteBufAllocator {
+final class AcceptBatchLimiter extends DefaultMaxMessagesRecvByteBufAllocator {
     /** Netty's own; the loop's other sockets wait meanwhile. */
     private static final int MOST = 16;
 
     private final IntSupplier places;
 
     /** Takes so many as {@code places} says just before; one, where it is asked at all. */
-    Acceptance(IntSupplier places) {
+    AcceptBatchLimiter(IntSupplier places) {
         this.places = places;
     }
 
--- a/src/main/java/rushpin/net/AnswerHandler.java
+++ b/src/main/java/rushpin/net/AnswerHandler.java
@@ -26,7 +26,7 @@
 
     private final int most;
     private final long longest;
-    private final Body body;
+    private final BodyBuffer body;
     private HttpResponse head;
     private int informational;
     private boolean spoilt;
@@ -44,7 +44,7 @@
     protected AnswerHandler(int most, long longest) {
         this.most = most;
         this.longest = longest;
-        body = new Body(most);
+        body = new BodyBuffer(most);
     }
 
     /** A whole answer came; the body stays the caller's. */
--- a/src/main/java/rushpin/net/Body.java
+++ b/src/main/java/rushpin/net/BodyBuffer.java
@@ -4,13 +4,13 @@
 import io.netty.buffer.Unpooled;
 
 /** Puts a message's body together, up to a bound. The copy lets go of what it was read into. */
-final class Body {
+final class BodyBuffer {
     private static final int FIRST = 256;
 
     private final int most;
     private ByteBuf bytes = Unpooled.EMPTY_BUFFER;
 
-    Body(int most) {
+    BodyBuffer(int most) {
         this.most = most;
     }
 
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -57,7 +57,7 @@
     private static final int READ = 8 * 1024, MOST_AHEAD = ServerPool.MOST_BODY;
     /** How much of a body is kept, so that it can be sent again; the rest of a longer one goes through. */
     private static final int MOST_KEPT = 256 * 1024, LEAST_KEPT = 16 * 1024;
-    /** How long a connection may stand idle, how often this and each request's {@link Pace} is looked at. */
+    /** How long a connection may stand idle, how often this and each request's {@link RequestReadTimeout} is looked at. */
     private static final long MS = 1_000_000L, IDLE = 2_000 * MS, SWEEP = 250 * MS;
     /** How long a client that is answered early may go on sending what nobody reads. */
     private static final long LINGER = 1_000 * MS;
@@ -217,7 +217,7 @@
 
     private ServerBootstrap accepting(ServerBootstrap bootstrap) {
         return bootstrap
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new Acceptance(this::places))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new AcceptBatchLimiter(this::places))
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRegistered(ChannelHandlerContext context) {
@@ -496,14 +496,14 @@
     /** A client's connection: one request at a time; what comes behind it waits undecoded. */
     private final class Session extends SimpleChannelInboundHandler<HttpObject> {
         private final RequestDecoder decoder = new RequestDecoder(this::arrived, this::arrivedAfter, turns != null);
-        private final Body body = new Body(MOST_KEPT);
+        private final BodyBuffer body = new BodyBuffer(MOST_KEPT);
         private final Channel channel;
         private HttpRequest head;
         private Reply current;
         /** Where the rest of a body goes that is longer than is kept, else null. */
         private BodyStream upload;
 
-        private final Pace pace = new Pace();
+        private final RequestReadTimeout pace = new RequestReadTimeout();
         private long length;
         /** {@code begun}: a part of a request has come; {@code asked}: a whole one has, ever. */
         private boolean begun, asked, keepAlive, closing;
@@ -522,11 +522,11 @@
         /** Bytes that a turn has left as the beginning of something: no reason for another turn. */
         private int decoded, handled;
 
-        private final Arrival arrival;
+        private final EarliestArrival arrival;
 
         Session(Channel channel) {
             this.channel = channel;
-            arrival = new Arrival(watch, waitingSince(channel));
+            arrival = new EarliestArrival(watch, waitingSince(channel));
         }
 
         private long arrivedAfter() {
@@ -545,7 +545,7 @@
 
         /** How old the request is, at most, whose last byte has just been decoded; 0 for hardly. */
         private long age() {
-            long age = Arrival.age(decoder.arrivedAfter());
+            long age = EarliestArrival.age(decoder.arrivedAfter());
             return age < NEGLIGIBLE_AGE ? 0 : age;
         }
 
@@ -962,7 +962,7 @@
             }
             boolean close = last;
             reply.passage = passage;
-            Giving giving = new Giving(reply.of.deadlineNanos(), node.now());
+            ResponseStallDetector giving = new ResponseStallDetector(reply.of.deadlineNanos(), node.now());
             if (size < 0) {
                 reply.watch(giving);
             }
@@ -1111,7 +1111,7 @@
             }
 
             /** An answer that stops on its way ends with its client's time. */
-            void watch(Giving giving) {
+            void watch(ResponseStallDetector giving) {
                 long left = giving.left(node.now());
                 if (left == 0) {
                     cut(this);
--- a/src/main/java/rushpin/net/Arrival.java
+++ b/src/main/java/rushpin/net/EarliestArrival.java
@@ -4,7 +4,7 @@
  * After which moment what is read now from one socket can only have arrived. While the loop polls the socket that is what
  * the loop's watch says; what came while nobody did may be as old as the time at which that began.
  */
-final class Arrival {
+final class EarliestArrival {
     /** Before anything that this process knows of. */
     static final long UNKNOWN = Long.MIN_VALUE;
 
@@ -14,7 +14,7 @@
     private long polledFrom;
 
     /** A connection that waited to be accepted since a moment; the next pass polls it. */
-    Arrival(LoopWatch watch, long waitingSince) {
+    EarliestArrival(LoopWatch watch, long waitingSince) {
         this.watch = watch;
         unpolledSince = waitingSince;
         polledFrom = watch.passes() + 1;
--- a/src/main/java/rushpin/net/ListeningChannel.java
+++ b/src/main/java/rushpin/net/ListeningChannel.java
@@ -15,8 +15,8 @@
     /** Whether the last look at the queue left connections in it, and since when at most the first of them has waited. */
     private boolean left;
 
-    private long waitingSince = Arrival.UNKNOWN;
-    private Arrival arrival;
+    private long waitingSince = EarliestArrival.UNKNOWN;
+    private EarliestArrival arrival;
     /** When those were accepted that a full queue's length ago were; empty where nobody knows how long the queue is. */
     private final long[] acceptedAt;
 
@@ -43,10 +43,10 @@
 
     /** It has been registered with the loop: the next pass polls it. */
     void registered() {
-        arrival = new Arrival(watch, isShared ? Arrival.UNKNOWN : watch.readUntil());
+        arrival = new EarliestArrival(watch, isShared ? EarliestArrival.UNKNOWN : watch.readUntil());
     }
 
-    /** After which moment the connection that was accepted last began to wait; {@link Arrival#UNKNOWN} if nobody can tell. */
+    /** After which moment the connection that was accepted last began to wait; {@link EarliestArrival#UNKNOWN} if nobody can tell. */
     long waitingSince() {
         return waitingSince;
     }
--- a/src/main/java/rushpin/net/Pace.java
+++ b/src/main/java/rushpin/net/RequestReadTimeout.java
@@ -4,7 +4,7 @@
  * Whether a client sends its request fast enough: a span for the head, then a least rate for the body, and no silence
  * longer than that span. Time in which it is kept from sending is not its own. Time comes as an argument; no I/O.
  */
-final class Pace {
+final class RequestReadTimeout {
     /** Nanoseconds for a head, and of silence; bytes a millisecond of a body at least. */
     static final long SPAN = 2_500_000_000L, LEAST_RATE = 40;
 
--- a/src/main/java/rushpin/net/RequestReader.java
+++ b/src/main/java/rushpin/net/RequestReader.java
@@ -69,7 +69,7 @@
         int siblings = settings.siblings();
         long waits = Math.max(MS, span * MS - ANSWER_MARGIN);
         // Its client's time counts from its last byte: until that is there, the latest moment at which it may be.
-        long coming = rest == null ? 0 : length < 0 ? UNKNOWN : (length - body.readableBytes()) * MS / Pace.LEAST_RATE;
+        long coming = rest == null ? 0 : length < 0 ? UNKNOWN : (length - body.readableBytes()) * MS / RequestReadTimeout.LEAST_RATE;
         Request request = new Request(
                 id,
                 requestClass,
--- a/src/main/java/rushpin/net/Giving.java
+++ b/src/main/java/rushpin/net/ResponseStallDetector.java
@@ -6,7 +6,7 @@
  * time, that the answer failed; one that stays open loses the request. What is longer has met its time with its first bytes,
  * and goes on for as long as its app server gives. Time comes as an argument; no I/O.
  */
-final class Giving {
+final class ResponseStallDetector {
     /** Bytes up to which an answer's last byte is timed (the operators' page on size). */
     static final int SHORT = 64 * 1024;
     /**
@@ -19,7 +19,7 @@
     private long given, last;
 
     /** An answer whose client waits until {@code due} begins to go through. */
-    Giving(long due, long now) {
+    ResponseStallDetector(long due, long now) {
         this.due = due;
         last = now;
     }
--- a/src/test/java/rushpin/net/ArrivalTest.java
+++ b/src/test/java/rushpin/net/EarliestArrivalTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How old what is read may be: never taken for younger than it is. */
-class ArrivalTest {
+class EarliestArrivalTest {
     private static final long MS = 1_000_000L;
 
     private static void pass(LoopWatch watch, long at) {
@@ -25,7 +25,7 @@
         LoopWatch watch = new LoopWatch(0, Runnable::run);
         pass(watch, 100);
         watch.pollBegins(200);
-        Arrival arrival = new Arrival(watch, 40);
+        EarliestArrival arrival = new EarliestArrival(watch, 40);
         assertEquals(40, arrival.after());
         watch.socketsRead();
         watch.pollBegins(300);
@@ -37,15 +37,15 @@
 
     @Test
     void whatNobodyKnowsIsOlderThanAnything() {
-        Arrival arrival = new Arrival(new LoopWatch(0, Runnable::run), Arrival.UNKNOWN);
-        assertEquals(Long.MAX_VALUE, Arrival.age(arrival.after()));
+        EarliestArrival arrival = new EarliestArrival(new LoopWatch(0, Runnable::run), EarliestArrival.UNKNOWN);
+        assertEquals(Long.MAX_VALUE, EarliestArrival.age(arrival.after()));
     }
 
     /** Guards against what came while a connection was not read from, and counted as new. */
     @Test
     void whatCameWhileNothingWasReadIsAsOldAsThat() {
         LoopWatch watch = new LoopWatch(0, Runnable::run);
-        Arrival arrival = new Arrival(watch, 0);
+        EarliestArrival arrival = new EarliestArrival(watch, 0);
         pass(watch, 100);
         pass(watch, 200);
         pass(watch, 300);
@@ -103,7 +103,7 @@
     void theBoundCoversEachStopAndEndsWithTheNextPass(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         LoopWatch watch = new LoopWatch(0, Runnable::run);
-        Arrival arrival = new Arrival(watch, 0);
+        EarliestArrival arrival = new EarliestArrival(watch, 0);
         long now = 0, polled = 0, polledBefore = 0;
         for (int i = 0; i < 200; i++) {
             now += random.nextInt(4) == 0 ? random.nextLong(5_000 * MS) : random.nextLong(30 * MS);
--- a/src/test/java/rushpin/net/ListeningChannelTest.java
+++ b/src/test/java/rushpin/net/ListeningChannelTest.java
@@ -64,7 +64,7 @@
         watch.pollBegins(100);
         waiting = 1;
         queue.next(listening);
-        assertEquals(Arrival.UNKNOWN, queue.waitingSince());
+        assertEquals(EarliestArrival.UNKNOWN, queue.waitingSince());
         queue.next(listening);
         watch.socketsRead();
         pass(200);
--- a/src/test/java/rushpin/net/PaceTest.java
+++ b/src/test/java/rushpin/net/RequestReadTimeoutTest.java
@@ -5,9 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class PaceTest {
+class RequestReadTimeoutTest {
     private static final long MS = 1_000_000L;
-    private final Pace pace = new Pace();
+    private final RequestReadTimeout pace = new RequestReadTimeout();
 
     @Test
     void aHeadHasItsSpan() {
--- a/src/test/java/rushpin/net/GivingTest.java
+++ b/src/test/java/rushpin/net/ResponseStallDetectorTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /** When an answer that stops on its way is broken off. */
-class GivingTest {
+class ResponseStallDetectorTest {
     private static final long MS = 1_000_000L, DUE = 2_000 * MS;
 
     @Test
     void nothingIsBrokenOffBeforeItsClientsTimeIsUp() {
-        Giving still = new Giving(DUE, 300 * MS);
+        ResponseStallDetector still = new ResponseStallDetector(DUE, 300 * MS);
         assertEquals(DUE - 300 * MS, still.left(300 * MS));
         assertEquals(1, still.left(DUE - 1));
         assertEquals(0, still.left(DUE));
@@ -20,8 +20,8 @@
 
     @Test
     void whatHasPassedTheShortOnesLengthGoesOn() {
-        Giving more = new Giving(DUE, 0);
-        more.gave(Giving.SHORT, 1);
+        ResponseStallDetector more = new ResponseStallDetector(DUE, 0);
+        more.gave(ResponseStallDetector.SHORT, 1);
         assertEquals(0, more.left(DUE));
         more.gave(1, 2);
         assertEquals(-1, more.left(DUE + 60_000 * MS));
@@ -32,7 +32,7 @@
     void anEndComesASilenceAfterTheLastByte() {
         for (long seed = 0; seed < 500; seed++) {
             Random random = new Random(seed);
-            Giving giving = new Giving(DUE, 0);
+            ResponseStallDetector giving = new ResponseStallDetector(DUE, 0);
             long last = 0, at = 0, looks = 0;
             long next = giving.left(0);
             int pieces = random.nextInt(40);
@@ -51,7 +51,7 @@
             for (; giving.left(next) > 0; looks++) {
                 next += giving.left(next);
             }
-            assertEquals(Math.max(DUE, last + Giving.SILENCE), next, "seed " + seed);
+            assertEquals(Math.max(DUE, last + ResponseStallDetector.SILENCE), next, "seed " + seed);
             assertTrue(looks <= pieces + 2, "seed " + seed + ": looked at " + looks + " times");
         }
     }
