--- a/src/main/java/rushpin/net/AcceptBatchLimiter.java
+++ b/src/main/java/rushpin/net/AcceptBatchLimiter.java
@@ -6,18 +6,23 @@
 import java.util.function.IntSupplier;
 
 /**
- * How many connections a listening socket takes in one go: as many as there are places, {@value #MOST} at most. Netty takes up to 16 before it
- * tells of the first one, so that whoever counts them then is over its bound by 15.
+ * Limits how many connections a listening socket accepts in one batch: to the free connections, and to {@value
+ * #MAX_BATCH}. Netty accepts up to 16 before it announces the first one, so a limit that is checked only then is
+ * exceeded by up to 15.
  */
 final class AcceptBatchLimiter extends DefaultMaxMessagesRecvByteBufAllocator {
-    /** Netty's own; the loop's other sockets wait meanwhile. */
-    private static final int MOST = 16;
-
-    private final IntSupplier places;
-
-    /** Takes so many as {@code places} says just before; one, where it is asked at all. */
-    AcceptBatchLimiter(IntSupplier places) {
-        this.places = places;
+    /** Netty's own limit; the loop's other sockets wait meanwhile. */
+    private static final int MAX_BATCH = 16;
+
+    private final IntSupplier freeConnections;
+
+    /**
+     * Accepts as many connections as are free when a batch begins; one at least if it is asked at all.
+     *
+     * @param freeConnections how many more connections may be opened
+     */
+    AcceptBatchLimiter(IntSupplier freeConnections) {
+        this.freeConnections = freeConnections;
     }
 
     @Override
@@ -25,23 +30,23 @@
     public RecvByteBufAllocator.Handle newHandle() {
         return new MaxMessageHandle() {
             private ChannelConfig config;
-            private int left;
+            private int remaining;
 
             @Override
-            public void reset(ChannelConfig of) {
-                super.reset(of);
-                config = of;
-                left = Math.min(MOST, places.getAsInt());
+            public void reset(ChannelConfig channelConfig) {
+                super.reset(channelConfig);
+                config = channelConfig;
+                remaining = Math.min(MAX_BATCH, freeConnections.getAsInt());
             }
 
             @Override
             public boolean continueReading() {
-                return --left > 0 && config.isAutoRead();
+                return --remaining > 0 && config.isAutoRead();
             }
 
             @Override
             public int guess() {
-                // Connections are taken, no bytes read.
+                // Connections are accepted; no bytes are read.
                 return 0;
             }
         };
--- a/src/main/java/rushpin/net/Acceptor.java
+++ b/src/main/java/rushpin/net/Acceptor.java
@@ -4,16 +4,16 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** Accepts connections. One that was aborted while it waited is no failure of the listening socket: the next one is accepted. */
+/** Accepts connections; one that was aborted in the backlog is skipped, since the listening socket has not failed. */
 final class Acceptor {
-    /** How often one call tries; then the loop's other sockets come first. */
-    static final int MOST_TRIES = 16;
-    /** What the C library says of ECONNABORTED; where it says it in another language it counts as any other failure. */
+    /** Attempts of one call; after that the loop's other sockets come first. */
+    static final int MAX_ATTEMPTS = 16;
+    /** In the C library's text for ECONNABORTED; in another language the failure is treated like any other. */
     private static final String ABORTED = "connection abort";
 
-    /** The system's accept. */
+    /** The accept call; tests replace it. */
     interface Source {
-        /** The next connection, or null if none waits. */
+        /** Accepts the next connection, or returns null if the backlog is empty. */
         SocketChannel accept(ServerSocketChannel listening) throws IOException;
     }
 
@@ -23,13 +23,13 @@
         this.source = source;
     }
 
-    /** The next connection, or null if none waits; a failure if it is none of that one connection only. */
+    /** Accepts the next connection, or returns null if the backlog is empty; throws if the socket itself fails. */
     SocketChannel accept(ServerSocketChannel listening) throws IOException {
-        for (int tries = 1; ; tries++) {
+        for (int attempt = 1; ; attempt++) {
             try {
                 return source.accept(listening);
             } catch (IOException e) {
-                if (tries == MOST_TRIES || !isAborted(e)) {
+                if (attempt == MAX_ATTEMPTS || !isAborted(e)) {
                     throw e;
                 }
             }
--- a/src/main/java/rushpin/net/BodyBuffer.java
+++ b/src/main/java/rushpin/net/BodyBuffer.java
@@ -3,37 +3,37 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 
-/** Puts a message's body together, up to a bound. The copy lets go of what it was read into. */
+/** Buffers a message's body up to a maximum size. Copies, so that the buffers it was read into can be released. */
 final class BodyBuffer {
-    private static final int FIRST = 256;
+    private static final int INITIAL_CAPACITY = 256;
 
-    private final int most;
+    private final int maxBytes;
     private ByteBuf bytes = Unpooled.EMPTY_BUFFER;
 
-    BodyBuffer(int most) {
-        this.most = most;
+    BodyBuffer(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     int size() {
         return bytes.readableBytes();
     }
 
-    /** Adds a part; false, with nothing added, if that is too much. */
-    boolean add(ByteBuf part) {
-        int length = part.readableBytes();
-        if (size() + length > most) {
+    /** Appends a chunk; returns false, and appends nothing, if the maximum would be exceeded. */
+    boolean add(ByteBuf chunk) {
+        int length = chunk.readableBytes();
+        if (size() + length > maxBytes) {
             return false;
         }
         if (length > 0) {
             if (!bytes.isReadable()) {
-                bytes = Unpooled.buffer(Math.max(FIRST, length));
+                bytes = Unpooled.buffer(Math.max(INITIAL_CAPACITY, length));
             }
-            bytes.writeBytes(part, part.readerIndex(), length);
+            bytes.writeBytes(chunk, chunk.readerIndex(), length);
         }
         return true;
     }
 
-    /** Hands the whole body over and begins anew. */
+    /** Returns the body, which the caller then owns, and empties the buffer. */
     ByteBuf take() {
         ByteBuf whole = bytes;
         bytes = Unpooled.EMPTY_BUFFER;
--- a/src/main/java/rushpin/net/BodyStream.java
+++ b/src/main/java/rushpin/net/BodyStream.java
@@ -6,80 +6,93 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A body that is not kept: pieces go from the peer that sends to the one that takes, and no more of them are on the way
- * than {@value #MOST} bytes and one read, or its even part of a {@link Room}. The sides may live on different loops; each
- * calls and is called on its own. Every piece is released, whoever ends first.
+ * Streams a body that is not buffered from the peer that sends it to the peer that receives it, with backpressure: no
+ * more than {@value #MAX_IN_FLIGHT} bytes and one read are in flight, or an equal part of a {@link BufferBudget} if
+ * that is less. The two sides may be on different event loops; each calls, and is called, on its own. Every chunk is
+ * released, whichever side ends first.
  */
 public final class BodyStream {
-    /** Bytes on the way at which a sender is no longer read from, where there is room, and where there is none. */
-    static final int MOST = 32 * 1024, LEAST = 4 * 1024;
-    /** Nanoseconds for which nothing may move, and for which it may last in all. */
-    private static final long STILL = 10_000_000_000L, LASTS = 1_000_000_000_000L;
-    /** The longest that goes through. */
+    /** Bytes in flight at which reading from the sender stops while the budget has room. */
+    static final int MAX_IN_FLIGHT = 32 * 1024;
+
+    /** The same once the budget is used up. */
+    static final int MIN_IN_FLIGHT = 4 * 1024;
+    /** Maximum time without progress. */
+    private static final long STALL_TIMEOUT_NANOS = 10_000_000_000L;
+
+    /** Maximum duration of a stream. */
+    private static final long MAX_DURATION_NANOS = 1_000_000_000_000L;
+
+    /** The longest body that is streamed, in bytes. */
     static final long MAX_LENGTH = 40_000_000L;
 
-    /** What all passages of a process may have on the way together. Any thread. */
-    static final class Room {
-        private final long most;
+    /** Limits the bytes that all streams of a process have in flight together; may be used from any thread. */
+    static final class BufferBudget {
+        private final long capacity;
         private final AtomicInteger open = new AtomicInteger();
 
-        Room(long most) {
-            this.most = most;
+        BufferBudget(long capacity) {
+            this.capacity = capacity;
         }
 
-        private int part() {
-            return (int) Math.max(LEAST, Math.min(MOST, most / Math.max(1, open.get())));
+        private int perStream() {
+            return (int) Math.max(MIN_IN_FLIGHT, Math.min(MAX_IN_FLIGHT, capacity / Math.max(1, open.get())));
         }
 
-        /** How many passages have something on the way, or may have. */
+        /** The number of streams that have bytes in flight, or may have. */
         int open() {
             return open.get();
         }
     }
 
-    /** Who sends. */
+    /** The side that sends. */
     interface Source {
-        /** Whether more is wanted now. */
+        /** Resumes reading if {@code go}, otherwise pauses it. */
         void flow(boolean go);
 
-        /** Nothing more is wanted, ever: the taker has gone. */
+        /** Nothing more will be read: the receiver has stopped the stream. */
         void stopped();
     }
 
-    /** Who takes. */
+    /** The side that receives. */
     interface Sink {
-        /** Takes a piece over; {@link BodyStream#written} follows once it is written. */
-        void piece(ByteBuf piece);
+        /** Takes over a chunk; calls {@link BodyStream#written} once it is written. */
+        void piece(ByteBuf chunk);
 
-        /** No more pieces come; {@code whole} if that is all of it, else the sender broke off. */
+        /** No more chunks come; {@code whole} if the body is complete, otherwise the sender broke off. */
         void end(boolean whole);
     }
 
-    private final EventLoop sending, taking;
+    private final EventLoop senderLoop;
+    private final EventLoop receiverLoop;
     private final Source source;
-    private final Room room;
-    private final long began = System.nanoTime();
-    /** On the sender's loop. */
-    private int onTheWay;
-
-    private boolean paused, ended, left;
-    /** Read from the taker's loop too. */
+    private final BufferBudget budget;
+    private final long startedAt = System.nanoTime();
+    /** Bytes in flight; like the flags below it belongs to the sender's loop. */
+    private int inFlight;
+
+    private boolean paused;
+    private boolean ended;
+    private boolean budgetReleased;
+    /** When bytes last moved; also read on the receiver's loop. */
     private volatile long progress = System.nanoTime();
-    /** On the taker's loop. */
-    private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+    /** Chunks that came before a sink was attached; like the fields below it belongs to the receiver's loop. */
+    private final ArrayDeque<ByteBuf> pending = new ArrayDeque<>();
 
     private Sink sink;
-    private boolean last, whole, over;
-
-    BodyStream(EventLoop sending, Source source, EventLoop taking, Room room) {
-        this.room = room;
-        room.open.incrementAndGet();
-        this.sending = sending;
+    private boolean lastReceived;
+    private boolean complete;
+    private boolean finished;
+
+    BodyStream(EventLoop senderLoop, Source source, EventLoop receiverLoop, BufferBudget budget) {
+        this.budget = budget;
+        budget.open.incrementAndGet();
+        this.senderLoop = senderLoop;
         this.source = source;
-        this.taking = taking;
+        this.receiverLoop = receiverLoop;
     }
 
-    private static void on(EventLoop loop, Runnable task) {
+    private static void runOn(EventLoop loop, Runnable task) {
         if (loop.inEventLoop()) {
             task.run();
         } else {
@@ -87,106 +100,106 @@
         }
     }
 
-    /** The sender's: hands over a piece. */
-    void push(ByteBuf piece) {
-        int size = piece.readableBytes();
+    /** Hands over a chunk; called by the sender. */
+    void push(ByteBuf chunk) {
+        int size = chunk.readableBytes();
         if (ended || size == 0) {
-            piece.release();
+            chunk.release();
             return;
         }
-        onTheWay += size;
+        inFlight += size;
         progress = System.nanoTime();
-        if (onTheWay >= room.part() && !paused) {
+        if (inFlight >= budget.perStream() && !paused) {
             paused = true;
             source.flow(false);
         }
-        on(taking, () -> arrive(piece));
+        runOn(receiverLoop, () -> receive(chunk));
     }
 
-    /** The sender's: that was all, or it broke off. */
-    void end(boolean complete) {
+    /** Ends the stream, with the body complete or broken off; called by the sender. */
+    void end(boolean whole) {
         if (!ended) {
             ended = true;
-            leave();
-            on(taking, () -> {
-                last = true;
-                whole = complete;
+            releaseBudget();
+            runOn(receiverLoop, () -> {
+                lastReceived = true;
+                complete = whole;
                 finish();
             });
         }
     }
 
-    /** It has ended, and nothing of it is on the way any more. */
-    private void leave() {
-        if (ended && onTheWay == 0 && !left) {
-            left = true;
-            room.open.decrementAndGet();
+    /** Gives the stream's part of the budget back once it has ended and nothing is in flight any more. */
+    private void releaseBudget() {
+        if (ended && inFlight == 0 && !budgetReleased) {
+            budgetReleased = true;
+            budget.open.decrementAndGet();
         }
     }
 
-    /** Whether nothing has moved for long, on either side, or it lasts for too long; from any thread. */
+    /** Whether there was no progress for too long, or the stream lasts too long; may be called from any thread. */
     boolean isStuck() {
         long now = System.nanoTime();
-        return now - progress > STILL || now - began > LASTS;
+        return now - progress > STALL_TIMEOUT_NANOS || now - startedAt > MAX_DURATION_NANOS;
     }
 
-    private void arrive(ByteBuf piece) {
-        if (over) {
-            int size = piece.readableBytes();
-            piece.release();
+    private void receive(ByteBuf chunk) {
+        if (finished) {
+            int size = chunk.readableBytes();
+            chunk.release();
             written(size);
         } else if (sink == null) {
-            waiting.add(piece);
+            pending.add(chunk);
         } else {
-            sink.piece(piece);
+            sink.piece(chunk);
         }
     }
 
     private void finish() {
-        if (last && sink != null && !over) {
-            over = true;
-            sink.end(whole);
+        if (lastReceived && sink != null && !finished) {
+            finished = true;
+            sink.end(complete);
         }
     }
 
-    /** The taker's: from now on pieces go there, those that wait first. */
-    void attach(Sink to) {
-        if (over) {
+    /** Sets where chunks go, the pending ones first; called by the receiver. */
+    void attach(Sink receiver) {
+        if (finished) {
             return;
         }
-        sink = to;
-        while (!waiting.isEmpty() && !over) {
-            to.piece(waiting.poll());
+        sink = receiver;
+        while (!pending.isEmpty() && !finished) {
+            receiver.piece(pending.poll());
         }
         finish();
     }
 
-    /** The taker's: so much was written. */
+    /** Reports that bytes were written; called by the receiver. */
     void written(int bytes) {
-        on(sending, () -> {
-            onTheWay -= bytes;
+        runOn(senderLoop, () -> {
+            inFlight -= bytes;
             progress = System.nanoTime();
-            if (paused && onTheWay < room.part() / 2 && !ended) {
+            if (paused && inFlight < budget.perStream() / 2 && !ended) {
                 paused = false;
                 source.flow(true);
             }
-            leave();
+            releaseBudget();
         });
     }
 
-    /** The taker's: nothing more is wanted. */
+    /** Stops the stream and drops the rest; called by the receiver. */
     public void stop() {
-        over = true;
+        finished = true;
         int dropped = 0;
-        while (!waiting.isEmpty()) {
-            dropped += waiting.peek().readableBytes();
-            waiting.poll().release();
+        while (!pending.isEmpty()) {
+            dropped += pending.peek().readableBytes();
+            pending.poll().release();
         }
         written(dropped);
-        on(sending, () -> {
+        runOn(senderLoop, () -> {
             if (!ended) {
                 ended = true;
-                leave();
+                releaseBudget();
                 source.stopped();
             }
         });
--- a/src/main/java/rushpin/net/ByteBudget.java
+++ b/src/main/java/rushpin/net/ByteBudget.java
@@ -1,42 +1,44 @@
 package rushpin.net;
 
 /**
- * The bytes that clients' requests may hold over all connections together: each connection's own bound does not
- * keep a thousand of them from outgrowing the memory.
+ * Limits the bytes that requests of all client connections hold together: a limit for each connection would not keep a
+ * thousand of them from exhausting the memory.
  */
 public final class ByteBudget {
-    /** Usual requests are small. They have the last quarter to themselves. */
-    private static final int SMALL = 4 * 1024;
+    /** Requests up to this size are usual; the last quarter of the budget is kept for them. */
+    private static final int SMALL_REQUEST = 4 * 1024;
 
-    private static final long LEAST = 1L << 20, MOST = 8L << 20;
+    private static final long MIN_CAPACITY = 1L << 20;
+    private static final long MAX_CAPACITY = 8L << 20;
 
     private final long capacity;
     private long used;
 
-    /** A sixteenth of the memory, within bounds. */
+    /** Creates the budget of a process with the given memory, in bytes. */
     public ByteBudget(long memory) {
         capacity = capacity(memory);
     }
 
-    /** How many bytes a process of so much memory may hold. */
+    /** The bytes that requests may hold in a process with the given memory: a sixteenth, from 1 to 8 MiB. */
     public static long capacity(long memory) {
-        return Math.max(LEAST, Math.min(MOST, memory / 16));
+        return Math.max(MIN_CAPACITY, Math.min(MAX_CAPACITY, memory / 16));
     }
 
-    /** Whether a request that holds, or will hold, so much may go on growing. */
+    /** Whether a request that holds, or will hold, this many bytes may grow further. */
     public boolean allows(long size) {
-        return used < (size > SMALL ? capacity / 4 * 3 : capacity);
+        return used < (size > SMALL_REQUEST ? capacity / 4 * 3 : capacity);
     }
 
-    /** Counts bytes taken, or given back if below 0. */
-    public void change(long by) {
-        used += by;
+    /** Adds bytes that a request holds, or subtracts released ones if negative. */
+    public void change(long delta) {
+        used += delta;
     }
 
     long capacity() {
         return capacity;
     }
 
+    /** The bytes held now. */
     public long used() {
         return used;
     }
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -50,86 +50,109 @@
 import java.util.function.Consumer;
 import rushpin.budget.Turns;
 
-/** The listening side: reads clients' requests, turns away what is none, and writes the answers. */
+/**
+ * HTTP server for clients: reads requests, rejects malformed ones, hands the others to their pool and writes the
+ * responses.
+ */
 public final class ClientServer {
     private static final int BACKLOG = 512;
-    /** How much of one read, and how much that came ahead of its turn, a connection holds. */
-    private static final int READ = 8 * 1024, MOST_AHEAD = ServerPool.MOST_BODY;
-    /** How much of a body is kept, so that it can be sent again; the rest of a longer one goes through. */
-    private static final int MOST_KEPT = 256 * 1024, LEAST_KEPT = 16 * 1024;
-    /** How long a connection may stand idle, how often this and each request's {@link RequestReadTimeout} is looked at. */
-    private static final long MS = 1_000_000L, IDLE = 2_000 * MS, SWEEP = 250 * MS;
-    /** How long a client that is answered early may go on sending what nobody reads. */
-    private static final long LINGER = 1_000 * MS;
-    /** An answer up to this size has left with its write; a longer one is given so long to be taken before the close. */
-    private static final int SENT_AT_ONCE = 8 * 1024;
-
-    private static final long DELIVERED = 1_000 * MS;
-    /** A look that comes so late was kept from it by more than a busy loop. */
-    private static final long STOOD = 4 * SWEEP;
-    /** Loaded with this class: where no descriptor is left a class that stands in a folder can't be. */
-    private static final Class<?> TOLD_BY = ErrorLog.class;
-    /** How soon accepting is tried again where it failed. */
-    private static final long AGAIN = 250 * MS;
+    /** Maximum size of one read. */
+    private static final int READ_BUFFER_BYTES = 8 * 1024;
+    /** How many bytes of pipelined requests a connection may hold undecoded. */
+    private static final int MAX_PIPELINED_BYTES = ServerPool.MOST_BODY;
+    /** How much of a body is buffered, so that it can be sent again; the rest of a longer body is streamed. */
+    private static final int MAX_BUFFERED_BODY = 256 * 1024;
+    /** How much of a body is buffered before it may be streamed where the budget has no room for more. */
+    private static final int MIN_BUFFERED_BODY = 16 * 1024;
+
+    private static final long MS = 1_000_000L;
+    /** How long a connection may be idle. */
+    private static final long IDLE_TIMEOUT_NANOS = 2_000 * MS;
+    /** How often the idle timeout and each request's {@link RequestReadTimeout} are checked. */
+    private static final long SWEEP_INTERVAL_NANOS = 250 * MS;
+    /** How long the rest of a body is read and dropped after an early response, before the connection is closed. */
+    private static final long LINGER_NANOS = 1_000 * MS;
+    /** Responses up to this size are taken to be sent once written; after a longer one the close is delayed. */
+    private static final int SMALL_RESPONSE_BYTES = 8 * 1024;
+    /** How long a client may take to read the rest of a longer response before the connection is closed. */
+    private static final long DELIVERY_TIMEOUT_NANOS = 1_000 * MS;
+    /** A sweep that is late by this much means that the process was stalled, not just that the loop was busy. */
+    private static final long STALL_NANOS = 4 * SWEEP_INTERVAL_NANOS;
+    /** Loads the class together with this one: without a free descriptor no class can be read from a directory. */
+    private static final Class<?> PRELOADED_ERROR_LOG = ErrorLog.class;
+    /** Delay before accepting is retried after a failure. */
+    private static final long ACCEPT_RETRY_NANOS = 250 * MS;
     /**
-     * What waited for less, nanoseconds, counts as read when it came: a client's leaving binds after twice as long, and
-     * servers are told a deadline that is earlier by as much.
+     * A request that has waited for less counts as new. A client's disconnect has to be respected after twice this
+     * time, and servers are sent a deadline that is earlier by this time.
      */
-    private static final long NEGLIGIBLE_AGE = 50 * MS;
-    /** The same at the end, when what waits in the queue is taken: how soon, and how often in all. */
-    private static final long TAKE_AGAIN = 5 * MS;
-
-    private static final int MOST_TAKES = 20;
-    /** For how long requests are decoded before the loop looks at its sockets again. */
-    private static final long SLICE = MS;
+    private static final long NEGLIGIBLE_AGE_NANOS = 50 * MS;
+    /** Delay between attempts to accept the backlog before the listening socket is closed. */
+    private static final long BACKLOG_RETRY_NANOS = 5 * MS;
+    /** Number of these attempts. */
+    private static final int MAX_BACKLOG_ATTEMPTS = 20;
+    /** How long requests are decoded before the loop polls its sockets again. */
+    private static final long TURN_SLICE_NANOS = MS;
     /**
-     * On the platform SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more after SIGTERM, of
-     * which 0.3 s are left for hearing of it late.
+     * Time beyond a request's timeout in which a drain must answer it. On the platform SIGKILL follows SIGTERM no
+     * sooner than the longest deadline (at most 3 s) plus 0.7 s, of which 0.3 s are kept for receiving SIGTERM late.
      */
-    private static final long DRAIN_TAKES = 400_000_000L, DRAIN_WAITS = 3_000_000_000L;
+    private static final long DRAIN_MARGIN_NANOS = 400_000_000L;
+    /** The longest timeout that a drain waits for. */
+    private static final long MAX_DRAIN_TIMEOUT_NANOS = 3_000_000_000L;
 
     private final ServerCallbacks node;
     private final EventLoop loop;
     private final SocketAddress listen;
     private final ByteBudget budget;
-    private final BodyStream.Room room;
+    private final BodyStream.BufferBudget streamBudget;
     private final Set<Session> sessions = new LinkedHashSet<>();
-    private final int most, mostKept;
-    /** Where several pools share this loop: whose connection is read next; else null, and each is as it comes. */
+    private final int maxClients;
+    /** Connections that may be idle before responses close theirs. */
+    private final int maxIdle;
+    /**
+     * With several pools on this loop, decides whose connection is decoded next; otherwise null, and each is decoded
+     * when read.
+     */
     private final Turns<Session> turns;
 
     private final LoopWatch watch;
-    private long swept = System.nanoTime();
-    private boolean turning;
-    /** Connections that ended since the loop's last look at its sockets. */
-    private int gone;
-    /** When it was last said that a connection could not be taken. */
-    private long untaken = System.nanoTime() - 2 * AGAIN;
-    /** Accepting has failed, and goes on in a moment. */
-    private boolean pausing;
-
-    private Channel listening;
+    private long lastSweepAt = System.nanoTime();
+    private boolean turnScheduled;
+    /** Connections that were closed since the loop's last select. */
+    private int closedSinceSelect;
+    /** When a failed accept was last logged. */
+    private long acceptFailureLoggedAt = System.nanoTime() - 2 * ACCEPT_RETRY_NANOS;
+    /** Whether a retry of a failed accept is scheduled. */
+    private boolean acceptRetryScheduled;
+
+    private Channel listeningChannel;
     private final Acceptor acceptor;
-    /** The listening socket if it is this process's own, be it beside others' at the same address; else null. */
-    private ServerSocketChannel own;
+    /** The listening socket if this process opened it, alone or with SO_REUSEPORT; otherwise null. */
+    private ServerSocketChannel ownSocket;
 
     private boolean draining;
-    private long drainingSince;
-    private boolean stopped;
-    /** The listening socket is let go of: what waits in its queue is yet to be taken. */
-    private boolean letting;
+    private long drainStartedAt;
+    private boolean acceptingStopped;
+    /** Whether the listening socket is being deregistered and its backlog is still to be accepted. */
+    private boolean acceptingBacklog;
 
     /**
-     * Holds its part of {@code sockets} descriptors at most; opens nothing yet.
+     * Creates a server that opens nothing yet and holds at most its share of {@code sockets} descriptors.
      *
-     * @param byTurns whether the loop's time is dealt out to pools: a request is decoded when its pool's turn comes
+     * @param byTurns whether the loop's time is divided among pools: a request is decoded when its pool's turn comes
      */
     public ClientServer(
-            ServerCallbacks node, EventLoop loop, SocketAddress listen, int sockets, ByteBudget budget, boolean byTurns) {
+            ServerCallbacks node,
+            EventLoop loop,
+            SocketAddress listen,
+            int sockets,
+            ByteBudget budget,
+            boolean byTurns) {
         this(node, loop, listen, sockets, budget, byTurns, ServerSocketChannel::accept);
     }
 
-    /** As above; accepts by way of {@code accepts}. */
+    /** As above, with the given accept call. */
     ClientServer(
             ServerCallbacks node,
             EventLoop loop,
@@ -137,87 +160,87 @@
             int sockets,
             ByteBudget budget,
             boolean byTurns,
-            Acceptor.Source accepts) {
-        acceptor = new Acceptor(accepts);
+            Acceptor.Source acceptCall) {
+        acceptor = new Acceptor(acceptCall);
         this.node = node;
         this.budget = budget;
-        // As much again as requests may hold.
-        room = new BodyStream.Room(budget.capacity());
+        // Streams may buffer as much again as requests may hold.
+        streamBudget = new BodyStream.BufferBudget(budget.capacity());
         this.loop = loop;
         this.listen = listen;
         watch = LoopWatch.of(loop);
         turns = byTurns ? new Turns<>() : null;
-        most = Descriptors.of(sockets).clients();
-        mostKept = Math.max(4, sockets / 6);
-        // With a delay: after a stall a fixed rate would catch up with all looks that were missed, one upon the other.
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP, SWEEP, TimeUnit.NANOSECONDS);
+        maxClients = Descriptors.of(sockets).clients();
+        maxIdle = Math.max(4, sockets / 6);
+        // A fixed delay: after a stall, a fixed rate would run all the missed sweeps one after another.
+        loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_NANOS, SWEEP_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
     }
 
     private void sweep() {
-        // The process stood still: what came meanwhile is not read yet, and the clients were not the slow ones.
+        // After a stall, bytes that arrived meanwhile are not read yet, and the clients were not the slow ones.
         long now = System.nanoTime();
-        boolean stood = now - swept > STOOD;
-        swept = now;
-        if (!stood) {
-            endOverdue(now);
+        boolean stalled = now - lastSweepAt > STALL_NANOS;
+        lastSweepAt = now;
+        if (!stalled) {
+            closeTimedOut(now);
         }
     }
 
-    /** Ends what has taken too long at a moment; on the loop. */
-    void endOverdue(long now) {
+    /** Closes connections that exceed a timeout at the given time; called on the loop. */
+    void closeTimedOut(long now) {
         for (Session session : List.copyOf(sessions)) {
             try {
-                session.limit(now);
+                session.checkTimeouts(now);
             } catch (RuntimeException e) {
-                // One connection's trouble: the others are to be looked at all the same, now and later.
+                // A failure of one connection must not stop the checks of the others, nor later sweeps.
                 session.exceptionCaught(null, e);
             }
         }
     }
 
-    /** Begins to listen. */
+    /** Opens the listening socket. */
     public CompletableFuture<Void> bind() {
         return listen instanceof UnixDomainSocketAddress
-                ? told(accepting(Transport.listening(loop, listen).option(ChannelOption.SO_BACKLOG, BACKLOG))
+                ? bindResult(configure(Transport.listening(loop, listen).option(ChannelOption.SO_BACKLOG, BACKLOG))
                         .bind(listen))
                 : bindOwn(false);
     }
 
-    /** Begins to listen beside other processes at the same address; each has a queue of its own. */
+    /** Opens a listening socket with SO_REUSEPORT beside those of other processes; each has its own backlog. */
     public CompletableFuture<Void> bindReusePort() {
         return bindOwn(true);
     }
 
-    private CompletableFuture<Void> bindOwn(boolean besideOthers) {
+    private CompletableFuture<Void> bindOwn(boolean reusePort) {
         try {
-            own = ServerSocketChannel.open();
-            own.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            if (besideOthers) {
-                own.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+            ownSocket = ServerSocketChannel.open();
+            ownSocket.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            if (reusePort) {
+                ownSocket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
-            own.bind(listen, BACKLOG);
-            return acceptFrom(() -> ListeningChannel.own(own, acceptor, watch, BACKLOG));
+            ownSocket.bind(listen, BACKLOG);
+            return acceptFrom(() -> ListeningChannel.own(ownSocket, acceptor, watch, BACKLOG));
         } catch (IOException e) {
             return CompletableFuture.failedFuture(e);
         }
     }
 
-    /** Accepts at a socket that listens already, and is others' too: they share one queue. */
-    public CompletableFuture<Void> acceptFrom(ServerSocketChannel passed) {
-        return acceptFrom(() -> ListeningChannel.shared(passed, acceptor, watch));
+    /** Accepts from a listening socket that other processes share: they have one backlog in common. */
+    public CompletableFuture<Void> acceptFrom(ServerSocketChannel shared) {
+        return acceptFrom(() -> ListeningChannel.shared(shared, acceptor, watch));
     }
 
     private CompletableFuture<Void> acceptFrom(ChannelFactory<ServerChannel> queue) {
-        return told(accepting(new ServerBootstrap()
+        return bindResult(configure(new ServerBootstrap()
                         .group(loop)
                         .channelFactory(queue)
                         .childOption(ChannelOption.TCP_NODELAY, true))
                 .register());
     }
 
-    private ServerBootstrap accepting(ServerBootstrap bootstrap) {
+    private ServerBootstrap configure(ServerBootstrap bootstrap) {
         return bootstrap
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new AcceptBatchLimiter(this::places))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new AcceptBatchLimiter(this::freeConnections))
                 .handler(new ChannelInboundHandlerAdapter() {
                     @Override
                     public void channelRegistered(ChannelHandlerContext context) {
@@ -230,13 +253,14 @@
                     @Override
                     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
                         pauseAccepting(context.channel());
-                        if (System.nanoTime() - untaken > AGAIN) {
-                            untaken = System.nanoTime();
+                        if (System.nanoTime() - acceptFailureLoggedAt > ACCEPT_RETRY_NANOS) {
+                            acceptFailureLoggedAt = System.nanoTime();
                             ErrorLog.report("a new connection is not taken", cause);
                         }
                     }
                 })
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 1024, READ))
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 1024, READ_BUFFER_BYTES))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -246,26 +270,28 @@
                 });
     }
 
-    /** Those who wait are tried again when a connection has ended, or soon; the selector would ask at once. */
+    /**
+     * Stops accepting until a connection is closed or a delay is over; the selector would report the socket at once.
+     */
     private void pauseAccepting(Channel at) {
-        stopAcceptingFor(at);
-        // One look is enough: with one for each failure, failures would breed looks, and looks failures.
-        if (!pausing) {
-            pausing = true;
+        pauseReading(at);
+        // One retry is enough: one for each failure would multiply retries and failures.
+        if (!acceptRetryScheduled) {
+            acceptRetryScheduled = true;
             loop.schedule(
                     () -> {
-                        pausing = false;
-                        if (!stopped && sessions.size() < most) {
-                            goOnAccepting(at);
+                        acceptRetryScheduled = false;
+                        if (!acceptingStopped && sessions.size() < maxClients) {
+                            resumeReading(at);
                         }
                     },
-                    AGAIN,
+                    ACCEPT_RETRY_NANOS,
                     TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Who comes from now on waits in the queue, until reading goes on. */
-    private static void stopAcceptingFor(Channel at) {
+    /** Stops reading from a listening channel: new connections stay in the backlog until reading is resumed. */
+    private static void pauseReading(Channel at) {
         if (at instanceof ListeningChannel listening) {
             listening.pause();
         } else {
@@ -273,7 +299,7 @@
         }
     }
 
-    private static void goOnAccepting(Channel at) {
+    private static void resumeReading(Channel at) {
         if (at instanceof ListeningChannel listening) {
             listening.resume();
         } else {
@@ -281,20 +307,20 @@
         }
     }
 
-    /** Since when a connection that was accepted just now may have waited. */
+    /** The earliest time since which a connection that was just accepted may have waited. */
     private long waitingSince(Channel accepted) {
         return accepted.parent() instanceof ListeningChannel listening ? listening.waitingSince() : watch.readUntil();
     }
 
-    /** Of the sockets that have gone since the loop's last look the descriptors are held until its next one. */
-    private int places() {
-        return most - sessions.size() - gone;
+    /** How many more connections may be opened. A closed socket keeps its descriptor until the next select. */
+    private int freeConnections() {
+        return maxClients - sessions.size() - closedSinceSelect;
     }
 
-    private CompletableFuture<Void> told(ChannelFuture begun) {
+    private CompletableFuture<Void> bindResult(ChannelFuture binding) {
         CompletableFuture<Void> bound = new CompletableFuture<>();
-        begun.addListener((ChannelFutureListener) done -> {
-            listening = done.channel();
+        binding.addListener((ChannelFutureListener) done -> {
+            listeningChannel = done.channel();
             if (done.isSuccess()) {
                 bound.complete(null);
             } else {
@@ -304,223 +330,239 @@
         return bound;
     }
 
-    /** Where it listens. */
+    /** The address that the server listens on. */
     public SocketAddress address() {
-        return listening.localAddress();
+        return listeningChannel.localAddress();
     }
 
-    /** One request of each pool in turn, for one slice of time; then sockets come first again. */
-    private void turn() {
-        long begun = System.nanoTime(), at = begun;
+    /** Decodes one request of each pool in turn for one slice of time; then the sockets are polled again. */
+    private void takeTurns() {
+        long begun = System.nanoTime();
+        long at = begun;
         for (Session next = turns.next(); next != null; next = turns.next()) {
-            next.turn();
+            next.takeTurn();
             long now = System.nanoTime();
-            turns.charge(next.line, now - at);
+            turns.charge(next.poolName, now - at);
             at = now;
-            if (now - begun > SLICE) {
+            if (now - begun > TURN_SLICE_NANOS) {
                 break;
             }
         }
-        turning = !turns.isEmpty();
-        if (turning) {
-            // Scheduled, not executed: the loop's tasks would go on among themselves for up to a second.
-            loop.schedule(this::turn, 1, TimeUnit.NANOSECONDS);
+        turnScheduled = !turns.isEmpty();
+        if (turnScheduled) {
+            // Scheduled, not executed: tasks of the loop would run for up to a second before the next poll.
+            loop.schedule(this::takeTurns, 1, TimeUnit.NANOSECONDS);
         }
     }
 
-    /** A pool has ended; its name's place among the turns goes. */
+    /** Drops the scheduling state of a pool that has ended. */
     public void forget(String pool) {
         if (turns != null) {
             turns.forget(pool);
         }
     }
 
-    /** From now on each connection ends with its next answer. */
+    /** From now on each connection is closed after its next response. */
     public void closeAfterAnswers() {
         draining = true;
-        drainingSince = node.now();
+        drainStartedAt = node.now();
     }
 
-    /** What SIGKILL finds unanswered is lost if it came late: it is to be over by then, by whichever answer. */
-    private void endBeforeKill(OpenRequest taken) {
+    /** Moves the deadline before SIGKILL, which would lose a request that came late: some response is sent by then. */
+    private void limitDeadlineByDrain(OpenRequest request) {
         if (draining && turns == null) {
-            taken.hurry(taken.deadlineNanos() - (drainingSince + DRAIN_TAKES + Math.min(taken.timeoutNanos(), DRAIN_WAITS)));
+            request.shortenTimeout(request.deadlineNanos()
+                    - (drainStartedAt
+                            + DRAIN_MARGIN_NANOS
+                            + Math.min(request.timeoutNanos(), MAX_DRAIN_TIMEOUT_NANOS)));
         }
     }
 
     /**
-     * The kernel resets what waits in the queue of a socket of one's own when it is closed, though another process
-     * listens at the same address: so all of it is taken first. What comes between this and the close, or is in the
-     * middle of its handshake, is lost still, and so is what goes beyond {@code places}.
+     * Accepts up to {@code places} connections of the backlog. When a process closes its own listening socket, the
+     * kernel resets the connections in its backlog, even if another process listens on the same address. Connections
+     * that come between this call and the close, are in the middle of the handshake or exceed {@code places} are still
+     * lost.
      */
-    private void takeWhatWaits(int places) throws IOException {
+    private void acceptBacklog(int places) throws IOException {
         for (int taken = 0; taken < places; taken++) {
-            NioSocketChannel next = ((ListeningChannel) listening).next(own);
+            NioSocketChannel next = ((ListeningChannel) listeningChannel).next(ownSocket);
             if (next == null) {
                 return;
             }
-            listening.pipeline().fireChannelRead(next);
+            listeningChannel.pipeline().fireChannelRead(next);
         }
     }
 
-    /** Takes what waits and closes the socket, at the latest when taking has failed so many times more. */
-    private void takeAndClose(boolean idleToo, int tries) {
+    /** Accepts the backlog and closes the socket, at the latest after the given number of further failures. */
+    private void acceptBacklogAndClose(boolean idleToo, int tries) {
         try {
-            // One place less than the bound: at it, a newcomer would end one that waits to be read.
-            takeWhatWaits(idleToo ? most - 1 - sessions.size() : BACKLOG + 1);
+            // One less than the limit: at the limit, a new connection would evict one whose request is still unread.
+            acceptBacklog(idleToo ? maxClients - 1 - sessions.size() : BACKLOG + 1);
         } catch (IOException e) {
             if (tries > 1) {
-                // Descriptors may be wanting: those of the connections that rest are free after the selector's next
-                // pass.
-                leave(idleToo);
-                loop.schedule(() -> takeAndClose(idleToo, tries - 1), TAKE_AGAIN, TimeUnit.NANOSECONDS);
+                // Descriptors may be exhausted: those of the idle connections are free after the next select.
+                closeIdle(idleToo);
+                loop.schedule(
+                        () -> acceptBacklogAndClose(idleToo, tries - 1), BACKLOG_RETRY_NANOS, TimeUnit.NANOSECONDS);
                 return;
             }
-            ErrorLog.report("connections that wait are not taken", e);
+            ErrorLog.report("accepting the backlog before the close failed", e);
         }
-        closeOwn();
-        listening.close();
-        letting = false;
-        leave(idleToo);
+        closeOwnSocket();
+        listeningChannel.close();
+        acceptingBacklog = false;
+        closeIdle(idleToo);
         node.connectionEnded(openConnections());
     }
 
-    /** At once, and not by way of the pipeline: each microsecond counts here. */
-    private void closeOwn() {
+    /** Closes the socket directly and not through the pipeline: connections that arrive meanwhile are lost. */
+    private void closeOwnSocket() {
         try {
-            own.close();
+            ownSocket.close();
         } catch (IOException e) {
             ErrorLog.report("the listening socket", e);
         }
-        own = null;
+        ownSocket = null;
     }
 
     /**
-     * Nobody comes any more: the listening socket goes, and the connections between requests if they are to. One
-     * whose request waits unread, or whose answer is on its way out, ends with that answer.
+     * Closes the listening socket and, if {@code idleToo}, the connections between requests. A connection whose request
+     * is unread, or whose response is being written, is closed after that response.
      */
     public void stopAccepting(boolean idleToo) {
-        stopped = true;
-        if (own == null) {
-            listening.close();
-            leave(idleToo);
+        acceptingStopped = true;
+        if (ownSocket == null) {
+            listeningChannel.close();
+            closeIdle(idleToo);
             return;
         }
-        // A socket that a selector knows goes on taking connections after its close, until the selector's next pass,
-        // and resets them.
-        letting = true;
-        stopAcceptingFor(listening);
-        listening
+        // A socket that is registered with a selector goes on accepting connections after its close, until the next
+        // select, and resets them.
+        acceptingBacklog = true;
+        pauseReading(listeningChannel);
+        listeningChannel
                 .deregister()
-                .addListener(let -> loop.schedule(() -> takeAndClose(idleToo, MOST_TAKES), 1, TimeUnit.NANOSECONDS));
+                .addListener(deregistered -> loop.schedule(
+                        () -> acceptBacklogAndClose(idleToo, MAX_BACKLOG_ATTEMPTS), 1, TimeUnit.NANOSECONDS));
     }
 
-    private void leave(boolean idleToo) {
+    private void closeIdle(boolean idleToo) {
         if (idleToo) {
             for (Session session : List.copyOf(sessions)) {
-                session.leave();
+                session.closeIfIdle();
             }
         }
     }
 
-    /** How many connections are open, one more while some may wait to be taken; on the loop. */
+    /** The number of open connections, plus one while some may wait in the backlog; called on the loop. */
     public int openConnections() {
-        return sessions.size() + (letting ? 1 : 0);
+        return sessions.size() + (acceptingBacklog ? 1 : 0);
     }
 
     /**
-     * Ends a connection that no request is open on, so that its client can tell it from a loss: one that never
-     * brought a whole request, the oldest first, else the one that has been idle longest. Without this, clients
-     * that connect and say nothing would hold every place, and nobody else would ever be let in.
+     * Closes a connection without an open request, so that its client does not take it for a lost request: the oldest
+     * connection that never sent a whole request, otherwise the one that has been idle longest. Without this, clients
+     * that connect and send nothing could hold all connections and lock everybody else out.
      */
-    private boolean makeRoom(Session newest) {
-        // One that turns out to have spoken is no candidate any more; no more are asked than there are.
-        for (int asked = sessions.size(); asked > 0; asked--) {
-            Session least = leastWanted(newest);
-            if (least == null) {
+    private boolean evictConnection(Session newest) {
+        // A candidate that turns out to have sent something is skipped; the loop ends after as many candidates as there
+        // are.
+        for (int remaining = sessions.size(); remaining > 0; remaining--) {
+            Session candidate = findEvictionCandidate(newest);
+            if (candidate == null) {
                 return false;
             }
-            if (least.asked) {
-                least.leave();
+            if (candidate.hasRequested) {
+                candidate.closeIfIdle();
             } else {
-                least.leaveUnasked();
+                candidate.closeIfNeverRequested();
             }
-            if (!least.channel.isOpen()) {
+            if (!candidate.channel.isOpen()) {
                 return true;
             }
         }
         return false;
     }
 
-    private Session leastWanted(Session newest) {
-        Session least = null;
+    private Session findEvictionCandidate(Session newest) {
+        Session candidate = null;
         for (Session session : sessions) {
-            if (session == newest || session.closing || session.current != null || !session.channel.isOpen()) {
+            if (session == newest || session.closing || session.currentReply != null || !session.channel.isOpen()) {
                 continue;
             }
-            if (!session.asked) {
+            if (!session.hasRequested) {
                 if (session.queued) {
-                    // What it brought waits for its pool's turn.
+                    // Its bytes wait for the pool's turn.
                     continue;
                 }
-                least = session;
+                candidate = session;
                 break;
             }
-            if (session.rests() && (least == null || session.since - least.since < 0)) {
-                least = session;
+            if (session.isIdle() && (candidate == null || session.stateSince - candidate.stateSince < 0)) {
+                candidate = session;
             }
         }
-        return least;
+        return candidate;
     }
 
     /**
-     * Whether so many connections stand idle that none more is kept after its answer. Clients hold a third of
-     * the descriptors at most: where some ask once and keep their connection, the others would find none left
-     * long before an idle one's time is up, and nothing of that would be seen here but a calm node. The answer
-     * says so, since to end an idle one unasked may cross its client's next request. It covers crowds of such
-     * clients; it could hurt where so many usual clients take turns, each of which then connects again.
+     * Whether so many connections are idle that none is kept open after its response. Clients hold a third of the
+     * descriptors at most: where some send one request and keep the connection, the others would find none left long
+     * before the idle timeout, and the node would seem calm. The response announces the close, since closing an idle
+     * connection unannounced may cross the client's next request. This helps against crowds of such clients; it could
+     * hurt where that many regular clients take turns, each of which then connects again.
      */
-    private boolean crowded() {
+    private boolean hasTooManyIdle() {
         int idle = 0;
         for (Session session : sessions) {
-            idle += session.asked && session.isBetween() && !session.closing ? 1 : 0;
+            idle += session.hasRequested && session.isBetweenRequests() && !session.closing ? 1 : 0;
         }
-        return idle >= mostKept;
+        return idle >= maxIdle;
     }
 
-    /** How many connections are open. */
+    /** The number of open connections; waits for the loop. */
     public int connections() throws Exception {
         return loop.submit(sessions::size).get();
     }
 
-    /** A client's connection: one request at a time; what comes behind it waits undecoded. */
+    /** A client's connection: handles one request at a time; pipelined requests wait undecoded. */
     private final class Session extends SimpleChannelInboundHandler<HttpObject> {
-        private final RequestDecoder decoder = new RequestDecoder(this::arrived, this::arrivedAfter, turns != null);
-        private final BodyBuffer body = new BodyBuffer(MOST_KEPT);
+        private final RequestDecoder decoder = new RequestDecoder(this::onRead, this::earliestArrival, turns != null);
+        private final BodyBuffer body = new BodyBuffer(MAX_BUFFERED_BODY);
         private final Channel channel;
-        private HttpRequest head;
-        private Reply current;
-        /** Where the rest of a body goes that is longer than is kept, else null. */
+        private HttpRequest requestHead;
+        private Reply currentReply;
+        /** Receives the rest of a body that exceeds the buffer; otherwise null. */
         private BodyStream upload;
 
-        private final RequestReadTimeout pace = new RequestReadTimeout();
-        private long length;
-        /** {@code begun}: a part of a request has come; {@code asked}: a whole one has, ever. */
-        private boolean begun, asked, keepAlive, closing;
-        /** When the request that is coming, or else the silence, began. */
-        private long since = System.nanoTime();
+        private final RequestReadTimeout readTimeout = new RequestReadTimeout();
+        private long declaredLength;
+        /** Whether part of a request has been read. */
+        private boolean receiving;
+        /** Whether a whole request has ever been read. */
+        private boolean hasRequested;
+
+        private boolean keepAlive;
+        private boolean closing;
+        /** When the current request, or else the idle time, began. */
+        private long stateSince = System.nanoTime();
 
-        private int held;
-        /** The pool that its last request went to, whose time its next one takes; whether it waits for that. */
-        private String line = "";
+        private int accountedBytes;
+        /** The pool of the last request, whose time the next one is charged to. */
+        private String poolName = "";
 
+        /** Whether the connection waits for its pool's turn. */
         private boolean queued;
-        /** How often bytes came, and whether some that were sent are unread, so that its client may have left unseen. */
-        private int reads;
+        /** Number of reads. */
+        private int readCount;
+
+        /** Whether bytes may be unread, so that the client's disconnect may be unseen. */
+        private boolean mayHaveUnreadBytes;
+        /** Undecoded bytes that are an incomplete part after the last turn: no reason for another turn. */
+        private int incompleteBytes;
 
-        private boolean blind;
-        /** Bytes that a turn has left as the beginning of something: no reason for another turn. */
-        private int decoded, handled;
+        private int handledRequests;
 
         private final EarliestArrival arrival;
 
@@ -529,12 +571,12 @@
             arrival = new EarliestArrival(watch, waitingSince(channel));
         }
 
-        private long arrivedAfter() {
-            return arrival.after();
+        private long earliestArrival() {
+            return arrival.nanoTime();
         }
 
-        /** Goes on reading, or lets what comes wait in the kernel. */
-        private void reads(boolean on) {
+        /** Turns reading on, or leaves incoming bytes in the kernel. */
+        private void setReading(boolean on) {
             if (on) {
                 arrival.resume();
             } else {
@@ -543,47 +585,50 @@
             channel.config().setAutoRead(on);
         }
 
-        /** How old the request is, at most, whose last byte has just been decoded; 0 for hardly. */
-        private long age() {
-            long age = EarliestArrival.age(decoder.arrivedAfter());
-            return age < NEGLIGIBLE_AGE ? 0 : age;
+        /** The maximum age of the request whose last byte was just decoded, in nanoseconds; 0 if it is negligible. */
+        private long requestAge() {
+            long age = EarliestArrival.age(decoder.earliestArrival());
+            return age < NEGLIGIBLE_AGE_NANOS ? 0 : age;
         }
 
-        boolean isBetween() {
-            return current == null && !begun;
+        boolean isBetweenRequests() {
+            return currentReply == null && !receiving;
         }
 
-        /** No part of a request is here. What waits behind an answer is one, unless its client takes no answers. */
-        private boolean rests() {
-            return isBetween() && !closing && (decoder.held() == 0 || !channel.isWritable());
+        /**
+         * Whether no part of a request is here. Pipelined bytes count as one, unless the client does not read
+         * responses.
+         */
+        private boolean isIdle() {
+            return isBetweenRequests() && !closing && (decoder.undecodedBytes() == 0 || !channel.isWritable());
         }
 
-        /** Ends between requests. Each is asked just before its own end: those before it took time. */
-        private void leave() {
-            if (rests()) {
-                read();
+        /** Closes the connection if it is idle, after one more read: handling the connections before it took time. */
+        private void closeIfIdle() {
+            if (isIdle()) {
+                readNow();
             }
-            if (rests()) {
-                end();
+            if (isIdle()) {
+                closeAfterFlush();
             }
         }
 
-        /** Ends one that never brought a whole request, even if a part of one is here. */
-        private void leaveUnasked() {
+        /** Closes a connection that never sent a whole request, even if a part of one is here. */
+        private void closeIfNeverRequested() {
             if (!closing) {
-                read();
+                readNow();
             }
-            if (!asked && !queued && !closing) {
-                end();
+            if (!hasRequested && !queued && !closing) {
+                closeAfterFlush();
             }
         }
 
-        /** What came since the loop's last look would be reset by a close, and what is answered is no loss. */
-        private void read() {
+        /** Reads now: unread bytes would cause a reset on close, and a request among them is to be answered. */
+        private void readNow() {
             ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
         }
 
-        private void end() {
+        private void closeAfterFlush() {
             closing = true;
             channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         }
@@ -591,161 +636,163 @@
         @Override
         public void channelActive(ChannelHandlerContext context) {
             sessions.add(this);
-            if (sessions.size() >= most && !makeRoom(this)) {
-                // At the bound on descriptors newcomers wait in the kernel's line until a connection ends.
-                // Asked of the channel itself: the first clients are here before the bind is told.
-                stopAcceptingFor(channel.parent());
+            if (sessions.size() >= maxClients && !evictConnection(this)) {
+                // At the limit on descriptors, new connections wait in the kernel's backlog until one is closed. The
+                // parent channel is used because the first clients may be here before the bind completes.
+                pauseReading(channel.parent());
             }
         }
 
-        /** After each read. A client that sends ahead is not read from any more until its turn comes. */
-        private void arrived() {
-            reads++;
-            if (isBetween() && !closing && decoder.held() > 0) {
-                begin();
-            }
-            account();
-            queue();
-            if ((current != null && upload == null || queued) && decoder.held() > 0 && isFarAhead()) {
-                blind |= current != null;
-                reads(false);
-            } else if (head != null && current == null && !closing && !budget.allows(held)) {
-                if (body.size() >= LEAST_KEPT) {
+        /** Called after each read. Reading stops while a client pipelines too much, until its next request is due. */
+        private void onRead() {
+            readCount++;
+            if (isBetweenRequests() && !closing && decoder.undecodedBytes() > 0) {
+                beginRequest();
+            }
+            updateBudget();
+            enqueueTurn();
+            if ((currentReply != null && upload == null || queued)
+                    && decoder.undecodedBytes() > 0
+                    && hasPipelinedTooMuch()) {
+                mayHaveUnreadBytes |= currentReply != null;
+                setReading(false);
+            } else if (requestHead != null && currentReply == null && !closing && !budget.allows(accountedBytes)) {
+                if (body.size() >= MIN_BUFFERED_BODY) {
                     handle(true);
                 } else {
-                    refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
+                    reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
                 }
             }
         }
 
-        private boolean isFarAhead() {
-            return decoder.held() > MOST_AHEAD || !budget.allows(decoder.held());
+        private boolean hasPipelinedTooMuch() {
+            return decoder.undecodedBytes() > MAX_PIPELINED_BYTES || !budget.allows(decoder.undecodedBytes());
         }
 
         /**
-         * Reads what was sent ahead to its end, if it isn't too much: a client that has left is to be seen before what it
-         * sent is forwarded. Nothing is decoded meanwhile.
+         * Reads the pipelined bytes to their end, within limits: a client's disconnect must be seen before its
+         * pipelined request is forwarded. Nothing is decoded meanwhile.
          */
-        private void readAhead() {
-            while (channel.isActive() && !isFarAhead()) {
-                int before = reads;
-                blind = true;
-                read();
-                if (reads == before) {
-                    blind = false;
+        private void readPipelined() {
+            while (channel.isActive() && !hasPipelinedTooMuch()) {
+                int before = readCount;
+                mayHaveUnreadBytes = true;
+                readNow();
+                if (readCount == before) {
+                    mayHaveUnreadBytes = false;
                     return;
                 }
             }
         }
 
-        /** Where loops are shared, what has come waits for its pool's turn. */
-        private void queue() {
+        /** Where pools share the loop, queues the connection for its pool's turn. */
+        private void enqueueTurn() {
             if (turns != null
                     && !queued
-                    && (current == null || upload != null)
+                    && (currentReply == null || upload != null)
                     && !closing
-                    && decoder.held() > decoded) {
+                    && decoder.undecodedBytes() > incompleteBytes) {
                 queued = true;
-                turns.add(line, this);
-                if (!turning) {
-                    turning = true;
-                    loop.schedule(ClientServer.this::turn, 1, TimeUnit.NANOSECONDS);
+                turns.add(poolName, this);
+                if (!turnScheduled) {
+                    turnScheduled = true;
+                    loop.schedule(ClientServer.this::takeTurns, 1, TimeUnit.NANOSECONDS);
                 }
             }
         }
 
-        private void turn() {
+        private void takeTurn() {
             queued = false;
-            if (current != null && upload == null || closing || !channel.isActive() || !channel.isWritable()) {
+            if (currentReply != null && upload == null || closing || !channel.isActive() || !channel.isWritable()) {
                 return;
             }
-            int before = handled;
+            int before = handledRequests;
             try {
                 decoder.takeTurn();
-                decoded = handled == before ? decoder.held() : 0;
+                incompleteBytes = handledRequests == before ? decoder.undecodedBytes() : 0;
             } catch (Exception e) {
                 exceptionCaught(null, e);
                 return;
             }
-            if (current == null && !closing) {
-                reads(true);
+            if (currentReply == null && !closing) {
+                setReading(true);
             }
         }
 
-        private void begin() {
-            begun = true;
-            if (asked) {
-                since = System.nanoTime();
+        private void beginRequest() {
+            receiving = true;
+            if (hasRequested) {
+                stateSince = System.nanoTime();
             }
-            pace.begin(since);
+            readTimeout.begin(stateSince);
         }
 
-        private void account() {
-            int holds = decoder.held() + body.size();
-            budget.change(holds - held);
-            held = holds;
+        private void updateBudget() {
+            int bytes = decoder.undecodedBytes() + body.size();
+            budget.change(bytes - accountedBytes);
+            accountedBytes = bytes;
         }
 
-        /** Ends what takes too long. Never while a request is open: that would lose it. */
-        private void limit(long now) {
+        /** Enforces the timeouts. Never closes a connection with an open request: that would lose it. */
+        private void checkTimeouts(long now) {
             if (upload != null && upload.isStuck()) {
-                breakOff();
-                refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "nobody takes the body");
-            } else if (begun && !closing) {
-                if (pace.isTooSlow(now)) {
-                    // Its last byte has not come, so nothing was taken: no app server has begun either.
-                    breakOff();
-                    refuse(HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come");
+                abortUpload();
+                reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "nobody takes the body");
+            } else if (receiving && !closing) {
+                if (readTimeout.isExceeded(now)) {
+                    // The request is incomplete, so it was never handed over: no app server has begun on it.
+                    abortUpload();
+                    reject(HttpResponseStatus.REQUEST_TIMEOUT, "the request takes too long to come");
                 }
-            } else if (current != null) {
-                if (current.passage != null && current.passage.isStuck()) {
-                    cut(current);
+            } else if (currentReply != null) {
+                if (currentReply.stream != null && currentReply.stream.isStuck()) {
+                    abortResponse(currentReply);
                 }
-            } else if (now - since > IDLE) {
+            } else if (now - stateSince > IDLE_TIMEOUT_NANOS) {
                 if (closing) {
-                    // Its client does not take its last answer.
+                    // The client does not read its last response.
                     channel.close();
                 } else {
-                    leave();
+                    closeIfIdle();
                 }
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
+        protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
             if (closing) {
                 return;
             }
-            if (part.decoderResult().isFailure()) {
-                refuse(HttpResponseStatus.BAD_REQUEST, "this is no request that can be read");
+            if (message.decoderResult().isFailure()) {
+                reject(HttpResponseStatus.BAD_REQUEST, "this is no request that can be read");
                 return;
             }
-            if (part instanceof HttpRequest coming) {
-                head = coming;
-                begin();
-                weigh(coming);
+            if (message instanceof HttpRequest incoming) {
+                requestHead = incoming;
+                beginRequest();
+                checkLength(incoming);
             }
-            if (part instanceof HttpContent content && !closing) {
-                came(content.content());
+            if (message instanceof HttpContent content && !closing) {
+                receiveBody(content.content());
             }
-            if (part instanceof LastHttpContent && !closing) {
+            if (message instanceof LastHttpContent && !closing) {
                 if (upload == null) {
                     handle(false);
                 } else {
                     BodyStream all = upload;
                     upload = null;
-                    begun = false;
-                    current.bodyReceived(age());
+                    receiving = false;
+                    currentReply.bodyReceived(requestAge());
                     all.end(true);
                 }
             }
         }
 
-        private void came(ByteBuf bytes) {
-            pace.came(bytes.readableBytes(), System.nanoTime());
-            if (pace.bytes() > BodyStream.MAX_LENGTH) {
-                breakOff();
-                refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+        private void receiveBody(ByteBuf bytes) {
+            readTimeout.bodyReceived(bytes.readableBytes(), System.nanoTime());
+            if (readTimeout.bytes() > BodyStream.MAX_LENGTH) {
+                abortUpload();
+                reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
             } else if (upload != null) {
                 upload.push(bytes.retain());
             } else if (!body.add(bytes)) {
@@ -756,129 +803,133 @@
             }
         }
 
-        /** What still comes of a body that is not kept. */
-        private BodyStream uploadTo(EventLoop taking) {
+        /** A stream for the rest of a body that is not buffered. */
+        private BodyStream openUpload(EventLoop taking) {
             return new BodyStream(
                     loop,
                     new BodyStream.Source() {
                         @Override
                         public void flow(boolean go) {
-                            pace.hold(!go, System.nanoTime());
-                            reads(go);
+                            readTimeout.setPaused(!go, System.nanoTime());
+                            setReading(go);
                         }
 
-                        /** What still comes is read and dropped: its client hears the answer sooner than a reset. */
+                        /**
+                         * Reads and drops the rest: the client sees the response, where a close would cause a reset.
+                         */
                         @Override
                         public void stopped() {
                             flow(true);
                         }
                     },
                     taking,
-                    room);
+                    streamBudget);
         }
 
-        /** The client ends, or is ended, before the last byte of its request: there is none to be answered. */
-        private void breakOff() {
+        /** Ends an upload that stops before the last byte of the request: there is nothing to answer. */
+        private void abortUpload() {
             BodyStream broken = upload;
-            Reply left = current;
+            Reply left = currentReply;
             upload = null;
             if (broken != null) {
-                // It has left first: the attempt that breaks then must not be answered by way of this connection.
-                current = null;
-                left.gone();
+                // Detached first: the attempt that now fails must not respond on this connection.
+                currentReply = null;
+                left.clientGone();
                 broken.end(false);
             }
         }
 
-        /** Turns a body away that is too large by what the head says, before any of it is read. */
-        private void weigh(HttpRequest coming) {
-            length = HttpUtil.getContentLength(coming, -1L);
-            if (length > BodyStream.MAX_LENGTH) {
-                refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
-            } else if (!budget.allows(Math.min(length, LEAST_KEPT))) {
-                refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
-            } else if (HttpUtil.is100ContinueExpected(coming)) {
+        /** Rejects a body that is too large by its declared length, before any of it is read. */
+        private void checkLength(HttpRequest incoming) {
+            declaredLength = HttpUtil.getContentLength(incoming, -1L);
+            if (declaredLength > BodyStream.MAX_LENGTH) {
+                reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+            } else if (!budget.allows(Math.min(declaredLength, MIN_BUFFERED_BODY))) {
+                reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for this body");
+            } else if (HttpUtil.is100ContinueExpected(incoming)) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
 
-        /** A request is there, whole, or but for the rest of its body. */
-        private void handle(boolean more) {
-            handled++;
-            HttpRequest whole = head;
+        /** Handles a request that is complete, or complete but for the rest of its body. */
+        private void handle(boolean bodyIncomplete) {
+            handledRequests++;
+            HttpRequest whole = requestHead;
             ByteBuf content = body.take();
-            head = null;
-            begun = more;
-            asked = true;
+            requestHead = null;
+            receiving = bodyIncomplete;
+            hasRequested = true;
             keepAlive = HttpUtil.isKeepAlive(whole);
             if (whole.uri().equals("/_health")) {
                 content.release();
-                if (!more) {
-                    health(whole.method());
+                if (!bodyIncomplete) {
+                    respondHealth(whole.method());
                 } else {
-                    refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "a call for health has no body");
+                    reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "a call for health has no body");
                 }
                 return;
             }
-            if (blind) {
+            if (mayHaveUnreadBytes) {
                 content.release();
-                refuseUnseen(more);
+                rejectPipelined(bodyIncomplete);
                 return;
             }
             try {
-                ServerCallbacks.Destination way = node.route(whole);
-                line = way.service().name();
-                Reply reply = new Reply(way.service(), whole.protocolVersion().equals(HttpVersion.HTTP_1_1));
-                upload = more ? uploadTo(way.service().loop()) : null;
-                reply.of = RequestReader.read(whole, content, way, node.now(), reply, upload, length);
-                long age = more ? 0 : age();
-                reply.of.hurry(Math.min(age, reply.of.timeoutNanos()));
-                endBeforeKill(reply.of);
-                current = reply;
+                ServerCallbacks.Destination destination = node.route(whole);
+                poolName = destination.service().name();
+                Reply reply =
+                        new Reply(destination.service(), whole.protocolVersion().equals(HttpVersion.HTTP_1_1));
+                upload = bodyIncomplete ? openUpload(destination.service().loop()) : null;
+                reply.request =
+                        RequestReader.read(whole, content, destination, node.now(), reply, upload, declaredLength);
+                long age = bodyIncomplete ? 0 : requestAge();
+                reply.request.shortenTimeout(Math.min(age, reply.request.timeoutNanos()));
+                limitDeadlineByDrain(reply.request);
+                currentReply = reply;
                 if (age == 0) {
-                    reply.take();
+                    reply.submit();
                 } else {
-                    // Its client may have left in that time, which shows once its connection is read again.
-                    watch.afterNextLook(reply::takeUnlessGone);
+                    // The client may have disconnected in that time, which shows once the connection is read again.
+                    watch.afterNextPoll(reply::submitUnlessClosed);
                 }
             } catch (RequestRejectedException e) {
                 content.release();
-                refuse(e.status(), e.getMessage());
+                reject(e.status(), e.getMessage());
             }
         }
 
-        private void health(HttpMethod method) {
+        private void respondHealth(HttpMethod method) {
             if (!method.equals(HttpMethod.GET)) {
-                refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
+                reject(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET only");
             } else {
-                write(
+                writeResponse(
                         node.ready() && !draining ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                         Unpooled.EMPTY_BUFFER,
                         0);
             }
         }
 
-        /** Its client is so far ahead that it may have left: what is forwarded could be nobody's. */
-        private void refuseUnseen(boolean more) {
-            if (more) {
-                refuse(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much is sent ahead");
+        /** Rejects a request behind so many pipelined bytes that the client may have disconnected unseen. */
+        private void rejectPipelined(boolean bodyIncomplete) {
+            if (bodyIncomplete) {
+                reject(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much is sent ahead");
             } else {
-                write(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, 0);
+                writeResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER, 0);
             }
         }
 
-        /** Turns away what is no request. Nothing behind it is read: it may be a part of it. */
-        private void refuse(HttpResponseStatus status, String why) {
+        /** Rejects a malformed request. Nothing after it is read: it may be part of the same request. */
+        private void reject(HttpResponseStatus status, String why) {
             keepAlive = false;
-            head = null;
+            requestHead = null;
             body.take().release();
             decoder.stop();
-            reads(false);
-            write(status, Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8), 0);
+            setReading(false);
+            writeResponse(status, Unpooled.copiedBuffer(why + "\n", StandardCharsets.UTF_8), 0);
         }
 
-        private void write(HttpResponseStatus status, ByteBuf content, long retryAfter) {
+        private void writeResponse(HttpResponseStatus status, ByteBuf content, long retryAfter) {
             DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
             answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
             if (retryAfter > 0) {
@@ -893,48 +944,49 @@
             if (closing) {
                 answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            current = null;
-            begun = false;
-            since = System.nanoTime();
+            currentReply = null;
+            receiving = false;
+            stateSince = System.nanoTime();
             if (early) {
-                // With its body on the way a close would reset the connection, and the answer with it.
+                // Closing while the body is still arriving would reset the connection and lose the response.
                 decoder.stop();
-                reads(true);
+                setReading(true);
                 channel.writeAndFlush(answer);
-                loop.schedule(() -> channel.close(), LINGER, TimeUnit.NANOSECONDS);
+                loop.schedule(() -> channel.close(), LINGER_NANOS, TimeUnit.NANOSECONDS);
                 return;
             }
             channel.writeAndFlush(answer)
                     .addListener(
                             !closing
                                     ? ChannelFutureListener.CLOSE_ON_FAILURE
-                                    : content.readableBytes() > SENT_AT_ONCE
-                                            ? this::closeBehind
+                                    : content.readableBytes() > SMALL_RESPONSE_BYTES
+                                            ? this::closeAfterDelivery
                                             : ChannelFutureListener.CLOSE);
             if (!closing) {
-                loop.execute(this::next);
+                loop.execute(this::handleNext);
             }
         }
 
         /**
-         * Closes the connection behind an answer that the kernel may still be sending: a close over unread bytes would drop
-         * the rest of it. The end is said at once, and nothing more is read: what comes now is sent again on another one.
+         * Closes the connection after a response that the kernel may still be sending: a close with unread bytes would
+         * drop the rest of it. The output is shut down at once and nothing more is read; clients send later requests
+         * again on another connection.
          */
-        private void closeBehind(Future<? super Void> written) {
+        private void closeAfterDelivery(Future<? super Void> written) {
             if (!written.isSuccess() || !(channel instanceof DuplexChannel duplex)) {
                 channel.close();
                 return;
             }
-            reads(false);
+            setReading(false);
             duplex.shutdownOutput();
-            loop.schedule(() -> channel.close(), DELIVERED, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> channel.close(), DELIVERY_TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
         }
 
         private boolean mustClose() {
-            return !keepAlive || draining || crowded();
+            return !keepAlive || draining || hasTooManyIdle();
         }
 
-        /** An answer goes out while the body still comes: nobody wants the rest. Returns whether it was so. */
+        /** Stops an upload that is not needed any more, the response being early. Returns whether there was one. */
         private boolean dropUpload() {
             BodyStream dropped = upload;
             upload = null;
@@ -944,9 +996,9 @@
             return dropped != null;
         }
 
-        /** An answer that goes through, piece by piece; the connection is between requests again at its end. */
-        private void pass(Reply reply, BodyStream passage, long size) {
-            // No app server answers before it has the whole request: nothing of that is on the way any more.
+        /** Streams a response in chunks; at its end the connection is between requests again. */
+        private void streamResponse(Reply reply, BodyStream stream, long size) {
+            // App servers respond only once they have the whole request, so no part of it is still arriving.
             boolean last = mustClose();
             HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             if (size >= 0) {
@@ -954,45 +1006,45 @@
             } else if (reply.mayChunk) {
                 answer.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             } else {
-                reply.untilClosed = true;
+                reply.endsWithClose = true;
                 last = true;
             }
             if (last) {
                 answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             boolean close = last;
-            reply.passage = passage;
-            ResponseStallDetector giving = new ResponseStallDetector(reply.of.deadlineNanos(), node.now());
+            reply.stream = stream;
+            ResponseStallDetector detector = new ResponseStallDetector(reply.request.deadlineNanos(), node.now());
             if (size < 0) {
-                reply.watch(giving);
+                reply.checkStall(detector);
             }
             channel.writeAndFlush(answer);
-            passage.attach(new BodyStream.Sink() {
+            stream.attach(new BodyStream.Sink() {
                 @Override
                 public void piece(ByteBuf piece) {
                     int bytes = piece.readableBytes();
-                    giving.gave(bytes, node.now());
-                    channel.writeAndFlush(new DefaultHttpContent(piece)).addListener(done -> passage.written(bytes));
+                    detector.onSent(bytes, node.now());
+                    channel.writeAndFlush(new DefaultHttpContent(piece)).addListener(done -> stream.written(bytes));
                 }
 
                 @Override
                 public void end(boolean whole) {
                     if (!whole) {
-                        reply.passed(false);
-                        cut(reply);
+                        reply.streamEnded(false);
+                        abortResponse(reply);
                         return;
                     }
                     channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(done -> {
-                        reply.passed(done.isSuccess());
-                        if (current == reply) {
-                            current = null;
-                            begun = false;
-                            since = System.nanoTime();
+                        reply.streamEnded(done.isSuccess());
+                        if (currentReply == reply) {
+                            currentReply = null;
+                            receiving = false;
+                            stateSince = System.nanoTime();
                             closing = close;
                             if (close || !done.isSuccess()) {
-                                closeBehind(done);
+                                closeAfterDelivery(done);
                             } else {
-                                loop.execute(Session.this::next);
+                                loop.execute(Session.this::handleNext);
                             }
                         }
                     });
@@ -1000,28 +1052,31 @@
             });
         }
 
-        /** Ends the connection in the middle of an answer; reset where only that tells the client that it is not whole. */
-        private void cut(Reply reply) {
-            if (reply.untilClosed) {
+        /**
+         * Closes the connection within a response; by a reset where nothing else shows the client that it is
+         * incomplete.
+         */
+        private void abortResponse(Reply reply) {
+            if (reply.endsWithClose) {
                 channel.config().setOption(ChannelOption.SO_LINGER, 0);
             }
             channel.close();
         }
 
-        /** Goes on to what came meanwhile, unless the client does not even read its answers. */
-        private void next() {
-            if (current != null || closing || !channel.isActive() || !channel.isWritable()) {
+        /** Goes on to the pipelined bytes, unless the client does not read its responses. */
+        private void handleNext() {
+            if (currentReply != null || closing || !channel.isActive() || !channel.isWritable()) {
                 return;
             }
-            reads(true);
-            if (decoder.isPaused() && (decoder.held() > 0 || blind)) {
-                readAhead();
+            setReading(true);
+            if (decoder.isPaused() && (decoder.undecodedBytes() > 0 || mayHaveUnreadBytes)) {
+                readPipelined();
                 if (!channel.isActive()) {
                     return;
                 }
             }
             if (turns != null) {
-                queue();
+                enqueueTurn();
                 return;
             }
             try {
@@ -1033,28 +1088,28 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            // Not within the write, or the read, that changed it.
-            loop.execute(this::next);
+            // Not from within the write or read that changed the writability.
+            loop.execute(this::handleNext);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             sessions.remove(this);
-            if (gone++ == 0) {
-                // Behind the selector's next pass, which lets go of their descriptors.
-                loop.schedule(() -> gone = 0, 1, TimeUnit.NANOSECONDS);
+            if (closedSinceSelect++ == 0) {
+                // Runs after the next select, which frees the descriptors.
+                loop.schedule(() -> closedSinceSelect = 0, 1, TimeUnit.NANOSECONDS);
             }
             dropUpload();
             body.take().release();
-            account();
-            if (!stopped) {
-                goOnAccepting(channel.parent());
+            updateBudget();
+            if (!acceptingStopped) {
+                resumeReading(channel.parent());
             }
-            Reply left = current;
-            current = null;
+            Reply left = currentReply;
+            currentReply = null;
             closing = true;
             if (left != null) {
-                left.gone();
+                left.clientGone();
             }
             node.connectionEnded(openConnections());
         }
@@ -1062,100 +1117,102 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-                ErrorLog.report("a client's connection", cause);
+                ErrorLog.report("client connection failed", cause);
             }
             channel.close();
         }
 
-        /** Writes the one answer of the request in hand, from whichever loop its pool lives on. */
+        /** Writes the one response to the current request; called from its pool's loop, which may be another one. */
         private final class Reply implements OpenRequest.Responder {
             private final Service service;
-            private OpenRequest of;
-            /** Whether its pool has it. */
-            private boolean taken;
-            /** A long answer that goes through, and who hears of its end. */
-            private BodyStream passage;
-
-            private Consumer<Boolean> ended;
-            private Future<?> watch;
+            private OpenRequest request;
+            /** Whether the request was handed to its pool. */
+            private boolean handedOver;
+            /** The response that is being streamed, or null. */
+            private BodyStream stream;
+
+            /** Notified on the pool's loop when the stream ends; null once notified. */
+            private Consumer<Boolean> endListener;
+
+            private Future<?> stallCheck;
             private final boolean mayChunk;
-            /** Its answer's end is told by the connection's alone. */
-            private boolean untilClosed;
+            /** Whether only the close of the connection marks the end of the response. */
+            private boolean endsWithClose;
 
             Reply(Service service, boolean mayChunk) {
                 this.mayChunk = mayChunk;
                 this.service = service;
             }
 
-            void takeUnlessGone() {
-                if (isOpen()) {
-                    take();
+            void submitUnlessClosed() {
+                if (isCurrent()) {
+                    submit();
                 }
             }
 
-            void take() {
-                taken = true;
+            void submit() {
+                handedOver = true;
                 if (service.loop() == loop) {
-                    service.take(of);
+                    service.take(request);
                 } else {
-                    service.loop().execute(() -> service.take(of));
+                    service.loop().execute(() -> service.take(request));
                 }
             }
 
             void bodyReceived(long age) {
                 if (service.loop() == loop) {
-                    service.bodyReceived(of, age);
+                    service.bodyReceived(request, age);
                 } else {
-                    service.loop().execute(() -> service.bodyReceived(of, age));
+                    service.loop().execute(() -> service.bodyReceived(request, age));
                 }
             }
 
-            /** An answer that stops on its way ends with its client's time. */
-            void watch(ResponseStallDetector giving) {
-                long left = giving.left(node.now());
+            /** Cuts a response that has stalled once the client's deadline is over. */
+            void checkStall(ResponseStallDetector detector) {
+                long left = detector.nanosUntilCheck(node.now());
                 if (left == 0) {
-                    cut(this);
+                    abortResponse(this);
                 } else if (left > 0) {
-                    watch = loop.schedule(() -> watch(giving), left, TimeUnit.NANOSECONDS);
+                    stallCheck = loop.schedule(() -> checkStall(detector), left, TimeUnit.NANOSECONDS);
                 }
             }
 
-            /** A long answer has ended; said once. */
-            void passed(boolean whole) {
-                if (watch != null) {
-                    watch.cancel(false);
+            /** Notifies the pool that the streamed response has ended; only once. */
+            void streamEnded(boolean whole) {
+                if (stallCheck != null) {
+                    stallCheck.cancel(false);
                 }
-                Consumer<Boolean> hears = ended;
-                ended = null;
-                if (hears == null) {
+                Consumer<Boolean> listener = endListener;
+                endListener = null;
+                if (listener == null) {
                     return;
                 }
                 if (service.loop() == loop) {
-                    hears.accept(whole);
+                    listener.accept(whole);
                 } else {
-                    service.loop().execute(() -> hears.accept(whole));
+                    service.loop().execute(() -> listener.accept(whole));
                 }
             }
 
-            void gone() {
-                if (!taken) {
-                    of.settle();
+            void clientGone() {
+                if (!handedOver) {
+                    request.settle();
                     return;
                 }
-                if (passage != null) {
-                    passage.stop();
-                    passed(false);
+                if (stream != null) {
+                    stream.stop();
+                    streamEnded(false);
                     return;
                 }
                 if (service.loop() == loop) {
-                    service.clientGone(of);
+                    service.clientGone(request);
                 } else {
-                    service.loop().execute(() -> service.clientGone(of));
+                    service.loop().execute(() -> service.clientGone(request));
                 }
             }
 
-            /** An answer that crosses its client's leaving finds nobody. */
-            private void on(Runnable answer) {
+            /** Runs on the client's loop; a response whose client has disconnected is dropped there. */
+            private void runOnClientLoop(Runnable answer) {
                 if (service.loop() == loop) {
                     answer.run();
                 } else {
@@ -1163,16 +1220,16 @@
                 }
             }
 
-            private boolean isOpen() {
-                return current == this;
+            private boolean isCurrent() {
+                return currentReply == this;
             }
 
             @Override
             public void served(ByteBuf content) {
                 ByteBuf kept = content.retain();
-                on(() -> {
-                    if (isOpen()) {
-                        write(HttpResponseStatus.OK, kept, 0);
+                runOnClientLoop(() -> {
+                    if (isCurrent()) {
+                        writeResponse(HttpResponseStatus.OK, kept, 0);
                     } else {
                         kept.release();
                     }
@@ -1180,28 +1237,28 @@
             }
 
             @Override
-            public void streamed(BodyStream from, long size, Consumer<Boolean> hears) {
-                on(() -> {
-                    ended = hears;
-                    if (isOpen()) {
-                        pass(this, from, size);
+            public void streamed(BodyStream from, long size, Consumer<Boolean> listener) {
+                runOnClientLoop(() -> {
+                    endListener = listener;
+                    if (isCurrent()) {
+                        streamResponse(this, from, size);
                     } else {
                         from.stop();
-                        passed(false);
+                        streamEnded(false);
                     }
                 });
             }
 
             @Override
-            public BodyStream passage(EventLoop sending, BodyStream.Source source) {
-                return new BodyStream(sending, source, loop, room);
+            public BodyStream openStream(EventLoop sending, BodyStream.Source source) {
+                return new BodyStream(sending, source, loop, streamBudget);
             }
 
             @Override
             public void refused(long retryAfter) {
-                on(() -> {
-                    if (isOpen()) {
-                        write(
+                runOnClientLoop(() -> {
+                    if (isCurrent()) {
+                        writeResponse(
                                 retryAfter > 0
                                         ? HttpResponseStatus.TOO_MANY_REQUESTS
                                         : HttpResponseStatus.SERVICE_UNAVAILABLE,
@@ -1213,19 +1270,19 @@
 
             @Override
             public void failed() {
-                on(() -> {
-                    if (isOpen()) {
-                        write(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
+                runOnClientLoop(() -> {
+                    if (isCurrent()) {
+                        writeResponse(HttpResponseStatus.BAD_GATEWAY, Unpooled.EMPTY_BUFFER, 0);
                     }
                 });
             }
 
             @Override
             public void duplicate() {
-                on(() -> {
-                    if (isOpen()) {
-                        current = null;
-                        refuse(HttpResponseStatus.CONFLICT, "a request of this id is open");
+                runOnClientLoop(() -> {
+                    if (isCurrent()) {
+                        currentReply = null;
+                        reject(HttpResponseStatus.CONFLICT, "a request of this id is open");
                     }
                 });
             }
--- a/src/main/java/rushpin/net/Descriptors.java
+++ b/src/main/java/rushpin/net/Descriptors.java
@@ -1,24 +1,24 @@
 package rushpin.net;
 
 /**
- * How a process's descriptors are dealt out: clients' connections, connections to app servers, and the rest for the process itself. All three
- * may be at their bounds at one moment, and no descriptor may be wanting then: where there is none left, accepting fails, and so does whatever
- * opens a file.
+ * Divides a process's file descriptors among client connections, connections to app servers, and the process itself.
+ * All three may be at their limits at the same time without running out: with no descriptor left, accepting fails, and
+ * so does opening any file.
  *
- * @param clients the most connections of clients
- * @param servers the most connections to app servers
+ * @param clients the maximum number of client connections
+ * @param servers the maximum number of connections to app servers
  */
 public record Descriptors(int clients, int servers) {
     /**
-     * What the process itself holds at the most: 19 files, pipes and selectors, of which 2 are open for a moment; 2 listening sockets; 9
-     * callers of the console; 2 watches of discovery; 4 connections to the counter; and 8 sockets to app servers that gave way to
-     * others, whose descriptors the selector lets go of in its next pass.
+     * Descriptors that the process itself may hold: 19 files, pipes and selectors, of which 2 are open only briefly; 2
+     * listening sockets; 9 console connections; 2 discovery watches; 4 connections to the counter; and 8 closed sockets
+     * to app servers that were replaced, whose descriptors the selector frees in its next pass.
      */
-    private static final int OWN = 44;
+    private static final int MIN_OWN = 44;
 
-    /** Of so many in all an eighth, or what it may need, is the process's own; of the rest clients have four sevenths. */
-    public static Descriptors of(int all) {
-        int rest = Math.max(0, all - Math.max(OWN, all / 8));
+    /** Reserves an eighth, but at least 44, for the process itself; clients get four sevenths of the rest. */
+    public static Descriptors of(int total) {
+        int rest = Math.max(0, total - Math.max(MIN_OWN, total / 8));
         return new Descriptors(Math.max(8, rest * 4 / 7), Math.max(16, rest * 3 / 7));
     }
 }
--- a/src/main/java/rushpin/net/EarliestArrival.java
+++ b/src/main/java/rushpin/net/EarliestArrival.java
@@ -1,47 +1,48 @@
 package rushpin.net;
 
 /**
- * After which moment what is read now from one socket can only have arrived. While the loop polls the socket that is what
- * the loop's watch says; what came while nobody did may be as old as the time at which that began.
+ * Lower bound on the time at which the bytes read now from one socket arrived. While the loop polls the socket, the
+ * loop's {@link LoopWatch} gives the bound; what arrived while the socket was not polled may be as old as the beginning
+ * of that time.
  */
 final class EarliestArrival {
-    /** Before anything that this process knows of. */
+    /** The bound is not known: earlier than any time. */
     static final long UNKNOWN = Long.MIN_VALUE;
 
     private final LoopWatch watch;
     private long unpolledSince;
-    /** The first pass whose poll has this socket in it. */
-    private long polledFrom;
+    /** The first pass of the loop that polls this socket; {@link Long#MAX_VALUE} while it is paused. */
+    private long firstPolledPass;
 
-    /** A connection that waited to be accepted since a moment; the next pass polls it. */
+    /** For a connection that has waited to be accepted since the given time; the next pass polls it. */
     EarliestArrival(LoopWatch watch, long waitingSince) {
         this.watch = watch;
         unpolledSince = waitingSince;
-        polledFrom = watch.passes() + 1;
+        firstPolledPass = watch.passes() + 1;
     }
 
-    /** From now on nothing is read; asked again while it is so it changes nothing. */
+    /** Reading has been paused; does nothing if it already was. */
     void pause() {
-        if (polledFrom != Long.MAX_VALUE) {
-            unpolledSince = after();
-            polledFrom = Long.MAX_VALUE;
+        if (firstPolledPass != Long.MAX_VALUE) {
+            unpolledSince = nanoTime();
+            firstPolledPass = Long.MAX_VALUE;
         }
     }
 
-    /** The next pass reads again. */
+    /** Reading has been resumed: the next pass polls the socket again. */
     void resume() {
-        if (polledFrom == Long.MAX_VALUE) {
-            polledFrom = watch.passes() + 1;
+        if (firstPolledPass == Long.MAX_VALUE) {
+            firstPolledPass = watch.passes() + 1;
         }
     }
 
-    /** Of what is read now, {@link System#nanoTime}; {@link #UNKNOWN} if nobody can tell. */
-    long after() {
-        return watch.passes() > polledFrom ? watch.readUntil() : unpolledSince;
+    /** The bound for bytes that are read now, as {@link System#nanoTime}; {@link #UNKNOWN} if there is none. */
+    long nanoTime() {
+        return watch.passes() > firstPolledPass ? watch.readUntil() : unpolledSince;
     }
 
-    /** How old something is at most that arrived after a moment, nanoseconds. */
-    static long age(long after) {
-        return after == UNKNOWN ? Long.MAX_VALUE : Math.max(0, System.nanoTime() - after);
+    /** The maximum age, in nanoseconds, of what arrived after the given time. */
+    static long age(long arrivedAfter) {
+        return arrivedAfter == UNKNOWN ? Long.MAX_VALUE : Math.max(0, System.nanoTime() - arrivedAfter);
     }
 }
--- a/src/main/java/rushpin/net/ErrorLog.java
+++ b/src/main/java/rushpin/net/ErrorLog.java
@@ -1,12 +1,12 @@
 package rushpin.net;
 
-/** One line for what should not have happened; it ends one request or connection, never the process. */
+/** Logs unexpected exceptions, which end one request or connection but never the process, to standard error. */
 public final class ErrorLog {
     private ErrorLog() {}
 
-    /** Says what was hit, by what, and where. */
+    /** Writes one line: what failed, the exception, and the first line of its stack trace. */
     public static void report(String what, Throwable e) {
-        StackTraceElement[] at = e.getStackTrace();
-        System.err.println(what + ": " + e + (at.length > 0 ? " at " + at[0] : ""));
+        StackTraceElement[] trace = e.getStackTrace();
+        System.err.println(what + ": " + e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 }
--- a/src/main/java/rushpin/net/ListeningChannel.java
+++ b/src/main/java/rushpin/net/ListeningChannel.java
@@ -7,76 +7,87 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 
-/** A listening socket whose connections come by way of an {@link Acceptor}. */
+/**
+ * A listening socket that accepts through an {@link Acceptor} and keeps track of how long connections may have waited
+ * in its backlog.
+ */
 final class ListeningChannel extends NioServerSocketChannel {
     private final Acceptor acceptor;
     private final LoopWatch watch;
     private final boolean isShared;
-    /** Whether the last look at the queue left connections in it, and since when at most the first of them has waited. */
-    private boolean left;
-
+    /** Whether the last accept may have left connections in the backlog. */
+    private boolean mayHoldMore;
+    /** The earliest time since which the connection accepted last may have waited. */
     private long waitingSince = EarliestArrival.UNKNOWN;
+
     private EarliestArrival arrival;
-    /** When those were accepted that a full queue's length ago were; empty where nobody knows how long the queue is. */
+    /**
+     * Times of the latest accepts, as many as the backlog is long, as a ring; empty if the length of the backlog is not
+     * known.
+     */
     private final long[] acceptedAt;
 
-    private long accepted;
+    private long acceptedCount;
 
-    /** The queue of a socket of one's own, which holds one more than {@code backlog}. */
+    /** For a socket that this process opened; the kernel queues one connection more than {@code backlog}. */
     static ListeningChannel own(ServerSocketChannel listening, Acceptor acceptor, LoopWatch watch, int backlog) {
         return new ListeningChannel(listening, acceptor, watch, false, backlog + 1);
     }
 
-    /** The queue of a socket that another process made: it may hold what came before this one was there. */
+    /** For a socket that another process opened: its backlog may hold connections older than this process. */
     static ListeningChannel shared(ServerSocketChannel listening, Acceptor acceptor, LoopWatch watch) {
         return new ListeningChannel(listening, acceptor, watch, true, 0);
     }
 
     private ListeningChannel(
-            ServerSocketChannel listening, Acceptor acceptor, LoopWatch watch, boolean isShared, int longest) {
+            ServerSocketChannel listening, Acceptor acceptor, LoopWatch watch, boolean isShared, int backlogLength) {
         super(listening);
         this.acceptor = acceptor;
         this.watch = watch;
         this.isShared = isShared;
-        acceptedAt = new long[longest];
+        acceptedAt = new long[backlogLength];
     }
 
-    /** It has been registered with the loop: the next pass polls it. */
+    /** Called once the channel is registered with its loop: the next pass polls it. */
     void registered() {
         arrival = new EarliestArrival(watch, isShared ? EarliestArrival.UNKNOWN : watch.readUntil());
     }
 
-    /** After which moment the connection that was accepted last began to wait; {@link EarliestArrival#UNKNOWN} if nobody can tell. */
+    /**
+     * The earliest time since which the connection accepted last may have waited; {@link EarliestArrival#UNKNOWN} if
+     * there is no bound.
+     */
     long waitingSince() {
         return waitingSince;
     }
 
-    /** Nothing is accepted for a while: what comes meanwhile waits from now on. */
+    /** Stops accepting: connections that come meanwhile wait in the backlog from now on. */
     void pause() {
         arrival.pause();
         config().setAutoRead(false);
     }
 
-    /** Goes on accepting. */
+    /** Resumes accepting. */
     void resume() {
         arrival.resume();
         config().setAutoRead(true);
     }
 
     /**
-     * A queue that is never found empty would count as old as the crowd at it: whoever is accepted now came when the one
-     * before it by a full queue had left.
+     * Raises the bound by the length of the backlog: a connection accepted now came after the one accepted a full
+     * backlog earlier had left it. Otherwise, while the backlog is never found empty, all would count as old as the
+     * first in it.
      */
-    private void narrow() {
+    private void tightenBound() {
         if (acceptedAt.length == 0) {
             return;
         }
-        int place = (int) (accepted % acceptedAt.length);
-        if (accepted >= acceptedAt.length) {
-            waitingSince = Math.max(waitingSince, acceptedAt[place]);
+        int index = (int) (acceptedCount % acceptedAt.length);
+        if (acceptedCount >= acceptedAt.length) {
+            waitingSince = Math.max(waitingSince, acceptedAt[index]);
         }
-        acceptedAt[place] = watch.polledAt();
-        accepted++;
+        acceptedAt[index] = watch.polledAt();
+        acceptedCount++;
     }
 
     @Override
@@ -89,22 +100,22 @@
         return 1;
     }
 
-    /** The next connection of a queue that this channel may not be registered for any more; null if none waits. */
+    /** Accepts the next connection, or returns null if there is none; works after the channel was deregistered too. */
     NioSocketChannel next(ServerSocketChannel listening) throws IOException {
-        if (!left) {
-            waitingSince = arrival.after();
+        if (!mayHoldMore) {
+            waitingSince = arrival.nanoTime();
         }
         SocketChannel next = acceptor.accept(listening);
-        left = next != null;
+        mayHoldMore = next != null;
         if (next == null) {
             return null;
         }
-        narrow();
+        tightenBound();
         try {
             return new NioSocketChannel(this, next);
         } catch (RuntimeException e) {
             next.close();
-            throw new IOException("a connection can't be used", e);
+            throw new IOException("cannot create a channel for the accepted connection", e);
         }
     }
 }
--- a/src/main/java/rushpin/net/LoopWatch.java
+++ b/src/main/java/rushpin/net/LoopWatch.java
@@ -6,95 +6,96 @@
 import java.util.concurrent.Executor;
 
 /**
- * What an event loop has read of its sockets. Each pass of a loop polls the sockets, reads those that are ready and then runs
- * tasks. What had arrived at a socket before a poll has been read once that pass has read its sockets; what has arrived since
- * may still lie in the kernel, for as long as the loop was slow, the process was stopped or the machine gave it no core.
+ * Tracks up to which time an event loop has read its sockets. Each pass of a loop polls the sockets, reads the ready
+ * ones and then runs tasks. What had arrived at a socket before a poll is read once that pass has read its sockets;
+ * what arrived later may still be in the kernel, for as long as the loop was slow, the process was stopped or it had no
+ * CPU core.
  *
- * <p>Times are {@link System#nanoTime}. Bounds: tasks that wait are bounded by the requests that are open. Called on the
- * loop, but for {@link #unread}.
+ * <p>Times are {@link System#nanoTime}. Bounds: deferred tasks are bounded by the open requests. Called on the loop,
+ * except for {@link #unreadNanos}.
  */
 public final class LoopWatch {
     private long polledAt;
     private long passes;
     private volatile long readUntil;
-    private final Executor tasks;
-    private List<Runnable> waiting = new ArrayList<>();
+    private final Executor executor;
+    private List<Runnable> deferred = new ArrayList<>();
     private List<Runnable> due = List.of();
 
-    /** A loop that begins at a moment; {@code tasks} runs what is given to it behind all that it has. */
-    LoopWatch(long now, Executor tasks) {
-        this.tasks = tasks;
+    /** For a loop that starts now; {@code executor} runs a task after those it already has. */
+    LoopWatch(long now, Executor executor) {
+        this.executor = executor;
         polledAt = now;
         readUntil = now;
     }
 
-    /** The watch of a loop that belongs to a {@link WatchedLoopGroup}. */
+    /** The watch of a loop, which must belong to a {@link WatchedLoopGroup}. */
     public static LoopWatch of(EventLoop loop) {
         if (loop.parent() instanceof WatchedLoopGroup group) {
             return group.watch();
         }
-        throw new IllegalArgumentException("a loop of " + loop.parent() + " reports to no watch");
+        throw new IllegalArgumentException("the event loop's group " + loop.parent() + " is not a WatchedLoopGroup");
     }
 
-    /** A pass begins: the sockets are polled from now on. */
+    /** Called when a pass begins to poll the sockets. */
     void pollBegins(long now) {
         polledAt = now;
         passes++;
-        if (!waiting.isEmpty()) {
-            due = waiting;
-            waiting = new ArrayList<>();
+        if (!deferred.isEmpty()) {
+            due = deferred;
+            deferred = new ArrayList<>();
         }
     }
 
-    /** All sockets that were ready in this pass have been read. */
+    /** Called when all sockets that were ready in this pass have been read. */
     void socketsRead() {
         readUntil = polledAt;
         if (!due.isEmpty()) {
-            // The end of a connection that was read is told by a task: those that wait are to come behind it.
-            List<Runnable> now = due;
+            // A task announces the close of a connection that was read: deferred tasks have to run after it.
+            List<Runnable> ready = due;
             due = List.of();
-            tasks.execute(() -> run(now));
+            executor.execute(() -> run(ready));
         }
     }
 
-    private static void run(List<Runnable> due) {
-        for (Runnable task : due) {
+    private static void run(List<Runnable> ready) {
+        for (Runnable task : ready) {
             try {
                 task.run();
             } catch (RuntimeException e) {
-                // One task's trouble must not end the loop, nor keep the others from running.
-                ErrorLog.report("what waited for the sockets to be read", e);
+                // A failing task must not end the loop, nor keep the others from running.
+                ErrorLog.report("a task deferred until the sockets were read failed", e);
             }
         }
     }
 
-    /** Whether a task waits for the next pass, so that the loop may not block. */
+    /** Whether a task is deferred to the next pass, so that the loop must not block. */
     boolean isAwaited() {
-        return !waiting.isEmpty();
+        return !deferred.isEmpty();
     }
 
-    /** When this pass began. */
+    /** When this pass began to poll. */
     long polledAt() {
         return polledAt;
     }
 
-    /** How many passes have begun. */
+    /** The number of passes begun. */
     long passes() {
         return passes;
     }
 
-    /** What had arrived before this moment has been read; the sockets must have been polled since. */
+    /** All bytes that arrived before this time, at sockets that are polled, have been read. */
     long readUntil() {
         return readUntil;
     }
 
-    /** For how long, at most, something that has arrived may lie unread, nanoseconds; from any thread. */
-    public long unread() {
+    /** The maximum time, in nanoseconds, for which arrived bytes may be unread; may be called from any thread. */
+    public long unreadNanos() {
         return System.nanoTime() - readUntil;
     }
 
-    /** Runs a task on the loop once the sockets have been polled anew, those that were ready read and their ends told. */
-    public void afterNextLook(Runnable task) {
-        waiting.add(task);
+    /** Runs a task on the loop once the sockets were polled again, the ready ones read and closes announced. */
+    public void afterNextPoll(Runnable task) {
+        deferred.add(task);
     }
 }
--- a/src/main/java/rushpin/net/OpenRequest.java
+++ b/src/main/java/rushpin/net/OpenRequest.java
@@ -7,29 +7,31 @@
 import java.util.function.Consumer;
 import rushpin.gateway.Ports.Request;
 
-/** A request that was taken: what goes on to app servers, and what is still owed to its client. */
+/** A request being handled: what is forwarded to app servers, and the state of the response to its client. */
 public final class OpenRequest {
-    /** Where the one final answer goes; told on the pool's loop only. */
+    /** Sends the one final response to the client; called on the pool's loop only. */
     public interface Responder {
-        /** Passes on an app server's answer; the buffer stays the caller's. */
+        /** Sends an app server's response; the caller keeps the buffer. */
         void served(ByteBuf body);
 
         /**
-         * Passes on a long answer, {@code length} bytes or -1, as it comes; {@code ended} hears on the pool's loop
-         * whether all of it went through.
+         * Streams a long response as it comes.
+         *
+         * @param length its size in bytes, or -1 if unknown
+         * @param ended notified on the pool's loop whether all of it was written
          */
-        void streamed(BodyStream passage, long length, Consumer<Boolean> ended);
+        void streamed(BodyStream stream, long length, Consumer<Boolean> ended);
 
-        /** A passage towards its client. */
-        BodyStream passage(EventLoop sending, BodyStream.Source source);
+        /** Creates a stream to the client for a sender on the given loop. */
+        BodyStream openStream(EventLoop senderLoop, BodyStream.Source source);
 
-        /** Says that trying again is harmless; {@code retryAfter} nanoseconds from now, 0 for no advice. */
+        /** Rejects the request, which had no effect; it may be retried after so many nanoseconds, 0 for no advice. */
         void refused(long retryAfter);
 
-        /** Says that it failed, with no promise about the effect. */
+        /** Responds that the request failed; it may have had an effect. */
         void failed();
 
-        /** Says that a request of this id is open; nothing is done for this one. */
+        /** Responds that a request with this id is already open; nothing is done for this one. */
         void duplicate();
     }
 
@@ -40,22 +42,29 @@
     private final String className;
     private Request request;
     private final ByteBuf body;
-    private final Responder answers;
-    /** What is not in {@code body} yet, and how long all of it is, -1 if unknown; null if it is whole. */
+    private final Responder responder;
+    /** The part of the body that is not in {@code body}; null if there is none. */
     private final BodyStream rest;
-
+    /** Size of the whole body in bytes; -1 if unknown. */
     private final long length;
-    /** How long the client waits from its last byte on. */
-    private final long span;
+    /** How long the client waits once it has sent the last byte. */
+    private final long timeoutNanos;
 
-    private long dueAt;
+    private long deadlineNanos;
     private boolean whole;
     private int attempts;
-    private boolean attemptOut;
+    private boolean attemptInFlight;
     private boolean answered;
-    private Future<?> overdue;
-
-    /** Takes over the body; {@code host} as the client named it. */
+    private Future<?> timeoutTask;
+
+    /**
+     * Takes over the body.
+     *
+     * @param host as the client named it
+     * @param rest the part of the body that is not in {@code body}; null if there is none
+     * @param length size of the whole body in bytes; -1 if unknown
+     * @param timeoutNanos how long the client waits once it has sent the last byte
+     */
     OpenRequest(
             Request request,
             String className,
@@ -64,14 +73,14 @@
             String key,
             String host,
             ByteBuf body,
-            Responder answers,
+            Responder responder,
             BodyStream rest,
             long length,
-            long span) {
+            long timeoutNanos) {
         this.rest = rest;
         this.length = length;
-        this.span = span;
-        dueAt = request.deadline();
+        this.timeoutNanos = timeoutNanos;
+        deadlineNanos = request.deadline();
         whole = rest == null;
         this.request = request;
         this.className = className;
@@ -80,29 +89,29 @@
         this.key = key;
         this.host = host;
         this.body = body;
-        this.answers = answers;
+        this.responder = responder;
     }
 
-    /** What the module is told of it. */
+    /** The request as the gateway sees it. */
     public Request request() {
         return request;
     }
 
-    /** What its class is called. */
+    /** The name of the request's class. */
     public String className() {
         return className;
     }
 
-    /** It came earlier than was thought, by so many nanoseconds: its client waits for that much less. */
-    public void hurry(long by) {
-        if (by > 0) {
-            dueAt -= by;
+    /** Moves the deadline forward: the request came so many nanoseconds earlier than assumed. */
+    public void shortenTimeout(long nanos) {
+        if (nanos > 0) {
+            deadlineNanos -= nanos;
             request = new Request(
                     request.id(),
                     request.requestClass(),
                     request.plan(),
                     request.customer(),
-                    request.deadline() - by,
+                    request.deadline() - nanos,
                     request.units(),
                     request.setSize(),
                     request.setFirst(),
@@ -110,93 +119,94 @@
         }
     }
 
-    /** Where the rest of its body comes from; null if all of it was there from the start. */
+    /** The part of the body that is not in {@link #body}; null if there is none. */
     BodyStream rest() {
         return rest;
     }
 
-    /** How long its whole body is; -1 if that is not known yet. */
+    /** Size of the whole body in bytes; -1 if it is not known yet. */
     long length() {
         return length;
     }
 
-    /** How long its client waits, nanoseconds. */
+    /** How long the client waits once it has sent the last byte. */
     long timeoutNanos() {
-        return span;
+        return timeoutNanos;
     }
 
-    BodyStream openResponseStream(EventLoop sending, BodyStream.Source source) {
-        return answers.passage(sending, source);
+    /** Creates a stream to the client for an app server connection on the given loop. */
+    BodyStream openResponseStream(EventLoop senderLoop, BodyStream.Source source) {
+        return responder.openStream(senderLoop, source);
     }
 
-    /** When its client stops waiting, as far as is known. */
+    /** When the client stops waiting, as far as is known. */
     public long deadlineNanos() {
-        return dueAt;
+        return deadlineNanos;
     }
 
-    /** Whether the last byte of its body has come. */
+    /** Whether the last byte of the body has arrived. */
     public boolean isWhole() {
         return whole;
     }
 
-    /** The last byte of its body has come, so long ago at most: its client waits for its span from then on. */
+    /** Called when the last byte of the body arrived, at most {@code age} ago: the client's timeout starts then. */
     public void bodyReceived(long now, long age) {
         whole = true;
-        dueAt = now + span - Math.min(age, span);
+        deadlineNanos = now + timeoutNanos - Math.min(age, timeoutNanos);
     }
 
-    /** The request's body, or its first part; the request owns it until it is settled. */
+    /** The body, or its first part; the request owns it until {@link #settle}. */
     public ByteBuf body() {
         return body;
     }
 
-    /** How many attempts were begun. */
+    /** The number of attempts begun. */
     public int attempts() {
         return attempts;
     }
 
-    /** Whether an attempt is out. */
+    /** Whether an attempt is in flight. */
     public boolean isAttemptInFlight() {
-        return attemptOut;
+        return attemptInFlight;
     }
 
-    /** An attempt begins; the one before has ended. */
+    /** Called when an attempt begins; the one before has ended. */
     public void beginAttempt() {
         attempts++;
-        attemptOut = true;
+        attemptInFlight = true;
     }
 
-    /** The attempt that was out has ended. */
+    /** Called when the attempt in flight has ended. */
     public void endAttempt() {
-        attemptOut = false;
+        attemptInFlight = false;
     }
 
-    /** Whether its client was answered, or has left. */
+    /** Whether the client was answered, or has disconnected. */
     public boolean isAnswered() {
         return answered;
     }
 
-    /** The answers' side if nothing was answered yet, else null: a request has one final answer. */
+    /** The responder if nothing was answered yet, otherwise null: a request has one final response. */
     public Responder answerOnce() {
         if (answered) {
             return null;
         }
         answered = true;
-        return answers;
+        return responder;
     }
 
-    /** Sets the backstop that ends it shortly before its client's time is up. */
-    public void setTimeoutTask(Future<?> then) {
-        if (overdue != null) {
-            overdue.cancel(false);
+    /** Sets the task that ends the request shortly before the deadline; cancels the one before. */
+    public void setTimeoutTask(Future<?> task) {
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
         }
-        overdue = then;
+        timeoutTask = task;
     }
 
-    /** The end: the backstop is no longer needed and the body goes. */
+    /** Ends the request: cancels the timeout task and releases the body. */
     public void settle() {
-        if (overdue != null) {
-            overdue.cancel(false);
+        if (timeoutTask != null) {
+            timeoutTask.cancel(false);
         }
         body.release();
         if (rest != null) {
--- a/src/main/java/rushpin/net/ReadBarrier.java
+++ b/src/main/java/rushpin/net/ReadBarrier.java
@@ -3,62 +3,62 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Holds back what is to be written until what had arrived before has been read: a client's end and a server's drain decide
- * whether it may be written at all. Behind a stop of the process that is when the sockets have been read once more, however
- * many passes of the loop it takes until it is this one's turn.
+ * Delays a write until what had arrived before it has been read: a client's disconnect or a server's drain decides
+ * whether it may be written at all. After a stall of the process, it waits until the sockets have been read once more,
+ * however many passes of the loop that takes.
  *
- * <p>Where each pass of the loop is slow something always lies unread. So what has waited for {@value #MOST_LOOKS} looks is
- * written if nothing lies unread for longer than {@code most}; what lies unread for longer is always read first, and the
- * request's own end is the bound of that wait.
+ * <p>Where every pass of the loop is slow, something is always unread. So after {@value #MAX_POLLS} polls the write is
+ * done if nothing has been unread for longer than {@code maxUnreadNanos}; what has been unread for longer is always
+ * read first, and that wait ends with the request itself.
  */
 public final class ReadBarrier {
-    private static final int MOST_LOOKS = 2;
+    private static final int MAX_POLLS = 2;
 
     private final LoopWatch own;
     private final LoopWatch clients;
-    private final long usual;
-    private final long most;
+    private final long toleratedNanos;
+    private final long maxUnreadNanos;
 
     /**
-     * A barrier of one pool.
+     * Creates the barrier of one pool.
      *
      * @param own the watch of the pool's loop
      * @param clients the watch of the loop that reads its clients, which may be the same
-     * @param usual what has lain unread for less, nanoseconds, need not be read first
-     * @param most what has lain unread for longer, nanoseconds, always has to
+     * @param toleratedNanos bytes unread for no longer than this need not be read first
+     * @param maxUnreadNanos bytes unread for longer than this always have to be read first
      */
-    public ReadBarrier(LoopWatch own, LoopWatch clients, long usual, long most) {
+    public ReadBarrier(LoopWatch own, LoopWatch clients, long toleratedNanos, long maxUnreadNanos) {
         this.own = own;
         this.clients = clients;
-        this.usual = usual;
-        this.most = most;
+        this.toleratedNanos = toleratedNanos;
+        this.maxUnreadNanos = maxUnreadNanos;
     }
 
-    /** Whether something has to be read before anything is written. */
+    /** Whether a write would have to wait now. */
     public boolean isClosed() {
-        return unread() > usual;
+        return unreadNanos() > toleratedNanos;
     }
 
-    private long unread() {
-        long here = own.unread();
-        return clients == own ? here : Math.max(here, clients.unread());
+    private long unreadNanos() {
+        long ownUnread = own.unreadNanos();
+        return clients == own ? ownUnread : Math.max(ownUnread, clients.unreadNanos());
     }
 
     /**
-     * Runs a task when the barrier lets it pass, from within this call if it does so now; called on the pool's loop.
+     * Runs a task once the barrier is open, within this call if it is open now; called on the pool's loop.
      *
-     * @param isOver whether the task has become needless, so that it runs without waiting any longer
+     * @param isOver whether the task is not needed any more, so that it runs without waiting further
      */
     public void runAfterRead(BooleanSupplier isOver, Runnable task) {
-        runAfterRead(isOver, task, MOST_LOOKS);
+        runAfterRead(isOver, task, MAX_POLLS);
     }
 
-    private void runAfterRead(BooleanSupplier isOver, Runnable task, int looks) {
-        long unread = unread();
-        if (unread <= usual || looks <= 0 && unread <= most || isOver.getAsBoolean()) {
+    private void runAfterRead(BooleanSupplier isOver, Runnable task, int polls) {
+        long unread = unreadNanos();
+        if (unread <= toleratedNanos || polls <= 0 && unread <= maxUnreadNanos || isOver.getAsBoolean()) {
             task.run();
         } else {
-            own.afterNextLook(() -> runAfterRead(isOver, task, looks - 1));
+            own.afterNextPoll(() -> runAfterRead(isOver, task, polls - 1));
         }
     }
 }
--- a/src/main/java/rushpin/net/RequestDecoder.java
+++ b/src/main/java/rushpin/net/RequestDecoder.java
@@ -9,26 +9,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * The codec's decoder, which stops behind each request until it is told to go on. Requests that were all decoded
- * as they came would wait as objects many times their size, and what stands behind a refused one is not to be
- * read at all.
+ * HTTP request decoder that pauses after each request until it is resumed. Pipelined requests decoded as they came
+ * would wait as objects many times their size, and nothing that follows a rejected request may be decoded.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-    private final Runnable arrived;
-    private final LongSupplier arrivedAfter;
+    private final Runnable onRead;
+    private final LongSupplier earliestArrival;
     private final ArrivalTimes times = new ArrivalTimes();
     private ChannelHandlerContext context;
-    private boolean paused, stopped;
+    private boolean paused;
+    private boolean stopped;
 
     /**
-     * {@code arrived} hears of each read, when all that may be decoded has been.
+     * Creates a decoder for one connection.
      *
-     * @param arrivedAfter asked at each read after which moment its bytes can only have arrived
-     * @param byTurns whether nothing is decoded but in {@link #takeTurn}
+     * @param onRead called after each read, when all that may be decoded has been
+     * @param earliestArrival asked at each read for the earliest time at which its bytes can have arrived
+     * @param byTurns whether requests are decoded only in {@link #takeTurn}
      */
-    RequestDecoder(Runnable arrived, LongSupplier arrivedAfter, boolean byTurns) {
-        this.arrived = arrived;
-        this.arrivedAfter = arrivedAfter;
+    RequestDecoder(Runnable onRead, LongSupplier earliestArrival, boolean byTurns) {
+        this.onRead = onRead;
+        this.earliestArrival = earliestArrival;
         paused = byTurns;
     }
 
@@ -40,10 +41,10 @@
     @Override
     public void channelRead(ChannelHandlerContext at, Object input) throws Exception {
         if (input instanceof ByteBuf bytes && bytes.isReadable()) {
-            times.read(bytes.readableBytes(), arrivedAfter.getAsLong());
+            times.add(bytes.readableBytes(), earliestArrival.getAsLong());
         }
         super.channelRead(at, input);
-        arrived.run();
+        onRead.run();
     }
 
     @Override
@@ -56,30 +57,30 @@
         }
     }
 
-    /** Bytes that came and were not decoded yet. */
-    int held() {
+    /** The number of bytes read and not decoded yet. */
+    int undecodedBytes() {
         return actualReadableBytes();
     }
 
-    /** After which moment the last byte arrived of what has been decoded; not before the first read. */
-    long arrivedAfter() {
-        return times.of(held());
+    /** The earliest time at which the last decoded byte can have arrived; not to be called before the first read. */
+    long earliestArrival() {
+        return times.lastDecoded(undecodedBytes());
     }
 
-    /** Whether what comes waits undecoded. */
+    /** Whether decoding is paused. */
     boolean isPaused() {
         return paused;
     }
 
-    /** Goes on with what came meanwhile. */
+    /** Resumes decoding, with the bytes read meanwhile first. */
     void resume() throws Exception {
         paused = false;
-        if (held() > 0) {
+        if (undecodedBytes() > 0) {
             channelRead(context, Unpooled.EMPTY_BUFFER);
         }
     }
 
-    /** Decodes what has come, one request at most, and pauses again. */
+    /** Decodes one request at most of the bytes read so far, and pauses again. */
     void takeTurn() throws Exception {
         paused = false;
         try {
@@ -89,7 +90,7 @@
         }
     }
 
-    /** Nothing more is wanted: what still comes is dropped unread. */
+    /** Stops decoding for good: bytes that still come are dropped. */
     void stop() {
         stopped = true;
     }
--- a/src/main/java/rushpin/net/RequestReadTimeout.java
+++ b/src/main/java/rushpin/net/RequestReadTimeout.java
@@ -1,52 +1,62 @@
 package rushpin.net;
 
 /**
- * Whether a client sends its request fast enough: a span for the head, then a least rate for the body, and no silence
- * longer than that span. Time in which it is kept from sending is not its own. Time comes as an argument; no I/O.
+ * Decides whether a client sends its request too slowly: a timeout for the head, then a minimum rate for the body and
+ * no silence longer than the timeout. Time in which its connection is not read from does not count. The time comes as
+ * an argument; no I/O.
  */
 final class RequestReadTimeout {
-    /** Nanoseconds for a head, and of silence; bytes a millisecond of a body at least. */
-    static final long SPAN = 2_500_000_000L, LEAST_RATE = 40;
+    /** Maximum time for a head, and maximum silence. */
+    static final long TIMEOUT_NANOS = 2_500_000_000L;
 
-    private static final long MS = 1_000_000L;
+    /** Minimum rate of a body, in bytes per millisecond. */
+    static final long MIN_BYTES_PER_MS = 40;
 
-    private long began, last, bytes, heldSince, held;
-    private boolean isHeld;
+    private static final long MS = 1_000_000L;
 
-    /** A request began to come at a moment. */
-    void begin(long at) {
-        began = at;
-        last = at;
+    private long startedAt;
+    private long lastReadAt;
+    private long bytes;
+    private long pausedAt;
+    private long pausedNanos;
+    private boolean isPaused;
+
+    /** Starts with a request whose first bytes came at the given time. */
+    void begin(long now) {
+        startedAt = now;
+        lastReadAt = now;
         bytes = 0;
-        held = 0;
-        isHeld = false;
+        pausedNanos = 0;
+        isPaused = false;
     }
 
-    /** So many bytes of its body came. */
-    void came(int size, long now) {
+    /** Called when bytes of the body have been read. */
+    void bodyReceived(int size, long now) {
         bytes += size;
-        last = now;
+        lastReadAt = now;
     }
 
-    /** How much of its body has come. */
+    /** The number of body bytes read so far. */
     long bytes() {
         return bytes;
     }
 
-    /** It is kept from sending, or may go on. */
-    void hold(boolean on, long now) {
-        if (on && !isHeld) {
-            heldSince = now;
-        } else if (!on && isHeld) {
-            held += now - heldSince;
-            // Its silence counts from here.
-            last = now;
+    /** Called when reading from the client is paused or resumed. */
+    void setPaused(boolean paused, long now) {
+        if (paused && !isPaused) {
+            pausedAt = now;
+        } else if (!paused && isPaused) {
+            pausedNanos += now - pausedAt;
+            // The silence counts from here.
+            lastReadAt = now;
         }
-        isHeld = on;
+        isPaused = paused;
     }
 
-    /** Whether it is to be let go. */
-    boolean isTooSlow(long now) {
-        return !isHeld && (now - last > SPAN || now - began - held > SPAN + bytes * MS / LEAST_RATE);
+    /** Whether the request is to be rejected. */
+    boolean isExceeded(long now) {
+        return !isPaused
+                && (now - lastReadAt > TIMEOUT_NANOS
+                        || now - startedAt - pausedNanos > TIMEOUT_NANOS + bytes * MS / MIN_BYTES_PER_MS);
     }
 }
--- a/src/main/java/rushpin/net/ResponseStallDetector.java
+++ b/src/main/java/rushpin/net/ResponseStallDetector.java
@@ -1,40 +1,42 @@
 package rushpin.net;
 
 /**
- * Whether an answer of unknown length, on its way to its client, is to be broken off. As long as it is short, its last byte
- * is what its client waits for: once that time is up and nothing more comes, a connection that is cut tells the client, in
- * time, that the answer failed; one that stays open loses the request. What is longer has met its time with its first bytes,
- * and goes on for as long as its app server gives. Time comes as an argument; no I/O.
+ * Decides whether a streamed response of unknown length is to be broken off because it has stalled. A client waits for
+ * the last byte of a short response: once its deadline is over and no more comes, a cut connection tells it in time
+ * that the response failed, where an open one would lose the request. A longer response has met the deadline with its
+ * first bytes and may go on for as long as its app server sends. The time comes as an argument; no I/O.
  */
 final class ResponseStallDetector {
-    /** Bytes up to which an answer's last byte is timed (the operators' page on size). */
-    static final int SHORT = 64 * 1024;
+    /** Size in bytes up to which a response's last byte has to meet the deadline (the operators' page on size). */
+    static final int MAX_SHORT_BYTES = 64 * 1024;
     /**
-     * Nanoseconds without a byte, its client's time being up, after which no more is expected. A client hears of it within
-     * half a second after its time, beyond which a request counts as lost, if the last byte came no later than half way.
+     * Nanoseconds without a byte after which no more is expected once the deadline is over. A request counts as lost if
+     * its client is notified later than half a second after the deadline; this bound holds if the last byte came in its
+     * first half.
      */
-    static final long SILENCE = 250_000_000L;
+    static final long SILENCE_NANOS = 250_000_000L;
 
-    private final long due;
-    private long given, last;
+    private final long deadline;
+    private long sentBytes;
+    private long lastSentAt;
 
-    /** An answer whose client waits until {@code due} begins to go through. */
-    ResponseStallDetector(long due, long now) {
-        this.due = due;
-        last = now;
+    /** Starts with the beginning of a response whose client waits until {@code deadline}. */
+    ResponseStallDetector(long deadline, long now) {
+        this.deadline = deadline;
+        lastSentAt = now;
     }
 
-    /** So many bytes went on to its client. */
-    void gave(int bytes, long now) {
-        given += bytes;
-        last = now;
+    /** Called when bytes have been written to the client. */
+    void onSent(int bytes, long now) {
+        sentBytes += bytes;
+        lastSentAt = now;
     }
 
-    /** Nanoseconds until it is to be looked at again, 0 if it is to be broken off now, -1 if it never is. */
-    long left(long now) {
-        if (given > SHORT) {
+    /** Nanoseconds until the next check; 0 if the response is to be broken off now, -1 if it never will be. */
+    long nanosUntilCheck(long now) {
+        if (sentBytes > MAX_SHORT_BYTES) {
             return -1;
         }
-        return Math.max(0, Math.max(due, last + SILENCE) - now);
+        return Math.max(0, Math.max(deadline, lastSentAt + SILENCE_NANOS) - now);
     }
 }
--- a/src/main/java/rushpin/net/ServerCallbacks.java
+++ b/src/main/java/rushpin/net/ServerCallbacks.java
@@ -2,20 +2,29 @@
 
 import io.netty.handler.codec.http.HttpRequest;
 
-/** What the listening side asks of the process behind it; called on the listening side's loop. */
+/** Callbacks by which {@link ClientServer} asks and notifies the node; called on the server's loop. */
 public interface ServerCallbacks {
-    /** Where a request goes. */
+    /**
+     * Where a request goes.
+     *
+     * @param service the pool that serves it
+     * @param host the authority as the client named it, or null if it is not passed on
+     */
     record Destination(Service service, String host) {}
 
-    /** The pool a request belongs to; a refusal if there is none, or if its head can be read in two ways. */
+    /**
+     * Finds the pool of a request.
+     *
+     * @throws RequestRejectedException if no pool matches, or if the request head is ambiguous
+     */
     Destination route(HttpRequest head) throws RequestRejectedException;
 
-    /** Whether new clients should come. */
+    /** Whether the node is ready for new clients. */
     boolean ready();
 
-    /** A client's connection has ended; so many are open. */
+    /** Called when a client connection has been closed, with the number of those still open. */
     void connectionEnded(int open);
 
-    /** The pools' clock, nanoseconds. */
+    /** The time of the pools' clock, in nanoseconds. */
     long now();
 }
--- a/src/main/java/rushpin/net/Service.java
+++ b/src/main/java/rushpin/net/Service.java
@@ -5,28 +5,28 @@
 import rushpin.membership.Names;
 
 /**
- * A pool as the listening side sees it, called on the pool's loop. Names and settings are read on the listening side's:
- * they change only where both are one.
+ * A pool as {@link ClientServer} sees it; called on the pool's loop. Only names and settings are read on the server's
+ * loop: they change only where both loops are the same.
  */
 public interface Service {
     /** The pool's name; empty for the platform's one pool. */
     String name();
 
-    /** The one thread that owns the pool. */
+    /** The event loop that owns the pool. */
     EventLoop loop();
 
-    /** What the pool's classes and plans are called. */
+    /** The names of the pool's classes and plans. */
     Names names();
 
-    /** What the pool's module was told. */
+    /** The settings of the pool's gateway. */
     Settings settings();
 
-    /** Takes a request over, with its body; exactly one of the request's answers is called later or from within. */
+    /** Takes over a request with its body; calls exactly one method of its responder, now or later. */
     void take(OpenRequest request);
 
-    /** The last byte of a request's body came {@code age} nanoseconds ago at most; the request had been taken without. */
-    void bodyReceived(OpenRequest of, long age);
+    /** The last byte of the body of a request that was taken over earlier came {@code age} nanoseconds ago at most. */
+    void bodyReceived(OpenRequest request, long age);
 
-    /** The client left before its answer. */
-    void clientGone(OpenRequest gone);
+    /** The client disconnected before it had its response. */
+    void clientGone(OpenRequest request);
 }
--- a/src/main/java/rushpin/net/WatchedLoopGroup.java
+++ b/src/main/java/rushpin/net/WatchedLoopGroup.java
@@ -9,50 +9,50 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
-/** One event loop on NIO sockets that reports its passes to a {@link LoopWatch}. */
+/** An event loop group of one NIO loop that reports its passes to a {@link LoopWatch}. */
 public final class WatchedLoopGroup extends MultiThreadIoEventLoopGroup {
     /**
-     * The longest poll, nanoseconds. Whether the process was stopped in the middle of a poll can't be told, so that each
-     * one adds its length to how old what it finds may be.
+     * The longest poll. A stop of the process within a poll cannot be detected, so the length of each poll adds to the
+     * possible age of what it finds.
      */
-    private static final long LONGEST_POLL = 10_000_000L;
+    private static final long MAX_POLL_NANOS = 10_000_000L;
 
     private final LoopWatch watch;
 
-    /** Starts no thread yet. */
+    /** Creates the group; its thread starts with the first task. */
     public WatchedLoopGroup() {
-        this(new Reporters());
+        this(new WatchedIoHandlerFactory());
     }
 
-    private WatchedLoopGroup(Reporters reporters) {
-        super(1, reporters);
-        watch = reporters.watch;
+    private WatchedLoopGroup(WatchedIoHandlerFactory factory) {
+        super(1, factory);
+        watch = factory.watch;
     }
 
     LoopWatch watch() {
         return watch;
     }
 
-    /** Makes the handler of the one loop. */
-    private static final class Reporters implements IoHandlerFactory {
+    /** Creates the I/O handler of the one loop. */
+    private static final class WatchedIoHandlerFactory implements IoHandlerFactory {
         private final IoHandlerFactory sockets = NioIoHandler.newFactory();
         private LoopWatch watch;
 
         @Override
         public IoHandler newHandler(ThreadAwareExecutor loop) {
             watch = new LoopWatch(System.nanoTime(), loop);
-            return new Reporting(sockets.newHandler(loop), watch);
+            return new WatchedIoHandler(sockets.newHandler(loop), watch);
         }
     }
 
-    /** The sockets' handler, with each pass told to the watch. */
-    private static final class Reporting implements IoHandler {
+    /** Wraps the NIO handler and reports each pass to the watch. */
+    private static final class WatchedIoHandler implements IoHandler {
         private final IoHandler sockets;
         private final LoopWatch watch;
-        /** A loop has one context. */
-        private Bounded context;
+        /** The wrapper of the loop's context; a loop always passes the same one. */
+        private BoundedPollContext context;
 
-        Reporting(IoHandler sockets, LoopWatch watch) {
+        WatchedIoHandler(IoHandler sockets, LoopWatch watch) {
             this.sockets = sockets;
             this.watch = watch;
         }
@@ -60,7 +60,7 @@
         @Override
         public int run(IoHandlerContext loop) {
             if (context == null || context.loop != loop) {
-                context = new Bounded(loop, watch);
+                context = new BoundedPollContext(loop, watch);
             }
             watch.pollBegins(System.nanoTime());
             int handled = sockets.run(context);
@@ -94,13 +94,13 @@
         }
 
         @Override
-        public boolean isCompatible(Class<? extends IoHandle> kind) {
-            return sockets.isCompatible(kind);
+        public boolean isCompatible(Class<? extends IoHandle> type) {
+            return sockets.isCompatible(type);
         }
     }
 
-    /** The loop's own wishes, with a poll that is bounded. */
-    private record Bounded(IoHandlerContext loop, LoopWatch watch) implements IoHandlerContext {
+    /** The loop's own context, but with a bounded poll. */
+    private record BoundedPollContext(IoHandlerContext loop, LoopWatch watch) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return !watch.isAwaited() && loop.canBlock();
@@ -108,7 +108,7 @@
 
         @Override
         public long delayNanos(long now) {
-            return Math.min(LONGEST_POLL, loop.delayNanos(now));
+            return Math.min(MAX_POLL_NANOS, loop.delayNanos(now));
         }
 
         @Override
--- a/src/test/java/rushpin/net/AcceptBatchLimiterTest.java
+++ b/src/test/java/rushpin/net/AcceptBatchLimiterTest.java
@@ -7,24 +7,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How many connections are taken in one go. */
+/** How many connections are accepted in one batch. */
 class AcceptBatchLimiterTest {
-    /** Whoever asks takes one; then as many as there are places, no more than the loop's other sockets can wait for. */
+    /** One is always accepted; then as many as may be opened, 16 at most: the loop's other sockets wait meanwhile. */
     @ParameterizedTest
     @CsvSource({"-3,1", "0,1", "1,1", "2,2", "15,15", "16,16", "500,16"})
-    void asManyAsThereArePlaces(int places, int taken) {
+    void acceptsAsManyAsMayBeOpened(int freeConnections, int accepted) {
         EmbeddedChannel channel = new EmbeddedChannel();
-        RecvByteBufAllocator.Handle handle = new AcceptBatchLimiter(() -> places).newHandle();
+        RecvByteBufAllocator.Handle handle = new AcceptBatchLimiter(() -> freeConnections).newHandle();
         handle.reset(channel.config());
         int count = 0;
         do {
             handle.incMessagesRead(1);
             count++;
         } while (count < 100 && handle.continueReading());
-        assertEquals(taken, count);
+        assertEquals(accepted, count);
         channel.config().setAutoRead(false);
         handle.reset(channel.config());
-        assertEquals(false, handle.continueReading(), "the bound was met in the middle");
+        assertEquals(false, handle.continueReading(), "reading was paused within a batch");
         channel.close();
     }
 }
--- a/src/test/java/rushpin/net/BodyStreamTest.java
+++ b/src/test/java/rushpin/net/BodyStreamTest.java
@@ -16,24 +16,28 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Order, bounds and release of the chunks of a streamed body. */
 class BodyStreamTest {
-    /** Whatever the order: bytes arrive in order, what is on the way is bounded, the end comes once, all is released. */
+    /**
+     * Whatever the order of calls: chunks arrive in order, bytes in flight are bounded, the end is announced once, all
+     * chunks are released.
+     */
     @Property(tries = 1_000)
     void inOrderBoundedAndReleased(@ForAll @Size(min = 1, max = 80) List<@IntRange(min = 0, max = 99) Integer> steps) {
         EventLoop loop = new EmbeddedChannel().eventLoop();
         List<ByteBuf> made = new ArrayList<>();
         ArrayDeque<ByteBuf> unwritten = new ArrayDeque<>();
-        List<Byte> took = new ArrayList<>();
+        List<Byte> received = new ArrayList<>();
         List<Boolean> ends = new ArrayList<>();
         boolean[] go = {true};
-        BodyStream.Room room = new BodyStream.Room(Long.MAX_VALUE);
+        BodyStream.BufferBudget budget = new BodyStream.BufferBudget(Long.MAX_VALUE);
         int[] stopped = {0};
-        BodyStream passage = new BodyStream(
+        BodyStream stream = new BodyStream(
                 loop,
                 new BodyStream.Source() {
                     @Override
-                    public void flow(boolean now) {
-                        go[0] = now;
+                    public void flow(boolean on) {
+                        go[0] = on;
                     }
 
                     @Override
@@ -42,12 +46,12 @@
                     }
                 },
                 loop,
-                room);
+                budget);
         BodyStream.Sink sink = new BodyStream.Sink() {
             @Override
-            public void piece(ByteBuf piece) {
-                took.add(piece.getByte(piece.readerIndex()));
-                unwritten.add(piece);
+            public void piece(ByteBuf chunk) {
+                received.add(chunk.getByte(chunk.readerIndex()));
+                unwritten.add(chunk);
             }
 
             @Override
@@ -55,57 +59,61 @@
                 ends.add(whole);
             }
         };
-        boolean attached = false, over = false, ended = false;
-        int sent = 0, onTheWay = 0;
+        boolean attached = false;
+        boolean stoppedByReceiver = false;
+        boolean ended = false;
+        int sent = 0;
+        int inFlight = 0;
         for (int step : steps) {
             if (step < 60) {
-                if (go[0] && !ended && !over) {
+                if (go[0] && !ended && !stoppedByReceiver) {
                     int size = 1 + step * 200;
-                    ByteBuf piece = Unpooled.buffer(size).writeZero(size);
-                    piece.setByte(0, sent++);
-                    made.add(piece);
-                    onTheWay += size;
-                    passage.push(piece);
-                    assertTrue(onTheWay < BodyStream.MOST + 12_000, onTheWay + " on the way after " + steps);
-                    assertEquals(onTheWay < BodyStream.MOST, go[0], "after " + steps);
+                    ByteBuf chunk = Unpooled.buffer(size).writeZero(size);
+                    chunk.setByte(0, sent++);
+                    made.add(chunk);
+                    inFlight += size;
+                    stream.push(chunk);
+                    assertTrue(inFlight < BodyStream.MAX_IN_FLIGHT + 12_000, inFlight + " in flight after " + steps);
+                    assertEquals(inFlight < BodyStream.MAX_IN_FLIGHT, go[0], "after " + steps);
                 }
             } else if (step < 85) {
                 ByteBuf written = unwritten.poll();
                 if (written != null) {
                     int size = written.readableBytes();
                     written.release();
-                    onTheWay -= size;
-                    passage.written(size);
+                    inFlight -= size;
+                    stream.written(size);
                 }
             } else if (step < 92) {
-                if (!attached && !over) {
+                if (!attached && !stoppedByReceiver) {
                     attached = true;
-                    passage.attach(sink);
+                    stream.attach(sink);
                 }
             } else if (step < 96) {
                 ended = true;
-                passage.end(step % 2 == 0);
+                stream.end(step % 2 == 0);
             } else {
-                over = true;
-                passage.stop();
+                stoppedByReceiver = true;
+                stream.stop();
             }
         }
-        for (int i = 0; i < took.size(); i++) {
-            assertEquals((byte) i, took.get(i), "out of order after " + steps);
+        for (int i = 0; i < received.size(); i++) {
+            assertEquals((byte) i, received.get(i), "out of order after " + steps);
         }
         assertTrue(ends.size() <= 1, "ended " + ends + " after " + steps);
         assertTrue(stopped[0] <= 1);
-        assertTrue(!(ended && attached) || over || ends.size() == 1, "no end was told after " + steps);
-        passage.stop();
+        assertTrue(
+                !(ended && attached) || stoppedByReceiver || ends.size() == 1, "no end was announced after " + steps);
+        stream.stop();
         unwritten.forEach(ByteBuf::release);
-        made.forEach(piece -> assertEquals(0, piece.refCnt(), "not released after " + steps));
+        made.forEach(chunk -> assertEquals(0, chunk.refCnt(), "not released after " + steps));
     }
 
-    private static BodyStream.Source holding(boolean[] go) {
+    private static BodyStream.Source recordingFlow(boolean[] go) {
         return new BodyStream.Source() {
             @Override
-            public void flow(boolean now) {
-                go[0] = now;
+            public void flow(boolean on) {
+                go[0] = on;
             }
 
             @Override
@@ -115,44 +123,44 @@
         };
     }
 
-    /** However many go through at once, all together hold what there is room for, and a read for each. */
+    /** However many streams there are, together they hold no more than the budget and one read each. */
     @Test
-    void allTogetherHoldNoMoreThanTheirRoom() {
+    void allStreamsTogetherStayWithinTheBudget() {
         EventLoop loop = new EmbeddedChannel().eventLoop();
-        BodyStream.Room room = new BodyStream.Room(400_000);
+        BodyStream.BufferBudget budget = new BodyStream.BufferBudget(400_000);
         int total = 0;
         List<BodyStream> all = new ArrayList<>();
-        List<boolean[]> may = new ArrayList<>();
+        List<boolean[]> flows = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             boolean[] go = {true};
-            all.add(new BodyStream(loop, holding(go), loop, room));
-            may.add(go);
+            all.add(new BodyStream(loop, recordingFlow(go), loop, budget));
+            flows.add(go);
         }
         for (int round = 0; round < 100; round++) {
             for (int i = 0; i < all.size(); i++) {
-                if (may.get(i)[0]) {
+                if (flows.get(i)[0]) {
                     all.get(i).push(Unpooled.buffer(1_000).writeZero(1_000));
                     total += 1_000;
                 }
             }
         }
-        assertTrue(total <= 400_000 + 50 * 1_000, total + " on the way");
+        assertTrue(total <= 400_000 + 50 * 1_000, total + " in flight");
         all.forEach(BodyStream::stop);
-        assertEquals(0, room.open(), "room is given back");
+        assertEquals(0, budget.open(), "the budget is given back");
     }
 
-    /** What is sent to its end and not taken yet still takes room. */
+    /** A stream that has ended uses the budget until its last chunk is written. */
     @Test
-    void roomIsGivenBackOnceAllIsTaken() {
+    void theBudgetIsGivenBackOnceAllIsWritten() {
         EventLoop loop = new EmbeddedChannel().eventLoop();
-        BodyStream.Room room = new BodyStream.Room(400_000);
-        BodyStream passage = new BodyStream(loop, holding(new boolean[1]), loop, room);
-        passage.push(Unpooled.buffer(500).writeZero(500));
-        passage.end(true);
-        assertEquals(1, room.open());
-        passage.written(500);
-        assertEquals(0, room.open());
-        passage.stop();
-        assertEquals(0, room.open());
+        BodyStream.BufferBudget budget = new BodyStream.BufferBudget(400_000);
+        BodyStream stream = new BodyStream(loop, recordingFlow(new boolean[1]), loop, budget);
+        stream.push(Unpooled.buffer(500).writeZero(500));
+        stream.end(true);
+        assertEquals(1, budget.open());
+        stream.written(500);
+        assertEquals(0, budget.open());
+        stream.stop();
+        assertEquals(0, budget.open());
     }
 }
--- a/src/test/java/rushpin/net/ClientServerTest.java
+++ b/src/test/java/rushpin/net/ClientServerTest.java
@@ -26,31 +26,40 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The ends of clients' connections and the failures of accepting, on real sockets; calls for health need no pool. */
+/** Closing of client connections and failures of accepting, on real sockets; health requests need no pool. */
 @Timeout(120)
 class ClientServerTest {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: n0\r\n\r\n";
-    private static final String EMFILE = "Too many open files", ECONNABORTED = "Software caused connection abort";
-    private static final long IDLE = 3_000_000_000L;
-    /** Of 16 descriptors 8 are clients'; of these 4 may rest. */
-    private static final int SOCKETS = 16, MOST_CLIENTS = 8, MOST_RESTING = 4;
+    private static final String EMFILE = "Too many open files";
+    private static final String ECONNABORTED = "Software caused connection abort";
+    /** Longer than the idle timeout. */
+    private static final long IDLE_NANOS = 3_000_000_000L;
+    /** Of 16 descriptors clients may hold 8; 4 of these may be idle. */
+    private static final int SOCKETS = 16;
+
+    private static final int MAX_CLIENTS = 8;
+    private static final int MAX_IDLE = 4;
 
     private static final int MANY_SOCKETS = 1_024;
-    /** Connections that end while accepting fails; milliseconds of four pauses, and how many tries may fall into them. */
-    private static final int ENDING = 40, PAUSES = 1_000, MOST_TRIES = 8;
+    /** Connections that are closed while accepting fails. */
+    private static final int CLOSED_CLIENTS = 40;
+    /** Milliseconds of four retry delays, and the maximum number of accepts in them. */
+    private static final int FOUR_DELAYS_MS = 1_000;
+
+    private static final int MAX_ACCEPTS = 8;
 
     private final EventLoopGroup group = new WatchedLoopGroup();
     private final EventLoop loop = group.next();
     private final List<Socket> clients = new ArrayList<>();
-    /** What accepting does instead of the system's call, which it may make. */
-    private volatile Acceptor.Source accepts = ServerSocketChannel::accept;
+    /** The accept call that the server makes. */
+    private volatile Acceptor.Source acceptCall = ServerSocketChannel::accept;
 
     private ClientServer server;
 
-    private static final class Healthy implements ServerCallbacks {
+    private static final class HealthyNode implements ServerCallbacks {
         @Override
         public Destination route(HttpRequest head) throws RequestRejectedException {
-            throw RequestRejectedException.bad("there is no pool");
+            throw RequestRejectedException.badRequest("there is no pool");
         }
 
         @Override
@@ -69,13 +78,13 @@
 
     private void serve(int sockets) throws Exception {
         server = new ClientServer(
-                new Healthy(),
+                new HealthyNode(),
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 sockets,
                 new ByteBudget(1 << 24),
                 false,
-                at -> accepts.accept(at));
+                at -> acceptCall.accept(at));
         server.bind().get();
     }
 
@@ -95,11 +104,11 @@
         return socket;
     }
 
-    private static void ask(Socket client) throws IOException {
+    private static void sendRequest(Socket client) throws IOException {
         client.getOutputStream().write(HEALTH.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String answer(Socket client) throws IOException {
+    private static String readStatusLine(Socket client) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.UTF_8));
         String first = in.readLine();
         for (String line = first; line != null && !line.isEmpty(); ) {
@@ -109,77 +118,79 @@
     }
 
     private static void assertAnswered(Socket client, String what) throws IOException {
-        assertEquals("HTTP/1.1 200 OK", answer(client), what);
+        assertEquals("HTTP/1.1 200 OK", readStatusLine(client), what);
     }
 
-    /** Runs work on the loop, of which clients' acts are a part: the loop does not look at its sockets between them. */
-    private void onHeldLoop(Act clientsAct, Runnable then) throws Exception {
-        CompletableFuture<Void> held = new CompletableFuture<>(), acted = new CompletableFuture<>();
+    /** Blocks the loop while clients act, then runs a task on it: the loop does not poll its sockets in between. */
+    private void onBlockedLoop(ClientAction clientAction, Runnable then) throws Exception {
+        CompletableFuture<Void> blocked = new CompletableFuture<>();
+        CompletableFuture<Void> acted = new CompletableFuture<>();
         CompletableFuture<Void> done = CompletableFuture.runAsync(
                 () -> {
-                    held.complete(null);
+                    blocked.complete(null);
                     acted.join();
                     then.run();
                 },
                 loop);
-        held.join();
+        blocked.join();
         try {
-            clientsAct.run();
+            clientAction.run();
         } finally {
             acted.complete(null);
         }
         done.get(30, TimeUnit.SECONDS);
     }
 
-    private interface Act {
+    private interface ClientAction {
         void run() throws Exception;
     }
 
     @Test
-    void aRequestThatWaitsUnreadWhenItsConnectionIsFoundIdleIsAnswered() throws Exception {
+    void anUnreadRequestIsAnsweredWhenItsConnectionTimesOut() throws Exception {
         serve(MANY_SOCKETS);
         Socket used = connect();
-        ask(used);
+        sendRequest(used);
         assertAnswered(used, "the first request");
         Socket fresh = connect();
         while (server.connections() < 2) {
             Thread.onSpinWait();
         }
-        onHeldLoop(
+        onBlockedLoop(
                 () -> {
-                    ask(used);
-                    ask(fresh);
+                    sendRequest(used);
+                    sendRequest(fresh);
                 },
-                () -> server.endOverdue(System.nanoTime() + IDLE));
-        assertAnswered(used, "on a connection that was used");
-        assertAnswered(fresh, "on a connection that was not");
+                () -> server.closeTimedOut(System.nanoTime() + IDLE_NANOS));
+        assertAnswered(used, "on a connection that had a request");
+        assertAnswered(fresh, "on a new connection");
     }
 
     @Test
-    void anIdleConnectionThatSaysNothingIsEnded() throws Exception {
+    void anIdleConnectionIsClosed() throws Exception {
         serve(MANY_SOCKETS);
         Socket used = connect();
-        ask(used);
+        sendRequest(used);
         assertAnswered(used, "the first request");
-        onHeldLoop(() -> {}, () -> server.endOverdue(System.nanoTime() + IDLE));
+        onBlockedLoop(() -> {}, () -> server.closeTimedOut(System.nanoTime() + IDLE_NANOS));
         assertEquals(-1, used.getInputStream().read());
     }
 
     @Test
-    void whoIsAskedToMakeRoomAndHasSpokenIsAnswered() throws Exception {
+    void aConnectionChosenForEvictionIsAnsweredIfItHasSentARequest() throws Exception {
         serve(SOCKETS);
-        for (int i = 0; i < MOST_CLIENTS - 1; i++) {
+        for (int i = 0; i < MAX_CLIENTS - 1; i++) {
             Socket client = connect();
-            if (i < MOST_RESTING - 1) {
-                ask(client);
+            if (i < MAX_IDLE - 1) {
+                sendRequest(client);
                 assertAnswered(client, "the first request");
             }
         }
-        while (server.connections() < MOST_CLIENTS - 1) {
+        while (server.connections() < MAX_CLIENTS - 1) {
             Thread.onSpinWait();
         }
-        CompletableFuture<Void> accepted = new CompletableFuture<>(), written = new CompletableFuture<>();
-        accepts = at -> {
+        CompletableFuture<Void> accepted = new CompletableFuture<>();
+        CompletableFuture<Void> written = new CompletableFuture<>();
+        acceptCall = at -> {
             SocketChannel next = at.accept();
             if (next != null) {
                 accepted.complete(null);
@@ -189,9 +200,9 @@
         };
         Socket newest = connect();
         accepted.join();
-        ask(newest);
-        for (Socket client : clients.subList(0, MOST_CLIENTS - 1)) {
-            ask(client);
+        sendRequest(newest);
+        for (Socket client : clients.subList(0, MAX_CLIENTS - 1)) {
+            sendRequest(client);
         }
         written.complete(null);
         for (Socket client : clients) {
@@ -199,15 +210,15 @@
         }
     }
 
-    private void endWith(Acceptor.Source failing) throws Exception {
-        onHeldLoop(
+    private void stopWith(Acceptor.Source failing) throws Exception {
+        onBlockedLoop(
                 () -> {
                     for (int i = 0; i < 3; i++) {
-                        ask(connect());
+                        sendRequest(connect());
                     }
                 },
                 () -> {
-                    accepts = failing;
+                    acceptCall = failing;
                     server.closeAfterAnswers();
                     server.stopAccepting(true);
                 });
@@ -220,22 +231,22 @@
         assertThrows(ConnectException.class, () -> new Socket(at.getAddress(), at.getPort()).close());
     }
 
-    /** At the end no second chance comes: who is not taken then is reset by the close. */
+    /** Guards against the close of the listening socket, which resets connections that are still in its backlog. */
     @Test
-    void whoWaitsAtTheEndIsTakenThoughAcceptingFailsForAMoment() throws Exception {
+    void theBacklogIsAcceptedBeforeTheCloseThoughAcceptingFailsForAMoment() throws Exception {
         for (String why : List.of(EMFILE, ECONNABORTED)) {
-            accepts = ServerSocketChannel::accept;
+            acceptCall = ServerSocketChannel::accept;
             serve(MANY_SOCKETS);
             InetSocketAddress at = (InetSocketAddress) server.address();
             AtomicInteger failures = new AtomicInteger();
-            endWith(from -> {
+            stopWith(from -> {
                 if (failures.getAndIncrement() % 3 < 2) {
                     throw new IOException(why);
                 }
                 return from.accept();
             });
             for (Socket client : clients) {
-                assertEquals("HTTP/1.1 503 Service Unavailable", answer(client), why);
+                assertEquals("HTTP/1.1 503 Service Unavailable", readStatusLine(client), why);
             }
             assertClosed(at);
             clients.clear();
@@ -243,11 +254,11 @@
     }
 
     @Test
-    void theEndComesThoughAcceptingFailsForGood() throws Exception {
+    void theSocketIsClosedThoughAcceptingFailsForGood() throws Exception {
         serve(MANY_SOCKETS);
         InetSocketAddress at = (InetSocketAddress) server.address();
         AtomicInteger calls = new AtomicInteger();
-        endWith(from -> {
+        stopWith(from -> {
             calls.incrementAndGet();
             throw new IOException(EMFILE);
         });
@@ -255,23 +266,23 @@
         assertTrue(calls.get() < 100, "tried " + calls);
     }
 
-    /** Each connection that ends is a reason to try again at once, but not one to try for ever. */
+    /** Guards against retries that multiply: each closed connection causes one accept at once, but no lasting ones. */
     @Test
-    void failuresOfAcceptingDoNotBreedTriesAndItGoesOnBehindThem() throws Exception {
+    void failedAcceptsDoNotMultiplyAndAcceptingResumes() throws Exception {
         serve(MANY_SOCKETS);
-        for (int i = 0; i < ENDING; i++) {
+        for (int i = 0; i < CLOSED_CLIENTS; i++) {
             Socket client = connect();
-            ask(client);
+            sendRequest(client);
             assertAnswered(client, "client " + i);
         }
         AtomicInteger tries = new AtomicInteger();
-        accepts = at -> {
+        acceptCall = at -> {
             tries.incrementAndGet();
             throw new IOException(EMFILE);
         };
         Socket waiting = connect();
-        ask(waiting);
-        for (Socket client : clients.subList(0, ENDING)) {
+        sendRequest(waiting);
+        for (Socket client : clients.subList(0, CLOSED_CLIENTS)) {
             int before = tries.get();
             client.close();
             while (tries.get() == before) {
@@ -279,20 +290,20 @@
             }
         }
         int before = tries.get();
-        loop.schedule(() -> {}, PAUSES, TimeUnit.MILLISECONDS).get();
-        assertTrue(tries.get() - before <= MOST_TRIES, "tried " + (tries.get() - before) + " times");
-        accepts = ServerSocketChannel::accept;
-        assertAnswered(waiting, "who waited meanwhile");
+        loop.schedule(() -> {}, FOUR_DELAYS_MS, TimeUnit.MILLISECONDS).get();
+        assertTrue(tries.get() - before <= MAX_ACCEPTS, "tried " + (tries.get() - before) + " times");
+        acceptCall = ServerSocketChannel::accept;
+        assertAnswered(waiting, "the client that waited meanwhile");
     }
 
-    /** Of a connection that was aborted only this one is lost. */
+    /** An aborted connection does not delay the next one. */
     @Test
-    void anAbortedConnectionKeepsNobodyWaiting() throws Exception {
+    void anAbortedConnectionDoesNotDelayOthers() throws Exception {
         serve(MANY_SOCKETS);
         for (String why : List.of(ECONNABORTED, EMFILE)) {
-            AtomicInteger left = new AtomicInteger(Acceptor.MOST_TRIES - 1);
+            AtomicInteger left = new AtomicInteger(Acceptor.MAX_ATTEMPTS - 1);
             AtomicInteger failedCalls = new AtomicInteger();
-            accepts = at -> {
+            acceptCall = at -> {
                 if (left.getAndDecrement() > 0) {
                     failedCalls.incrementAndGet();
                     throw new IOException(why);
@@ -303,9 +314,9 @@
                 left.set(1);
             }
             Socket client = connect();
-            ask(client);
+            sendRequest(client);
             assertAnswered(client, why);
-            assertEquals(why.equals(EMFILE) ? 1 : Acceptor.MOST_TRIES - 1, failedCalls.get());
+            assertEquals(why.equals(EMFILE) ? 1 : Acceptor.MAX_ATTEMPTS - 1, failedCalls.get());
         }
     }
 }
--- a/src/test/java/rushpin/net/EarliestArrivalTest.java
+++ b/src/test/java/rushpin/net/EarliestArrivalTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** How old what is read may be: never taken for younger than it is. */
+/** The bounds on the age of bytes that are read: never lower than their age. */
 class EarliestArrivalTest {
     private static final long MS = 1_000_000L;
 
@@ -19,31 +19,31 @@
         watch.socketsRead();
     }
 
-    /** Guards against requests that waited in the queue of a held socket and counted as new. */
+    /** Guards against treating requests as new that waited in the backlog of a socket nobody accepted from. */
     @Test
-    void aConnectionThatWaitedIsAsOldAsItsWaitUntilItWasPolled() {
+    void theFirstPollOfAConnectionFindsWhatCameWhileItWaited() {
         LoopWatch watch = new LoopWatch(0, Runnable::run);
         pass(watch, 100);
         watch.pollBegins(200);
         EarliestArrival arrival = new EarliestArrival(watch, 40);
-        assertEquals(40, arrival.after());
+        assertEquals(40, arrival.nanoTime());
         watch.socketsRead();
         watch.pollBegins(300);
-        assertEquals(40, arrival.after(), "the first poll that it is in finds what was there before");
+        assertEquals(40, arrival.nanoTime(), "the first poll of the socket finds what came before it");
         watch.socketsRead();
         watch.pollBegins(400);
-        assertEquals(300, arrival.after(), "what was not there at 300");
+        assertEquals(300, arrival.nanoTime(), "what the poll at 300 did not find");
     }
 
     @Test
-    void whatNobodyKnowsIsOlderThanAnything() {
+    void anUnknownArrivalIsOlderThanAnything() {
         EarliestArrival arrival = new EarliestArrival(new LoopWatch(0, Runnable::run), EarliestArrival.UNKNOWN);
-        assertEquals(Long.MAX_VALUE, EarliestArrival.age(arrival.after()));
+        assertEquals(Long.MAX_VALUE, EarliestArrival.age(arrival.nanoTime()));
     }
 
-    /** Guards against what came while a connection was not read from, and counted as new. */
+    /** Guards against treating bytes as new that came while the connection was not read from. */
     @Test
-    void whatCameWhileNothingWasReadIsAsOldAsThat() {
+    void bytesThatCameDuringAPauseAreAsOldAsThePause() {
         LoopWatch watch = new LoopWatch(0, Runnable::run);
         EarliestArrival arrival = new EarliestArrival(watch, 0);
         pass(watch, 100);
@@ -53,17 +53,17 @@
         arrival.pause();
         pass(watch, 400);
         pass(watch, 500);
-        assertEquals(300, arrival.after());
+        assertEquals(300, arrival.nanoTime());
         arrival.resume();
         arrival.resume();
         watch.pollBegins(600);
-        assertEquals(300, arrival.after());
+        assertEquals(300, arrival.nanoTime());
         watch.socketsRead();
         watch.pollBegins(700);
-        assertEquals(600, arrival.after());
+        assertEquals(600, arrival.nanoTime());
     }
 
-    /** However reads and requests lie: no request counts as younger than its last byte. */
+    /** However requests are split over reads: no request counts as younger than its last byte. */
     @Property(tries = 300)
     void noRequestCountsAsYoungerThanItsLastByte(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -74,46 +74,48 @@
         for (int i = 0; i < 300; i++) {
             now += random.nextInt(4) == 0 ? random.nextLong(100 * MS) : random.nextLong(MS);
             int read = 1 + random.nextInt(20);
-            times.read(read, now);
+            times.add(read, now);
             for (int j = 0; j < read; j++) {
                 bytes.add(now);
             }
             while (consumed < bytes.size() && random.nextInt(3) > 0) {
                 consumed += 1 + random.nextInt(bytes.size() - consumed);
-                long after = times.of(bytes.size() - consumed);
-                assertTrue(after <= bytes.get(consumed - 1), "seed " + seed);
+                long earliest = times.lastDecoded(bytes.size() - consumed);
+                assertTrue(earliest <= bytes.get(consumed - 1), "seed " + seed);
             }
         }
     }
 
-    /** What is read together is told apart from what came long before it, so that nobody is turned away by another's wait. */
+    /** Guards against rejecting a request as too old because an earlier read of the connection waited long. */
     @Test
-    void readsThatAreFarApartAreToldApart() {
+    void readsThatAreFarApartKeepTheirOwnTimes() {
         ArrivalTimes times = new ArrivalTimes();
-        times.read(10, 100 * MS);
-        times.read(10, 105 * MS);
-        times.read(10, 900 * MS);
-        assertEquals(100 * MS, times.of(20));
-        assertEquals(100 * MS, times.of(10));
-        assertEquals(900 * MS, times.of(0));
+        times.add(10, 100 * MS);
+        times.add(10, 105 * MS);
+        times.add(10, 900 * MS);
+        assertEquals(100 * MS, times.lastDecoded(20));
+        assertEquals(100 * MS, times.lastDecoded(10));
+        assertEquals(900 * MS, times.lastDecoded(0));
     }
 
-    /** However the loop is stopped: what is read counts as no younger than it is, and the bound is no older than one pass. */
+    /** However the loop is stalled: bytes count as no younger than they are, and the bound is one pass old at most. */
     @Property(tries = 300)
-    void theBoundCoversEachStopAndEndsWithTheNextPass(@ForAll long seed) {
+    void theBoundCoversEachStallAndNoMoreThanOnePass(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         LoopWatch watch = new LoopWatch(0, Runnable::run);
         EarliestArrival arrival = new EarliestArrival(watch, 0);
-        long now = 0, polled = 0, polledBefore = 0;
+        long now = 0;
+        long polled = 0;
+        long polledBefore = 0;
         for (int i = 0; i < 200; i++) {
             now += random.nextInt(4) == 0 ? random.nextLong(5_000 * MS) : random.nextLong(30 * MS);
             polledBefore = polled;
             polled = now;
             watch.pollBegins(now);
-            // What is found now was not there at the poll before; it came at any time since.
-            long came = polledBefore + random.nextLong(polled - polledBefore + 1);
-            assertTrue(arrival.after() <= came, "seed " + seed);
-            assertTrue(i < 2 || arrival.after() == polledBefore, "seed " + seed);
+            // What this poll finds came at any time after the poll before.
+            long arrivedAt = polledBefore + random.nextLong(polled - polledBefore + 1);
+            assertTrue(arrival.nanoTime() <= arrivedAt, "seed " + seed);
+            assertTrue(i < 2 || arrival.nanoTime() == polledBefore, "seed " + seed);
             watch.socketsRead();
         }
     }
--- a/src/test/java/rushpin/net/FailingSockets.java
+++ b/src/test/java/rushpin/net/FailingSockets.java
@@ -11,51 +11,54 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** Sockets whose calls fail as long as a test wants them to; each is asked of the operating system otherwise. */
+/** Creates sockets whose calls fail on a test's request; other calls go to the operating system. */
 final class FailingSockets implements ChannelFactory<Channel> {
-    /** How often {@code socket} and {@code connect} were called. */
-    final AtomicInteger sockets = new AtomicInteger(), connects = new AtomicInteger();
+    /** Number of calls of {@code socket}. */
+    final AtomicInteger sockets = new AtomicInteger();
+    /** Number of calls of {@code connect}. */
+    final AtomicInteger connects = new AtomicInteger();
 
     private volatile boolean refusing;
-    private volatile IOException connect, finish;
-    private final AtomicReference<IOException> read = new AtomicReference<>();
+    private volatile IOException connectFailure;
+    private volatile IOException finishFailure;
+    private final AtomicReference<IOException> nextReadFailure = new AtomicReference<>();
 
-    /** {@code EMFILE}, {@code ENFILE}, {@code ENOBUFS}. */
+    /** Creating a socket fails, as with {@code EMFILE}, {@code ENFILE} or {@code ENOBUFS}. */
     FailingSockets refuseSockets() {
         refusing = true;
         return this;
     }
 
-    /** {@code connect} itself fails. */
+    /** The call of {@code connect} fails. */
     FailingSockets failConnects(IOException cause) {
-        connect = cause;
+        connectFailure = cause;
         return this;
     }
 
-    /** A connect in progress ends with an error, though the other side took it. */
+    /** A connect in progress ends with an error, although the peer accepted it. */
     FailingSockets failFinishing(IOException cause) {
-        finish = cause;
+        finishFailure = cause;
         return this;
     }
 
     /** The next read fails. */
     FailingSockets failNextRead(IOException cause) {
-        read.set(cause);
+        nextReadFailure.set(cause);
         return this;
     }
 
-    /** All calls are let through again. */
+    /** All calls go to the operating system again. */
     void succeed() {
         refusing = false;
-        connect = null;
-        finish = null;
+        connectFailure = null;
+        finishFailure = null;
     }
 
     @Override
     public Channel newChannel() {
         sockets.incrementAndGet();
         if (refusing) {
-            // As NioSocketChannel's constructor says it.
+            // The exception that NioSocketChannel's constructor throws.
             throw new ChannelException("Failed to open a socket.", new SocketException("Too many open files"));
         }
         return new Socket();
@@ -65,10 +68,10 @@
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
             connects.incrementAndGet();
-            if (connect != null) {
-                // As NioSocketChannel does where the call fails.
+            if (connectFailure != null) {
+                // What NioSocketChannel does when the call fails.
                 doClose();
-                throw connect;
+                throw connectFailure;
             }
             return super.doConnect(remote, local);
         }
@@ -76,14 +79,14 @@
         @Override
         protected void doFinishConnect() throws Exception {
             super.doFinishConnect();
-            if (finish != null) {
-                throw finish;
+            if (finishFailure != null) {
+                throw finishFailure;
             }
         }
 
         @Override
         protected int doReadBytes(ByteBuf into) throws Exception {
-            IOException cause = read.getAndSet(null);
+            IOException cause = nextReadFailure.getAndSet(null);
             if (cause != null) {
                 throw cause;
             }
--- a/src/test/java/rushpin/net/ListeningChannelTest.java
+++ b/src/test/java/rushpin/net/ListeningChannelTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Since when a connection may have waited in the queue of a listening socket. */
+/** The bound on how long a connection has waited in the backlog of a listening socket. */
 class ListeningChannelTest {
     private static final int BACKLOG = 3;
 
     private final LoopWatch watch = new LoopWatch(0, Runnable::run);
     private final List<SocketChannel> accepted = new ArrayList<>();
     private ServerSocketChannel listening;
-    /** How many wait. */
-    private int waiting;
+    /** The number of connections in the backlog. */
+    private int backlog;
 
     @BeforeEach
     void open() throws Exception {
@@ -35,10 +35,10 @@
     }
 
     private SocketChannel accept() throws IOException {
-        if (waiting == 0) {
+        if (backlog == 0) {
             return null;
         }
-        waiting--;
+        backlog--;
         accepted.add(SocketChannel.open());
         return accepted.get(accepted.size() - 1);
     }
@@ -48,57 +48,57 @@
         watch.socketsRead();
     }
 
-    private ListeningChannel registered(ListeningChannel queue) {
-        queue.registered();
-        return queue;
+    private ListeningChannel registered(ListeningChannel channel) {
+        channel.registered();
+        return channel;
     }
 
     private Acceptor acceptor() {
         return new Acceptor(from -> accept());
     }
 
-    /** Guards against requests that waited for a process to start and counted as new. */
+    /** Guards against treating requests as new that waited for the process to start. */
     @Test
-    void whatWaitsAtASharedSocketIsOfUnknownAgeUntilAPollFindsNobody() throws Exception {
-        ListeningChannel queue = registered(ListeningChannel.shared(listening, acceptor(), watch));
+    void connectionsOfASharedSocketAreOfUnknownAgeUntilItsBacklogWasEmpty() throws Exception {
+        ListeningChannel channel = registered(ListeningChannel.shared(listening, acceptor(), watch));
         watch.pollBegins(100);
-        waiting = 1;
-        queue.next(listening);
-        assertEquals(EarliestArrival.UNKNOWN, queue.waitingSince());
-        queue.next(listening);
+        backlog = 1;
+        channel.next(listening);
+        assertEquals(EarliestArrival.UNKNOWN, channel.waitingSince());
+        channel.next(listening);
         watch.socketsRead();
         pass(200);
         watch.pollBegins(300);
-        waiting = 1;
-        queue.next(listening);
-        assertEquals(200, queue.waitingSince());
+        backlog = 1;
+        channel.next(listening);
+        assertEquals(200, channel.waitingSince());
     }
 
-    /** Guards against a crowd behind which everybody would be turned away for as long as the queue is never empty. */
+    /** Guards against rejecting every request as too old while the backlog is never empty. */
     @Test
-    void aQueueThatIsNeverEmptyIsNoOlderThanAFullOneTakes() throws Exception {
-        ListeningChannel queue = registered(ListeningChannel.own(listening, acceptor(), watch, BACKLOG));
+    void theBoundIsNoOlderThanAFullBacklog() throws Exception {
+        ListeningChannel channel = registered(ListeningChannel.own(listening, acceptor(), watch, BACKLOG));
         pass(100);
-        waiting = 1_000;
+        backlog = 1_000;
         for (int pass = 2; pass < 50; pass++) {
             watch.pollBegins(pass * 100L);
-            queue.next(listening);
-            assertEquals(Math.max(100, (pass - BACKLOG - 1) * 100L), queue.waitingSince(), "pass " + pass);
+            channel.next(listening);
+            assertEquals(Math.max(100, (pass - BACKLOG - 1) * 100L), channel.waitingSince(), "pass " + pass);
             watch.socketsRead();
         }
     }
 
     @Test
-    void whatIsLeftInTheQueueIsAsOldAsTheFirstLook() throws Exception {
-        ListeningChannel queue = registered(ListeningChannel.shared(listening, acceptor(), watch));
+    void connectionsLeftInTheBacklogKeepItsBound() throws Exception {
+        ListeningChannel channel = registered(ListeningChannel.shared(listening, acceptor(), watch));
         pass(100);
         pass(200);
         watch.pollBegins(300);
-        waiting = 2;
-        queue.next(listening);
+        backlog = 2;
+        channel.next(listening);
         watch.socketsRead();
         watch.pollBegins(900);
-        queue.next(listening);
-        assertEquals(200, queue.waitingSince());
+        channel.next(listening);
+        assertEquals(200, channel.waitingSince());
     }
 }
