--- a/src/test/java/rushpin/net/ReadBarrierTest.java
+++ b/src/test/java/rushpin/net/ReadBarrierTest.java
@@ -7,98 +7,100 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What is held back until the sockets have been read. */
+/** When a task is delayed until the sockets have been read. */
 class ReadBarrierTest {
-    private static final long MS = 1_000_000L, USUAL = 80 * MS, MOST = 850 * MS;
+    private static final long MS = 1_000_000L;
+    private static final long TOLERATED = 80 * MS;
+    private static final long MAX_UNREAD = 850 * MS;
 
-    private final AtomicInteger passed = new AtomicInteger();
+    private final AtomicInteger runs = new AtomicInteger();
 
-    /** A watch whose last look at its sockets was so long ago. */
-    private static LoopWatch looked(long ago) {
+    /** A watch whose sockets were last polled so many nanoseconds ago. */
+    private static LoopWatch polled(long ago) {
         return new LoopWatch(System.nanoTime() - ago, Runnable::run);
     }
 
-    private static void look(LoopWatch watch, long ago) {
+    private static void poll(LoopWatch watch, long ago) {
         watch.pollBegins(System.nanoTime() - ago);
         watch.socketsRead();
     }
 
-    private void pass(LoopWatch own, LoopWatch clients) {
-        new ReadBarrier(own, clients, USUAL, MOST).runAfterRead(() -> false, passed::incrementAndGet);
+    private void runAfterRead(LoopWatch own, LoopWatch clients) {
+        new ReadBarrier(own, clients, TOLERATED, MAX_UNREAD).runAfterRead(() -> false, runs::incrementAndGet);
     }
 
     @Test
-    void whatIsKnownToBeFreshPassesAtOnce() {
-        LoopWatch watch = looked(0);
-        pass(watch, watch);
-        assertEquals(1, passed.get());
+    void aTaskRunsAtOnceWhereNothingIsUnread() {
+        LoopWatch watch = polled(0);
+        runAfterRead(watch, watch);
+        assertEquals(1, runs.get());
         assertFalse(watch.isAwaited());
     }
 
-    /** Guards against a settling span that is over before anything was read. */
+    /** Guards against a fixed delay that is over before anything was read. */
     @Test
-    void behindAStopOneLookIsWaitedForHoweverLateItIs() {
-        LoopWatch watch = looked(5_000 * MS);
-        pass(watch, watch);
-        assertEquals(0, passed.get());
+    void afterAStallOnePollIsAwaitedHoweverLateItIs() {
+        LoopWatch watch = polled(5_000 * MS);
+        runAfterRead(watch, watch);
+        assertEquals(0, runs.get());
         assertTrue(watch.isAwaited());
-        look(watch, 0);
-        assertEquals(1, passed.get());
-        look(watch, 0);
-        assertEquals(1, passed.get());
+        poll(watch, 0);
+        assertEquals(1, runs.get());
+        poll(watch, 0);
+        assertEquals(1, runs.get());
     }
 
     @Test
-    void aStopDuringTheLookIsFollowedByAnother() {
-        LoopWatch watch = looked(5_000 * MS);
-        pass(watch, watch);
-        look(watch, 5_000 * MS);
-        look(watch, 5_000 * MS);
-        look(watch, 5_000 * MS);
-        assertEquals(0, passed.get());
-        look(watch, 0);
-        assertEquals(1, passed.get());
+    void aStallDuringAPollIsFollowedByAnotherPoll() {
+        LoopWatch watch = polled(5_000 * MS);
+        runAfterRead(watch, watch);
+        poll(watch, 5_000 * MS);
+        poll(watch, 5_000 * MS);
+        poll(watch, 5_000 * MS);
+        assertEquals(0, runs.get());
+        poll(watch, 0);
+        assertEquals(1, runs.get());
     }
 
-    /** Guards against a loop whose every pass is slow and which never sends anything. */
+    /** Guards against a loop that never sends anything because each of its passes is slow. */
     @Test
-    void slowPassesAreWaitedForTwice() {
-        LoopWatch watch = looked(300 * MS);
-        pass(watch, watch);
-        look(watch, 300 * MS);
-        assertEquals(0, passed.get());
-        look(watch, 300 * MS);
-        assertEquals(1, passed.get());
+    void slowPassesAreAwaitedTwice() {
+        LoopWatch watch = polled(300 * MS);
+        runAfterRead(watch, watch);
+        poll(watch, 300 * MS);
+        assertEquals(0, runs.get());
+        poll(watch, 300 * MS);
+        assertEquals(1, runs.get());
     }
 
     @Test
-    void whatIsOverDoesNotWaitAnyLonger() {
-        LoopWatch watch = looked(5_000 * MS);
-        new ReadBarrier(watch, watch, USUAL, MOST).runAfterRead(() -> true, passed::incrementAndGet);
-        assertEquals(1, passed.get());
+    void aTaskThatIsOverDoesNotWait() {
+        LoopWatch watch = polled(5_000 * MS);
+        new ReadBarrier(watch, watch, TOLERATED, MAX_UNREAD).runAfterRead(() -> true, runs::incrementAndGet);
+        assertEquals(1, runs.get());
     }
 
-    /** Guards against a client that left while the loop that reads clients stood still and the pool's did not. */
+    /** Guards against missing a client's disconnect while only the loop that reads clients is stalled. */
     @Test
     void theClientsLoopCountsToo() {
-        LoopWatch own = looked(0);
-        LoopWatch clients = looked(5_000 * MS);
-        pass(own, clients);
-        look(own, 0);
-        assertEquals(0, passed.get());
-        look(clients, 0);
-        look(own, 0);
-        assertEquals(1, passed.get());
+        LoopWatch own = polled(0);
+        LoopWatch clients = polled(5_000 * MS);
+        runAfterRead(own, clients);
+        poll(own, 0);
+        assertEquals(0, runs.get());
+        poll(clients, 0);
+        poll(own, 0);
+        assertEquals(1, runs.get());
     }
 
     @Test
-    void oneTasksTroubleDoesNotKeepTheOthers() {
-        LoopWatch watch = looked(0);
-        watch.afterNextLook(() -> {
+    void aFailingTaskDoesNotKeepTheOthersFromRunning() {
+        LoopWatch watch = polled(0);
+        watch.afterNextPoll(() -> {
             throw new IllegalStateException("on purpose");
         });
-        watch.afterNextLook(passed::incrementAndGet);
-        look(watch, 0);
-        assertEquals(1, passed.get());
+        watch.afterNextPoll(runs::incrementAndGet);
+        poll(watch, 0);
+        assertEquals(1, runs.get());
     }
 }
