--- a/src/main/java/rushpin/budget/Ration.java
+++ b/src/main/java/rushpin/budget/ConnectionBudget.java
@@ -21,7 +21,7 @@
  *
  * @param <W> what waits
  */
-public final class Ration<W> {
+public final class ConnectionBudget<W> {
     /** So many requests of a tenant wait for each of its connections: later ones would wait for longer than their clients. */
     public static final int WAITS = 2;
 
--- a/src/main/java/rushpin/net/GroupGate.java
+++ b/src/main/java/rushpin/net/GroupGate.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import rushpin.budget.Ration;
+import rushpin.budget.ConnectionBudget;
 import rushpin.gateway.Ports.Request;
 import rushpin.pooling.Permit;
 
@@ -84,7 +84,7 @@
     private long halfOpen, longest;
     private final Function<Request, String> tenants;
     private final Runnable shrink;
-    private final Ration<Sending> ration = new Ration<>();
+    private final ConnectionBudget<Sending> ration = new ConnectionBudget<>();
     /** What is carried, oldest first. */
     private final Set<Carrying> carrying = new LinkedHashSet<>();
 
@@ -145,7 +145,7 @@
     }
 
     /** What is in use. */
-    public Ration<?> use() {
+    public ConnectionBudget<?> use() {
         return ration;
     }
 
--- a/src/main/java/rushpin/node/GroupSide.java
+++ b/src/main/java/rushpin/node/GroupSide.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import rushpin.budget.Ration;
+import rushpin.budget.ConnectionBudget;
 import rushpin.config.GroupConfig;
 import rushpin.gateway.Ports.Request;
 import rushpin.net.GroupGate;
@@ -31,7 +31,7 @@
      * @param open connections that are open, being made, or perhaps not yet ended at the other side
      * @param uses what each tenant wanted and used at most since the account before
      */
-    record Account(String group, long number, int open, Map<String, Ration.Use> uses) {
+    record Account(String group, long number, int open, Map<String, ConnectionBudget.Use> uses) {
         /** Copies. */
         Account {
             uses = Map.copyOf(uses);
--- a/src/test/java/rushpin/budget/RationTest.java
+++ b/src/test/java/rushpin/budget/ConnectionBudgetTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Connections within a number, and turns among tenants. */
-class RationTest {
+class ConnectionBudgetTest {
     /** A flood waits in its own line, behind its own part; who asks for a little is served at once. */
     @Test
     void aFloodFillsNoOtherTenantsLine() {
-        Ration<String> ration = new Ration<>();
+        ConnectionBudget<String> ration = new ConnectionBudget<>();
         ration.set(6, Map.of("quiet", 2, "loud", 4));
         List<String> begun = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
@@ -26,19 +26,19 @@
             ration.serve((what, tenant) -> ration.takeConnection() && begun.add(what));
         }
         assertEquals(List.of("loud", "loud", "loud", "loud"), begun);
-        assertEquals(4 * Ration.WAITS, ration.waiting());
+        assertEquals(4 * ConnectionBudget.WAITS, ration.waiting());
         assertTrue(ration.await("quiet", "quiet"));
         ration.serve((what, tenant) -> ration.takeConnection() && begun.add(what));
         assertEquals("quiet", begun.get(4));
-        assertEquals(new Ration.Use(4 + 4 * Ration.WAITS + 1, 4), ration.uses().get("loud"));
+        assertEquals(new ConnectionBudget.Use(4 + 4 * ConnectionBudget.WAITS + 1, 4), ration.uses().get("loud"));
     }
 
     /** Before anything is known of parts, and with nothing to open, what is wanted is told all the same. */
     @Test
     void whatCanNotBeHadIsTold() {
-        Ration<String> ration = new Ration<>();
+        ConnectionBudget<String> ration = new ConnectionBudget<>();
         assertFalse(ration.await("quiet", "x"));
-        assertEquals(Map.of("quiet", new Ration.Use(1, 0)), ration.uses());
+        assertEquals(Map.of("quiet", new ConnectionBudget.Use(1, 0)), ration.uses());
         assertEquals(Map.of(), ration.uses());
     }
 
@@ -47,7 +47,7 @@
     void neverOver() {
         for (long seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Ration<Integer> ration = new Ration<>();
+            ConnectionBudget<Integer> ration = new ConnectionBudget<>();
             Map<String, Integer> parts = new TreeMap<>(), carried = new TreeMap<>();
             Deque<String> carries = new ArrayDeque<>();
             List<Integer> waiting = new ArrayList<>();
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -37,7 +37,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import rushpin.budget.Ration;
+import rushpin.budget.ConnectionBudget;
 import rushpin.gateway.Ports.Outcome;
 import rushpin.gateway.Ports.Readiness;
 import rushpin.gateway.Ports.Request;
@@ -170,12 +170,12 @@
         assertEquals(3, call(() -> gate.use().waiting()));
         send("hasty", 0, "s0", 20 * MS);
         assertEquals("hasty NOT_SENT", ended.take());
-        for (int i = 0; i < 2 * Ration.WAITS - 2; i++) {
+        for (int i = 0; i < 2 * ConnectionBudget.WAITS - 2; i++) {
             send("more", 0, "s0", LONG);
         }
         send("one too many", 0, "s0", LONG);
         assertEquals("one too many NOT_SENT", ended.take());
-        for (int i = 0; i < 4 + 2 * Ration.WAITS; i++) {
+        for (int i = 0; i < 4 + 2 * ConnectionBudget.WAITS; i++) {
             answer();
             ended.take();
         }
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -138,7 +138,7 @@
                 "rushpin.config.FleetTableReader",
                 "rushpin.config.FleetConfig",
                 "rushpin.pooling.",
-                "rushpin.budget.Ration",
+                "rushpin.budget.ConnectionBudget",
                 "GroupGate",
                 "ServerPool$Turn",
                 "GroupSide",
