--- a/src/main/java/rushpin/budget/ConnectionBudget.java
+++ b/src/main/java/rushpin/budget/ConnectionBudget.java
@@ -15,7 +15,7 @@
  * they carry, and who waits for one. No I/O and no clock; one thread at a time.
  *
  * <p>Bounds: a tenant with a part has no more connections at once than that; who has none takes what the others leave, behind
- * them. At most {@value #WAITS} wait for each connection of a tenant's part, so a flood by one tenant fills no other's line.
+ * them. At most {@value #MAX_WAITING_PER_CONNECTION} wait for each connection of a tenant's part, so a flood by one tenant fills no other's line.
  *
  * <p>Whoever calls names few tenants: one without a part is known until its use was told.
  *
@@ -23,7 +23,7 @@
  */
 public final class ConnectionBudget<W> {
     /** So many requests of a tenant wait for each of its connections: later ones would wait for longer than their clients. */
-    public static final int WAITS = 2;
+    public static final int MAX_WAITING_PER_CONNECTION = 2;
 
     /** What is known of one tenant. */
     private static final class Tenant<W> {
@@ -51,7 +51,7 @@
     }
 
     /** How many connections there may be. */
-    public int most() {
+    public int maxConnections() {
         return most;
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Of {@link #open} those that are being closed. */
-    public int leaving() {
+    public int closing() {
         return leaving;
     }
 
@@ -78,11 +78,11 @@
     }
 
     /** A connection begins to be closed. */
-    public void leaves() {
+    public void startClosing() {
         leaving++;
     }
 
-    /** A connection is gone, at the other side too; {@code left} whether {@link #leaves} was said of it. */
+    /** A connection is gone, at the other side too; {@code left} whether {@link #startClosing} was said of it. */
     public void gone(boolean left) {
         open--;
         leaving -= left ? 1 : 0;
@@ -94,7 +94,7 @@
     }
 
     /** Whether an idle connection should give way: somebody waits, and what is being closed is not enough for all who do. */
-    public boolean wantsRoom() {
+    public boolean shouldCloseIdle() {
         int wanting = 0;
         for (Map.Entry<String, Tenant<W>> each : tenants.entrySet()) {
             Tenant<W> tenant = each.getValue();
@@ -119,10 +119,10 @@
     }
 
     /** Adds to a tenant's line; false if that is full, or nothing will come of it. */
-    public boolean await(String of, W what) {
+    public boolean enqueue(String of, W what) {
         Tenant<W> tenant = tenant(of);
         int room = parts.containsKey(of) ? tenant.part : most;
-        boolean may = most > 0 && tenant.waiting.size() < WAITS * room;
+        boolean may = most > 0 && tenant.waiting.size() < MAX_WAITING_PER_CONNECTION * room;
         tenant.peak = Math.max(tenant.peak, tenant.carried + tenant.waiting.size() + 1);
         if (may) {
             tenant.waiting.add(what);
@@ -132,7 +132,7 @@
     }
 
     /** Takes out of its line what waits no more. */
-    public void leave(W what) {
+    public void cancel(W what) {
         tenants.values().forEach(tenant -> waiting -= tenant.waiting.remove(what) ? 1 : 0);
     }
 
@@ -149,7 +149,7 @@
 
     /**
      * Tries what waits, whose tenant has least of its part first and oldest first within it, until nothing more can begin.
-     * What begins counts as carried for its tenant, until {@link #carried its end}.
+     * What begins counts as carried for its tenant, until {@link #release its end}.
      *
      * @param begins begins one for its tenant if there is a connection for it
      */
@@ -175,12 +175,12 @@
                 return true;
             }
         }
-        carried(name);
+        release(name);
         return false;
     }
 
     /** All that wait and may be carried, in turn; who hears of one may close connections for it. */
-    public void waiters(Consumer<W> to) {
+    public void forEachWaiting(Consumer<W> to) {
         inTurn().forEach(name -> List.copyOf(tenants.get(name).waiting).forEach(to));
     }
 
@@ -197,13 +197,13 @@
     }
 
     /** A connection carries nothing for a tenant any more. */
-    public void carried(String of) {
+    public void release(String of) {
         Tenant<W> tenant = tenants.get(of);
         tenant.carried--;
     }
 
     /** How many stand before one that would wait now, for each connection that its tenant may have. */
-    public double ahead(String of) {
+    public double waitingPerConnection(String of) {
         Tenant<W> tenant = tenants.get(of);
         return tenant == null ? 0 : tenant.waiting.size() / (double) Math.max(1, tenant.part > 0 ? tenant.part : most);
     }
--- a/src/main/java/rushpin/net/GroupGate.java
+++ b/src/main/java/rushpin/net/GroupGate.java
@@ -70,7 +70,7 @@
                 carrying.remove(this);
                 // A long answer, or an end that is waited for, says little of what the next one in line waits for.
                 mean += MEAN * (Math.min(System.nanoTime() - since, longest) - mean);
-                ration.carried(tenant);
+                ration.release(tenant);
                 serveSoon();
             }
         }
@@ -164,8 +164,8 @@
             ends(now);
         }
         shrink.run();
-        isOver = ration.open() > ration.most();
-        if (ration.most() == 0) {
+        isOver = ration.open() > ration.maxConnections();
+        if (ration.maxConnections() == 0) {
             ration.drain().forEach(Sending::unsent);
         }
         serve();
@@ -207,7 +207,7 @@
     boolean send(Sending attempt) {
         String tenant = tenants.apply(attempt.request());
         // Known to come too late, it is told so now.
-        boolean may = ration.ahead(tenant) * mean < attempt.patience() && ration.await(tenant, attempt);
+        boolean may = ration.waitingPerConnection(tenant) * mean < attempt.patience() && ration.enqueue(tenant, attempt);
         if (may) {
             serve();
         }
@@ -217,13 +217,13 @@
     /** An attempt waits no more. */
     void leave(Sending attempt) {
         // In whichever line: tenants may have changed since.
-        ration.leave(attempt);
+        ration.cancel(attempt);
     }
 
     /** The last look before a connect. */
     boolean takeConnection() {
         int most = permit.at(System.nanoTime());
-        if (most != ration.most()) {
+        if (most != ration.maxConnections()) {
             // A lease has ended, and its timer is yet to come.
             look();
         }
@@ -232,7 +232,7 @@
 
     /** What was taken was not used. */
     void giveConnection() {
-        ration.gone(false);
+        ration.removeConnection(false);
     }
 
     /** Whether connections must go. */
@@ -250,7 +250,7 @@
         Parting parting = opened == null ? null : opened.attr(Parting.KEY).getAndSet(null);
         if (failure instanceof ConnectTimeoutException) {
             // It may have come up at the other side.
-            ration.leaves();
+            ration.startClosing();
             loop.schedule(() -> gone(true), halfOpen, TimeUnit.NANOSECONDS);
         } else {
             gone(parting != null);
@@ -258,9 +258,9 @@
     }
 
     private void gone(boolean left) {
-        ration.gone(left);
+        ration.removeConnection(left);
         serveSoon();
-        if (isOver && ration.open() <= ration.most()) {
+        if (isOver && ration.open() <= ration.maxConnections()) {
             isOver = false;
             down.run();
         }
@@ -286,7 +286,7 @@
         } else if (!channel.hasAttr(Parting.KEY) || channel.attr(Parting.KEY).get() == null) {
             Parting parting = new Parting();
             channel.attr(Parting.KEY).set(parting);
-            ration.leaves();
+            ration.startClosing();
             channel.pipeline().addFirst(parting);
             channel.config().setAutoRead(true);
             duplex.shutdownOutput();
@@ -339,8 +339,8 @@
         later = false;
         try {
             ration.serve(this::begin);
-            ration.waiters(attempt -> {
-                if (ration.wantsRoom()) {
+            ration.forEachWaiting(attempt -> {
+                if (ration.shouldCloseIdle()) {
                     attempt.makeRoom();
                 }
             });
--- a/src/test/java/rushpin/budget/ConnectionBudgetTest.java
+++ b/src/test/java/rushpin/budget/ConnectionBudgetTest.java
@@ -22,22 +22,22 @@
         ration.set(6, Map.of("quiet", 2, "loud", 4));
         List<String> begun = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            ration.await("loud", "loud");
+            ration.enqueue("loud", "loud");
             ration.serve((what, tenant) -> ration.takeConnection() && begun.add(what));
         }
         assertEquals(List.of("loud", "loud", "loud", "loud"), begun);
-        assertEquals(4 * ConnectionBudget.WAITS, ration.waiting());
-        assertTrue(ration.await("quiet", "quiet"));
+        assertEquals(4 * ConnectionBudget.MAX_WAITING_PER_CONNECTION, ration.waiting());
+        assertTrue(ration.enqueue("quiet", "quiet"));
         ration.serve((what, tenant) -> ration.takeConnection() && begun.add(what));
         assertEquals("quiet", begun.get(4));
-        assertEquals(new ConnectionBudget.Use(4 + 4 * ConnectionBudget.WAITS + 1, 4), ration.uses().get("loud"));
+        assertEquals(new ConnectionBudget.Use(4 + 4 * ConnectionBudget.MAX_WAITING_PER_CONNECTION + 1, 4), ration.uses().get("loud"));
     }
 
     /** Before anything is known of parts, and with nothing to open, what is wanted is told all the same. */
     @Test
     void whatCanNotBeHadIsTold() {
         ConnectionBudget<String> ration = new ConnectionBudget<>();
-        assertFalse(ration.await("quiet", "x"));
+        assertFalse(ration.enqueue("quiet", "x"));
         assertEquals(Map.of("quiet", new ConnectionBudget.Use(1, 0)), ration.uses());
         assertEquals(Map.of(), ration.uses());
     }
@@ -65,12 +65,12 @@
                         while (ration.mustShrink() && idle > 0) {
                             idle--;
                             leaving++;
-                            ration.leaves();
+                            ration.startClosing();
                         }
                     }
                     case 1, 2 -> {
                         String tenant = "abc".substring(random.nextInt(3)).substring(0, 1);
-                        if (ration.await(tenant, next)) {
+                        if (ration.enqueue(tenant, next)) {
                             waiting.add(next);
                             of.put(next, tenant);
                         }
@@ -80,10 +80,10 @@
                         if (!carries.isEmpty()) {
                             String tenant = carries.poll();
                             carried.merge(tenant, -1, Integer::sum);
-                            ration.carried(tenant);
+                            ration.release(tenant);
                             if (ration.mustShrink()) {
                                 leaving++;
-                                ration.leaves();
+                                ration.startClosing();
                             } else {
                                 idle++;
                             }
@@ -93,13 +93,13 @@
                         if (leaving > 0) {
                             leaving--;
                             open--;
-                            ration.gone(true);
+                            ration.removeConnection(true);
                         }
                     }
                     default -> {
                         if (!waiting.isEmpty()) {
                             Integer one = waiting.remove(random.nextInt(waiting.size()));
-                            ration.leave(one);
+                            ration.cancel(one);
                         }
                     }
                 }
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -170,12 +170,12 @@
         assertEquals(3, call(() -> gate.use().waiting()));
         send("hasty", 0, "s0", 20 * MS);
         assertEquals("hasty NOT_SENT", ended.take());
-        for (int i = 0; i < 2 * ConnectionBudget.WAITS - 2; i++) {
+        for (int i = 0; i < 2 * ConnectionBudget.MAX_WAITING_PER_CONNECTION - 2; i++) {
             send("more", 0, "s0", LONG);
         }
         send("one too many", 0, "s0", LONG);
         assertEquals("one too many NOT_SENT", ended.take());
-        for (int i = 0; i < 4 + 2 * ConnectionBudget.WAITS; i++) {
+        for (int i = 0; i < 4 + 2 * ConnectionBudget.MAX_WAITING_PER_CONNECTION; i++) {
             answer();
             ended.take();
         }
