--- a/src/main/java/rushpin/budget/Turns.java
+++ b/src/main/java/rushpin/budget/FairQueue.java
@@ -11,7 +11,7 @@
  *
  * <p>Bounds: one line for each name ever added, and in it what the caller adds; the caller adds each waiting thing once.
  */
-public final class Turns<T> {
+public final class FairQueue<T> {
     private static final class Line<T> {
         private final ArrayDeque<T> waiting = new ArrayDeque<>();
         private long used;
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -48,7 +48,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import rushpin.budget.Turns;
+import rushpin.budget.FairQueue;
 
 /**
  * HTTP server for clients: reads requests, rejects malformed ones, hands the others to their pool and writes the
@@ -114,7 +114,7 @@
      * With several pools on this loop, decides whose connection is decoded next; otherwise null, and each is decoded
      * when read.
      */
-    private final Turns<Session> turns;
+    private final FairQueue<Session> turns;
 
     private final LoopWatch watch;
     private long lastSweepAt = System.nanoTime();
@@ -169,7 +169,7 @@
         this.loop = loop;
         this.listen = listen;
         watch = LoopWatch.of(loop);
-        turns = byTurns ? new Turns<>() : null;
+        turns = byTurns ? new FairQueue<>() : null;
         maxClients = Descriptors.of(sockets).clients();
         maxIdle = Math.max(4, sockets / 6);
         // A fixed delay: after a stall, a fixed rate would run all the missed sweeps one after another.
--- a/src/test/java/rushpin/budget/TurnsTest.java
+++ b/src/test/java/rushpin/budget/FairQueueTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Whose turn it is. */
-class TurnsTest {
-    private final Turns<String> turns = new Turns<>();
+class FairQueueTest {
+    private final FairQueue<String> turns = new FairQueue<>();
 
     @Test
     void oneRequestIsNotReadBehindAFlood() {
@@ -60,7 +60,7 @@
     @Property
     void thoseWhoWaitGetTheSameTimeWithinOneTurn(@ForAll long seed, @ForAll @IntRange(min = 2, max = 6) int names) {
         SplittableRandom random = new SplittableRandom(seed);
-        Turns<Integer> all = new Turns<>();
+        FairQueue<Integer> all = new FairQueue<>();
         long[] used = new long[names], most = new long[names];
         for (int i = 0; i < names; i++) {
             most[i] = random.nextLong(1, 1_000);
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -104,7 +104,7 @@
                 "rushpin.config.OperatorFile",
                 "PooledServices",
                 "rushpin.budget.Lender",
-                "rushpin.budget.Turns",
+                "rushpin.budget.FairQueue",
                 "rushpin.membership.AddressOwners",
                 "org.tomlj",
                 "picocli")) {
