--- a/src/main/java/rushpin/cli/Main.java
+++ b/src/main/java/rushpin/cli/Main.java
@@ -16,7 +16,7 @@
 import rushpin.node.Desk;
 import rushpin.node.EdgeNode;
 import rushpin.node.LibraryLines;
-import rushpin.node.Rehearsal;
+import rushpin.node.WarmUp;
 
 /**
  * The command line: {@code serve} runs an edge node, {@code check} checks an operator's file, {@code rig} and
@@ -114,7 +114,7 @@
                 OperatorFile.read(operator, first);
             }
             long warmUpStart = System.nanoTime();
-            int requests = Rehearsal.hold(first, WARM_UP_REQUESTS, WARM_UP_MS, Path.of(temporary));
+            int requests = WarmUp.run(first, WARM_UP_REQUESTS, WARM_UP_MS, Path.of(temporary));
             System.out.println("rehearsed with " + requests + " requests in "
                     + (System.nanoTime() - warmUpStart) / 1_000_000 + " ms");
             // The file is read again, as a signal may have arrived during the warm-up. Later ones are handled at the
--- a/src/main/java/rushpin/node/Rehearsal.java
+++ b/src/main/java/rushpin/node/WarmUp.java
@@ -62,7 +62,7 @@
  * <p>It covers each start: the first one, a planned restart, one after a crash. It could hurt where the other nodes
  * can't bear the load for its span, so it is bounded in time, and where it can't be held the node serves without.
  */
-public final class Rehearsal implements AutoCloseable {
+public final class WarmUp implements AutoCloseable {
     private static final int SERVERS = 8, CLIENTS = 10, CUSTOMERS = 499;
     /**
      * The descriptors of the second node: 16 of clients and as many to app servers, whose other ends this process holds too. With all that the
@@ -88,7 +88,7 @@
     private final Path folder;
     private int sent, answered, served, taken;
 
-    private Rehearsal(Config config, int requests, Path parent) throws IOException {
+    private WarmUp(Config config, int requests, Path parent) throws IOException {
         this.config = config;
         this.requests = requests;
         // A name by chance would cost the start a search for the system's source of it.
@@ -100,8 +100,8 @@
      * Holds one of so many requests, shorter if it takes longer than {@code span} milliseconds; returns how many
      * were served.
      */
-    public static int hold(Config config, int requests, long span, Path parent) {
-        try (Rehearsal rehearsal = new Rehearsal(config, requests, parent)) {
+    public static int run(Config config, int requests, long span, Path parent) {
+        try (WarmUp warmUp = new WarmUp(config, requests, parent)) {
             return rehearsal.play(span);
         } catch (Exception e) {
             ErrorLog.report("no rehearsal", e);
--- a/src/test/java/rushpin/node/RehearsalTest.java
+++ b/src/test/java/rushpin/node/WarmUpTest.java
@@ -17,7 +17,7 @@
 import rushpin.config.Config;
 
 /** What a node does before it serves, and that nobody but itself hears of it. */
-class RehearsalTest extends Stage {
+class WarmUpTest extends Stage {
     @TempDir
     Path folder;
 
@@ -31,7 +31,7 @@
     void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "real")));
         Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
-        assertTrue(Rehearsal.hold(config, 200, 60_000, folder) > 100);
+        assertTrue(WarmUp.run(config, 200, 60_000, folder) > 100);
         assertNull(server.seen.poll());
         assertNull(counter.seen.poll());
         assertNull(discovery.seen.poll());
@@ -41,9 +41,9 @@
     @Test
     void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
         Config config = Config.parse(config());
-        Rehearsal.hold(config, Integer.MAX_VALUE, 1, folder);
+        WarmUp.run(config, Integer.MAX_VALUE, 1, folder);
         assertEquals(0, left());
-        assertEquals(0, Rehearsal.hold(config, 1, 60_000, folder.resolve("none")));
+        assertEquals(0, WarmUp.run(config, 1, 60_000, folder.resolve("none")));
     }
 
     /** A node that serves unrehearsed turned most of its first clients away: the first answer comes after it. */
