--- a/src/main/java/rushpin/cli/Main.java
+++ b/src/main/java/rushpin/cli/Main.java
@@ -15,7 +15,7 @@
 import rushpin.node.Console;
 import rushpin.node.Desk;
 import rushpin.node.EdgeNode;
-import rushpin.node.LibraryLines;
+import rushpin.node.PlainLogFormatter;
 import rushpin.node.WarmUp;
 
 /**
@@ -88,7 +88,7 @@
         }
         // Set explicitly: otherwise Netty looks for other logging libraries first, which slows the start.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        LibraryLines.plain();
+        PlainLogFormatter.install();
         try {
             Path path = Path.of(file);
             AtomicReference<EdgeNode> serving = new AtomicReference<>();
--- a/src/main/java/rushpin/node/LibraryLines.java
+++ b/src/main/java/rushpin/node/PlainLogFormatter.java
@@ -11,13 +11,13 @@
  * What libraries log, without the hour, which whoever keeps lines has. The JVM's own formatter opens a file for it at its first line: where no
  * descriptor was left, to say so failed by an Error, and that ended the event loop.
  */
-public final class LibraryLines extends Formatter {
-    private LibraryLines() {}
+public final class PlainLogFormatter extends Formatter {
+    private PlainLogFormatter() {}
 
     /** From now on all handlers write so. */
-    public static void plain() {
+    public static void install() {
         for (Handler each : Logger.getLogger("").getHandlers()) {
-            each.setFormatter(new LibraryLines());
+            each.setFormatter(new PlainLogFormatter());
         }
     }
 
