--- a/src/main/java/rushpin/budget/Share.java
+++ b/src/main/java/rushpin/budget/Share.java
@@ -9,7 +9,7 @@
  */
 public final class Share {
     /** The way to the lender; may be a message to another thread, answered later. */
-    public interface Desk {
+    public interface OperatorState {
         /** Wants so many more units, 0 for none any more; the lender hands some over now or when others come back. */
         void ask(long units);
 
@@ -17,19 +17,19 @@
         void back(long units);
     }
 
-    private final Desk desk;
+    private final OperatorState desk;
     private long guaranteed, held, used, owed;
     private boolean asked;
 
     /** A share that holds nothing yet; the lender hands the guaranteed part over first. */
-    public Share(long guaranteed, Desk desk) {
+    public Share(long guaranteed, OperatorState desk) {
         this.guaranteed = guaranteed;
         this.desk = desk;
     }
 
     /** A share of a resource that has one user: so much, for good. */
     public static Share fixed(long units) {
-        Share share = new Share(units, new Desk() {
+        Share share = new Share(units, new OperatorState() {
             @Override
             public void ask(long more) {
                 // There is nobody to ask.
--- a/src/main/java/rushpin/cli/Main.java
+++ b/src/main/java/rushpin/cli/Main.java
@@ -13,7 +13,7 @@
 import rushpin.config.OperatorFile;
 import rushpin.drill.Drill;
 import rushpin.node.Console;
-import rushpin.node.Desk;
+import rushpin.node.OperatorState;
 import rushpin.node.EdgeNode;
 import rushpin.node.PlainLogFormatter;
 import rushpin.node.WarmUp;
@@ -94,7 +94,7 @@
             AtomicReference<EdgeNode> serving = new AtomicReference<>();
             AtomicReference<EdgeNode> started = new AtomicReference<>();
             AtomicInteger hangups = new AtomicInteger();
-            AtomicReference<Desk> desk = new AtomicReference<>();
+            AtomicReference<OperatorState> desk = new AtomicReference<>();
             AtomicReference<Config> running = new AtomicReference<>();
             onHangup(() -> {
                 hangups.incrementAndGet();
@@ -105,7 +105,7 @@
             Config first = Config.read(path);
             SocketAddress console = Config.console(first, System.getenv("GW_CONSOLE"));
             if (console != null) {
-                desk.set(Desk.in(Path.of(temporary).resolve("rushpin")));
+                desk.set(OperatorState.in(Path.of(temporary).resolve("rushpin")));
                 // The console answers from here on, before the node is ready.
                 System.out.println("console on " + new Console(console, desk.get(), serving::get).address());
             }
@@ -156,7 +156,7 @@
     }
 
     /** Reads the configuration again. If it can't be used, one line is logged and the running settings stay. */
-    private static void reload(EdgeNode node, Path file, Path operator, Desk desk, AtomicReference<Config> running) {
+    private static void reload(EdgeNode node, Path file, Path operator, OperatorState desk, AtomicReference<Config> running) {
         if (node == null) {
             // The file is read when the node has started.
             return;
--- a/src/main/java/rushpin/node/Console.java
+++ b/src/main/java/rushpin/node/Console.java
@@ -10,12 +10,12 @@
 public final class Console implements ConsoleServer.CommandHandler, AutoCloseable {
     private static final String DONE = "done\n";
 
-    private final Desk desk;
+    private final OperatorState desk;
     private final Supplier<EdgeNode> node;
     private final ConsoleServer server;
 
     /** Listens from now on; {@code node} gives null for as long as there is none. */
-    public Console(SocketAddress at, Desk desk, Supplier<EdgeNode> node) throws InterruptedException {
+    public Console(SocketAddress at, OperatorState desk, Supplier<EdgeNode> node) throws InterruptedException {
         this.desk = desk;
         this.node = node;
         server = new ConsoleServer(at, this);
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -36,7 +36,7 @@
     private final OperatorConfig.Listener listener;
     private final Lifecycle lifecycle;
     /** Where operators' calls end; null where there is no console. */
-    private final Desk desk;
+    private final OperatorState desk;
     /** What is shared with other processes; null for nothing. */
     private final Together together;
 
@@ -58,11 +58,11 @@
     }
 
     /** As above, with what operators' calls go to; null for none. */
-    public EdgeNode(Config config, OperatorConfig operator, Desk desk) {
+    public EdgeNode(Config config, OperatorConfig operator, OperatorState desk) {
         this(config, operator, new Clock(), desk);
     }
 
-    private EdgeNode(Config config, OperatorConfig operator, Clock clock, Desk desk) {
+    private EdgeNode(Config config, OperatorConfig operator, Clock clock, OperatorState desk) {
         this.clock = clock;
         this.desk = desk;
         ByteBudget bytes = new ByteBudget(operator == null ? config.memory() : config.memory() / 2);
--- a/src/main/java/rushpin/node/Desk.java
+++ b/src/main/java/rushpin/node/OperatorState.java
@@ -14,10 +14,10 @@
  * @param out which app servers they have taken out, for all processes of this node
  * @param beside which processes these are
  */
-public record Desk(ProcessMetrics counts, OutOfService out, ProcessRegistry beside) implements AutoCloseable {
+public record OperatorState(ProcessMetrics counts, OutOfService out, ProcessRegistry beside) implements AutoCloseable {
     /** Keeps what outlives a process in a folder that all processes of the node share. */
-    public static Desk in(Path folder) throws IOException {
-        return new Desk(new ProcessMetrics(), new OutOfService(folder), new ProcessRegistry(folder));
+    public static OperatorState in(Path folder) throws IOException {
+        return new OperatorState(new ProcessMetrics(), new OutOfService(folder), new ProcessRegistry(folder));
     }
 
     /** A configuration was read again: taken, or turned down whole. */
--- a/src/main/java/rushpin/node/PlatformService.java
+++ b/src/main/java/rushpin/node/PlatformService.java
@@ -17,7 +17,7 @@
     private final Pool pool;
     private final ServerCallbacks.Destination way;
 
-    PlatformService(Config config, EventLoop loop, Clock clock, ByteBudget bytes, Desk desk) {
+    PlatformService(Config config, EventLoop loop, Clock clock, ByteBudget bytes, OperatorState desk) {
         this.loop = loop;
         pool = new Pool(PoolConfig.platform(config), loop, loop, clock, Budgets.whole(config.sockets(), bytes), null);
         if (desk != null) {
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -84,7 +84,7 @@
     private final DiscoveryClient discovery;
     private Gateway gateway;
     /** What operators' calls go to, and who is out by them; null for none. */
-    private Desk desk;
+    private OperatorState desk;
 
     private DisabledServers withheld;
     private final List<ProcessRegistry.QuotaTransfer> gifts = new ArrayList<>();
@@ -162,7 +162,7 @@
     }
 
     /** Reports to a desk, and keeps to what operators say there; before the start. */
-    void serveDesk(Desk with) {
+    void serveDesk(OperatorState with) {
         desk = with;
         withheld = new DisabledServers();
         names().classes().forEach(name -> desk.counts().of(figure(name)));
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -57,7 +57,7 @@
     /** For the life of the process: a record can't change its folder. */
     private final Path state;
     /** Where operators' calls end; null where there is no console. */
-    private final Desk console;
+    private final OperatorState console;
 
     private final Map<String, Running> running = new LinkedHashMap<>();
     private final List<Running> retiring = new ArrayList<>();
@@ -82,7 +82,7 @@
 
     /** Opens nothing yet; {@code ended} hears on the listening side's loop of each name that no pool has any more. */
     PooledServices(
-            OperatorConfig operator, String node, EventLoop front, Clock clock, Consumer<String> ended, Desk console) {
+            OperatorConfig operator, String node, EventLoop front, Clock clock, Consumer<String> ended, OperatorState console) {
         this.console = console;
         this.operator = operator;
         this.node = node;
@@ -227,9 +227,9 @@
     }
 
     /** The way from a pool's loop to a lender. */
-    private Share.Desk desk(String key, Kind kind) {
+    private Share.OperatorState desk(String key, Kind kind) {
         Lender lender = lenders[kind.ordinal()];
-        return new Share.Desk() {
+        return new Share.OperatorState() {
             @Override
             public void ask(long units) {
                 front.execute(() -> lender.ask(key, units));
--- a/src/test/java/rushpin/budget/LenderPropertiesTest.java
+++ b/src/test/java/rushpin/budget/LenderPropertiesTest.java
@@ -24,7 +24,7 @@
         Borrower(String name, Lender lender, long guaranteed) {
             this.name = name;
             this.guaranteed = guaranteed;
-            share = new Share(guaranteed, new Share.Desk() {
+            share = new Share(guaranteed, new Share.OperatorState() {
                 @Override
                 public void ask(long units) {
                     toLender.add(() -> lender.ask(name, units));
--- a/src/test/java/rushpin/node/ConsoleTest.java
+++ b/src/test/java/rushpin/node/ConsoleTest.java
@@ -31,7 +31,7 @@
     private Console console;
 
     private void serve(String config) throws Exception {
-        Desk desk = Desk.in(folder);
+        OperatorState desk = OperatorState.in(folder);
         console = new Console(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), desk, () -> node);
         toClose.add(console);
         assertTrue(call("READY").startsWith("error"), "nothing serves yet");
@@ -186,7 +186,7 @@
         Peer b = peer(m -> m.answer(Peer.ok("", "b")));
         Config config =
                 Config.parse(config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0)));
-        Desk desk = Desk.in(folder);
+        OperatorState desk = OperatorState.in(folder);
         console = new Console(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), desk, () -> node);
         toClose.add(console);
         node = new EdgeNode(
@@ -249,7 +249,7 @@
         Peer a = peer(m -> m.answer(Peer.ok("", "a")));
         Peer b = peer(m -> m.answer(Peer.ok("", "b")));
         String config = config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0));
-        Desk other = Desk.in(folder);
+        OperatorState other = OperatorState.in(folder);
         EdgeNode before = new EdgeNode(Config.parse(config), null, other);
         toClose.add(before);
         before.start();
@@ -259,7 +259,7 @@
             assertTrue(i < 600, "the other process never heard of it");
             Thread.sleep(50);
         }
-        Desk next = Desk.in(folder);
+        OperatorState next = OperatorState.in(folder);
         EdgeNode after = new EdgeNode(Config.parse(config), null, next);
         toClose.add(after);
         after.start();
