--- a/src/main/java/rushpin/budget/ConnectionBudget.java
+++ b/src/main/java/rushpin/budget/ConnectionBudget.java
@@ -11,167 +11,186 @@
 import java.util.function.Consumer;
 
 /**
- * What one pool does with a number of connections that it must not exceed: how many there are, which tenants' requests
- * they carry, and who waits for one. No I/O and no clock; one thread at a time.
+ * Manages one pool's connections within a maximum: how many are open, which tenants' requests use them, and which
+ * requests wait for one. No I/O and no clock; one thread at a time.
  *
- * <p>Bounds: a tenant with a part has no more connections at once than that; who has none takes what the others leave, behind
- * them. At most {@value #MAX_WAITING_PER_CONNECTION} wait for each connection of a tenant's part, so a flood by one tenant fills no other's line.
+ * <p>A tenant with a limit uses at most that many connections; one without takes what the others leave, after them. At
+ * most {@value #MAX_WAITING_PER_CONNECTION} requests wait for each connection of a tenant's limit, so that a flood by
+ * one tenant does not fill another's queue.
  *
- * <p>Whoever calls names few tenants: one without a part is known until its use was told.
+ * <p>Callers must use few tenant names: one without a limit is kept until {@link #uses} has reported it.
  *
- * @param <W> what waits
+ * @param <W> a waiting request
  */
 public final class ConnectionBudget<W> {
-    /** So many requests of a tenant wait for each of its connections: later ones would wait for longer than their clients. */
+    /** Waiting requests per connection of a tenant; further ones would wait for longer than their clients do. */
     public static final int MAX_WAITING_PER_CONNECTION = 2;
 
-    /** What is known of one tenant. */
+    /** The state of one tenant. */
     private static final class Tenant<W> {
         private final Deque<W> waiting = new ArrayDeque<>();
-        private int part, carried, peak, most;
+        private int limit;
+        private int inUse;
+        /** Most connections wanted since the last {@link #uses}. */
+        private int peakWanted;
+        /** Most connections in use since the last {@link #uses}. */
+        private int peakInUse;
 
-        /** How full it is: who has least of its part comes first. */
-        private double use() {
-            return part > 0 ? (double) carried / part : Double.MAX_VALUE;
+        /** Returns the used part of the limit; the tenant with the lowest is served first. */
+        private double utilization() {
+            return limit > 0 ? (double) inUse / limit : Double.MAX_VALUE;
         }
     }
 
     private final Map<String, Tenant<W>> tenants = new TreeMap<>();
-    /** In turn: who was served last comes last of those that are as full. */
-    private final List<Tenant<W>> turns = new ArrayList<>();
+    /** The tenant served last comes last; the order among equally utilized tenants. */
+    private final List<Tenant<W>> byLastServed = new ArrayList<>();
 
-    private Map<String, Integer> parts = Map.of();
-    private int most, open, leaving, waiting;
+    private Map<String, Integer> limits = Map.of();
+    private int maxConnections;
+    private int open;
+    private int closing;
+    private int waiting;
 
-    /** From now on at most so many connections, and these parts for tenants; what is beyond them ends by itself. */
-    public void set(int connections, Map<String, Integer> partOf) {
-        most = connections;
-        parts = Map.copyOf(partOf);
-        tenants.forEach((name, tenant) -> tenant.part = parts.getOrDefault(name, 0));
+    /** Sets the maximum of connections and the tenants' limits; requests beyond them are not interrupted. */
+    public void set(int connections, Map<String, Integer> tenantLimits) {
+        maxConnections = connections;
+        limits = Map.copyOf(tenantLimits);
+        tenants.forEach((name, tenant) -> tenant.limit = limits.getOrDefault(name, 0));
     }
 
-    /** How many connections there may be. */
+    /** Returns the maximum of connections. */
     public int maxConnections() {
-        return most;
+        return maxConnections;
     }
 
-    /** Connections that are open, being made, or closed here and perhaps not yet at the other side. */
+    /** Returns the connections that are open, connecting, or closed here and perhaps not yet at the peer. */
     public int open() {
         return open;
     }
 
-    /** Of {@link #open} those that are being closed. */
+    /** Returns how many of {@link #open} are being closed. */
     public int closing() {
-        return leaving;
+        return closing;
     }
 
-    /** How many wait. */
+    /** Returns the number of waiting requests. */
     public int waiting() {
         return waiting;
     }
 
-    /** One connection more, if there may be one. */
+    /** Adds a connection; returns false if the maximum is reached. */
     public boolean takeConnection() {
-        boolean may = open < most;
-        open += may ? 1 : 0;
-        return may;
+        boolean allowed = open < maxConnections;
+        open += allowed ? 1 : 0;
+        return allowed;
     }
 
-    /** A connection begins to be closed. */
+    /** Notes that a connection is being closed. */
     public void startClosing() {
-        leaving++;
+        closing++;
     }
 
-    /** A connection is gone, at the other side too; {@code left} whether {@link #startClosing} was said of it. */
-    public void gone(boolean left) {
+    /**
+     * Removes a connection that is closed at the peer too; {@code wasClosing} if {@link #startClosing} was called for
+     * it.
+     */
+    public void removeConnection(boolean wasClosing) {
         open--;
-        leaving -= left ? 1 : 0;
+        closing -= wasClosing ? 1 : 0;
     }
 
-    /** Whether there are too many, without those that are being closed. */
+    /** Returns whether there are too many connections, not counting those that are being closed. */
     public boolean mustShrink() {
-        return open - leaving > most;
+        return open - closing > maxConnections;
     }
 
-    /** Whether an idle connection should give way: somebody waits, and what is being closed is not enough for all who do. */
+    /** Returns whether an idle connection should be closed, because fewer are closing than waiting requests need. */
     public boolean shouldCloseIdle() {
-        int wanting = 0;
+        int needed = 0;
         for (Map.Entry<String, Tenant<W>> each : tenants.entrySet()) {
             Tenant<W> tenant = each.getValue();
-            int may = !parts.containsKey(each.getKey()) ? most : Math.max(0, tenant.part - tenant.carried);
-            wanting += Math.min(tenant.waiting.size(), may);
+            int allowed =
+                    !limits.containsKey(each.getKey()) ? maxConnections : Math.max(0, tenant.limit - tenant.inUse);
+            needed += Math.min(tenant.waiting.size(), allowed);
         }
-        return leaving < wanting;
+        return closing < needed;
     }
 
     private Tenant<W> tenant(String name) {
         return tenants.computeIfAbsent(name, key -> {
-            Tenant<W> made = new Tenant<>();
-            made.part = parts.getOrDefault(key, 0);
-            turns.add(made);
-            return made;
+            Tenant<W> created = new Tenant<>();
+            created.limit = limits.getOrDefault(key, 0);
+            byLastServed.add(created);
+            return created;
         });
     }
 
-    /** Who has no part takes what the others leave. */
-    private boolean may(Tenant<W> tenant, String name) {
-        return !parts.containsKey(name) || tenant.carried < tenant.part;
+    /** Returns whether a tenant may use another connection; one without a limit takes what the others leave. */
+    private boolean mayBegin(Tenant<W> tenant, String name) {
+        return !limits.containsKey(name) || tenant.inUse < tenant.limit;
     }
 
-    /** Adds to a tenant's line; false if that is full, or nothing will come of it. */
-    public boolean enqueue(String of, W what) {
-        Tenant<W> tenant = tenant(of);
-        int room = parts.containsKey(of) ? tenant.part : most;
-        boolean may = most > 0 && tenant.waiting.size() < MAX_WAITING_PER_CONNECTION * room;
-        tenant.peak = Math.max(tenant.peak, tenant.carried + tenant.waiting.size() + 1);
-        if (may) {
-            tenant.waiting.add(what);
+    /** Adds a request to a tenant's queue; returns false if the queue is full or no connection is allowed. */
+    public boolean enqueue(String tenantName, W waiter) {
+        Tenant<W> tenant = tenant(tenantName);
+        int connections = limits.containsKey(tenantName) ? tenant.limit : maxConnections;
+        boolean allowed = maxConnections > 0 && tenant.waiting.size() < MAX_WAITING_PER_CONNECTION * connections;
+        tenant.peakWanted = Math.max(tenant.peakWanted, tenant.inUse + tenant.waiting.size() + 1);
+        if (allowed) {
+            tenant.waiting.add(waiter);
             waiting++;
         }
-        return may;
+        return allowed;
     }
 
-    /** Takes out of its line what waits no more. */
-    public void cancel(W what) {
-        tenants.values().forEach(tenant -> waiting -= tenant.waiting.remove(what) ? 1 : 0);
+    /** Removes a request from its queue. */
+    public void cancel(W waiter) {
+        tenants.values().forEach(tenant -> waiting -= tenant.waiting.remove(waiter) ? 1 : 0);
     }
 
-    /** Tenants in whose line somebody waits: who has least of its part first, and who was served last, last. */
-    private List<String> inTurn() {
+    /**
+     * Returns the tenants that have waiting requests and may be served: lowest utilization first, then least recently
+     * served.
+     */
+    private List<String> servingOrder() {
         List<String> order = new ArrayList<>(tenants.keySet());
-        order.removeIf(name -> tenants.get(name).waiting.isEmpty() || !may(tenants.get(name), name));
+        order.removeIf(name -> tenants.get(name).waiting.isEmpty() || !mayBegin(tenants.get(name), name));
         order.sort((a, b) -> {
-            int byUse = Double.compare(tenants.get(a).use(), tenants.get(b).use());
-            return byUse != 0 ? byUse : Integer.compare(turns.indexOf(tenants.get(a)), turns.indexOf(tenants.get(b)));
+            int byUse =
+                    Double.compare(tenants.get(a).utilization(), tenants.get(b).utilization());
+            return byUse != 0
+                    ? byUse
+                    : Integer.compare(byLastServed.indexOf(tenants.get(a)), byLastServed.indexOf(tenants.get(b)));
         });
         return order;
     }
 
     /**
-     * Tries what waits, whose tenant has least of its part first and oldest first within it, until nothing more can begin.
-     * What begins counts as carried for its tenant, until {@link #release its end}.
+     * Starts waiting requests until no more can start: tenants with the lowest utilization first, oldest request first.
+     * A started request counts as one connection in use of its tenant until {@link #release} is called.
      *
-     * @param begins begins one for its tenant if there is a connection for it
+     * @param starter starts a request of a tenant and returns true if there is a connection for it
      */
-    public void serve(BiPredicate<W, String> begins) {
-        boolean again = waiting > 0;
-        while (again) {
-            again = false;
-            for (Iterator<String> names = inTurn().iterator(); !again && names.hasNext(); ) {
+    public void serve(BiPredicate<W, String> starter) {
+        boolean progress = waiting > 0;
+        while (progress) {
+            progress = false;
+            for (Iterator<String> names = servingOrder().iterator(); !progress && names.hasNext(); ) {
                 String name = names.next();
-                again = serveOne(tenants.get(name), name, begins);
+                progress = serveOne(tenants.get(name), name, starter);
             }
         }
     }
 
-    private boolean serveOne(Tenant<W> tenant, String name, BiPredicate<W, String> begins) {
-        tenant.carried++;
+    private boolean serveOne(Tenant<W> tenant, String name, BiPredicate<W, String> starter) {
+        tenant.inUse++;
         for (W each : List.copyOf(tenant.waiting)) {
-            if (begins.test(each, name)) {
+            if (starter.test(each, name)) {
                 waiting -= tenant.waiting.remove(each) ? 1 : 0;
-                tenant.most = Math.max(tenant.most, tenant.carried);
-                turns.remove(tenant);
-                turns.add(tenant);
+                tenant.peakInUse = Math.max(tenant.peakInUse, tenant.inUse);
+                byLastServed.remove(tenant);
+                byLastServed.add(tenant);
                 return true;
             }
         }
@@ -179,12 +198,15 @@
         return false;
     }
 
-    /** All that wait and may be carried, in turn; who hears of one may close connections for it. */
-    public void forEachWaiting(Consumer<W> to) {
-        inTurn().forEach(name -> List.copyOf(tenants.get(name).waiting).forEach(to));
+    /**
+     * Passes all waiting requests that may be served, in serving order, to an action that may close connections for
+     * them.
+     */
+    public void forEachWaiting(Consumer<W> action) {
+        servingOrder().forEach(name -> List.copyOf(tenants.get(name).waiting).forEach(action));
     }
 
-    /** All that wait, which do so no more. */
+    /** Removes and returns all waiting requests. */
     public List<W> drain() {
         List<W> all = new ArrayList<>();
         for (String name : List.copyOf(tenants.keySet())) {
@@ -196,43 +218,47 @@
         return all;
     }
 
-    /** A connection carries nothing for a tenant any more. */
-    public void release(String of) {
-        Tenant<W> tenant = tenants.get(of);
-        tenant.carried--;
+    /** Notes that a connection used for a tenant is idle again. */
+    public void release(String tenantName) {
+        Tenant<W> tenant = tenants.get(tenantName);
+        tenant.inUse--;
     }
 
-    /** How many stand before one that would wait now, for each connection that its tenant may have. */
-    public double waitingPerConnection(String of) {
-        Tenant<W> tenant = tenants.get(of);
-        return tenant == null ? 0 : tenant.waiting.size() / (double) Math.max(1, tenant.part > 0 ? tenant.part : most);
+    /** Returns a tenant's waiting requests per connection that it may use. */
+    public double waitingPerConnection(String tenantName) {
+        Tenant<W> tenant = tenants.get(tenantName);
+        return tenant == null
+                ? 0
+                : tenant.waiting.size() / (double) Math.max(1, tenant.limit > 0 ? tenant.limit : maxConnections);
     }
 
-    /** What each tenant wanted and used at most since this was asked last. */
+    /** Returns the most that each tenant wanted and used since the last call. */
     public Map<String, Use> uses() {
         Map<String, Use> all = new TreeMap<>();
         for (Map.Entry<String, Tenant<W>> each : tenants.entrySet()) {
             Tenant<W> tenant = each.getValue();
-            int now = tenant.carried + tenant.waiting.size();
-            if (tenant.peak > 0 || now > 0) {
-                all.put(each.getKey(), new Use(Math.max(tenant.peak, now), Math.max(tenant.most, tenant.carried)));
+            int current = tenant.inUse + tenant.waiting.size();
+            if (tenant.peakWanted > 0 || current > 0) {
+                all.put(
+                        each.getKey(),
+                        new Use(Math.max(tenant.peakWanted, current), Math.max(tenant.peakInUse, tenant.inUse)));
             }
-            tenant.peak = now;
-            tenant.most = tenant.carried;
+            tenant.peakWanted = current;
+            tenant.peakInUse = tenant.inUse;
         }
-        // Told once, whoever has no part and is not there any more is forgotten.
+        // Removes tenants without a limit that have been reported and are idle.
         tenants.entrySet()
-                .removeIf(each -> !parts.containsKey(each.getKey())
-                        && each.getValue().peak == 0
-                        && turns.remove(each.getValue()));
+                .removeIf(each -> !limits.containsKey(each.getKey())
+                        && each.getValue().peakWanted == 0
+                        && byLastServed.remove(each.getValue()));
         return all;
     }
 
     /**
-     * A tenant's use of connections, at its most.
+     * A tenant's peak use of connections.
      *
-     * @param wanted those that carried its requests and those that would have
-     * @param used those that did
+     * @param wanted connections in use plus requests that waited or were rejected
+     * @param used connections in use
      */
     public record Use(int wanted, int used) {}
 }
--- a/src/main/java/rushpin/budget/FairQueue.java
+++ b/src/main/java/rushpin/budget/FairQueue.java
@@ -5,60 +5,63 @@
 import java.util.Map;
 
 /**
- * Whose turn it is on a thread that several pools share: the one that has used least of it, measured as it is used
- * (start-time fair queueing: Goyal, Vin, Cheng, "Start-time Fair Queueing", 1996, section 2, with cost for length). A
- * pool that was away gets no credit for it. No I/O and no clock of its own; one thread at a time.
+ * A fair queue for a thread that several pools share: the next item is of the pool that has used least time, measured
+ * as it is used (start-time fair queueing: Goyal, Vin, Cheng, "Start-time Fair Queueing", 1996, section 2, with
+ * measured cost in place of packet length). A pool gets no credit for time in which it had no items. No I/O and no
+ * clock; one thread at a time.
  *
- * <p>Bounds: one line for each name ever added, and in it what the caller adds; the caller adds each waiting thing once.
+ * <p>Memory: one queue for each name added and not forgotten, with the items that the caller adds; each must be added
+ * once.
  */
 public final class FairQueue<T> {
-    private static final class Line<T> {
+    private static final class Queue<T> {
         private final ArrayDeque<T> waiting = new ArrayDeque<>();
-        private long used;
+        private long usedNanos;
     }
 
-    private final Map<String, Line<T>> lines = new HashMap<>();
-    private long floor;
+    private final Map<String, Queue<T>> queues = new HashMap<>();
+    /** The time used by the pool served last, from which a pool that becomes active starts. */
+    private long virtualTime;
 
-    /** Something waits for its turn. */
-    public void add(String who, T waiting) {
-        Line<T> line = lines.computeIfAbsent(who, name -> new Line<>());
-        if (line.waiting.isEmpty()) {
-            line.used = Math.max(line.used, floor);
+    /** Adds an item for a name. */
+    public void add(String name, T item) {
+        Queue<T> queue = queues.computeIfAbsent(name, key -> new Queue<>());
+        if (queue.waiting.isEmpty()) {
+            queue.usedNanos = Math.max(queue.usedNanos, virtualTime);
         }
-        line.waiting.add(waiting);
+        queue.waiting.add(item);
     }
 
-    /** Takes the next one; null if none waits. */
+    /** Removes and returns the next item; null for none. */
     public T next() {
-        Line<T> least = null;
-        for (Line<T> line : lines.values()) {
-            if (!line.waiting.isEmpty() && (least == null || line.used < least.used)) {
-                least = line;
+        Queue<T> first = null;
+        for (Queue<T> queue : queues.values()) {
+            if (!queue.waiting.isEmpty() && (first == null || queue.usedNanos < first.usedNanos)) {
+                first = queue;
             }
         }
-        if (least == null) {
+        if (first == null) {
             return null;
         }
-        floor = least.used;
-        return least.waiting.poll();
+        virtualTime = first.usedNanos;
+        return first.waiting.poll();
     }
 
-    /** So much of the thread was used, in nanoseconds. */
-    public void charge(String who, long nanos) {
-        lines.computeIfAbsent(who, name -> new Line<>()).used += Math.max(0, nanos);
+    /** Charges a name for time used, in nanoseconds. */
+    public void charge(String name, long nanos) {
+        queues.computeIfAbsent(name, key -> new Queue<>()).usedNanos += Math.max(0, nanos);
     }
 
-    /** A name is not used any more. */
-    public void forget(String who) {
-        Line<T> line = lines.get(who);
-        if (line != null && line.waiting.isEmpty()) {
-            lines.remove(who);
+    /** Forgets a name, unless items of it wait. */
+    public void forget(String name) {
+        Queue<T> queue = queues.get(name);
+        if (queue != null && queue.waiting.isEmpty()) {
+            queues.remove(name);
         }
     }
 
-    /** Whether anything waits. */
+    /** Returns whether no item waits. */
     public boolean isEmpty() {
-        return lines.values().stream().allMatch(line -> line.waiting.isEmpty());
+        return queues.values().stream().allMatch(queue -> queue.waiting.isEmpty());
     }
 }
--- a/src/main/java/rushpin/budget/Lender.java
+++ b/src/main/java/rushpin/budget/Lender.java
@@ -5,25 +5,28 @@
 import java.util.Map;
 
 /**
- * Deals one resource of the process out to its pools: each has a guaranteed part that is never lent, and the common
- * rest is lent and called back. No I/O and no clock; one thread at a time; answers go out through {@link Port}.
+ * Divides one resource of the process among its pools: each has a guaranteed part that is never lent, and the rest is
+ * lent and recalled. No I/O and no clock; one thread at a time; answers go out through {@link Port}.
  *
- * <p>Bounds: what is handed out never exceeds the total, also while the operator changes it or pools come and go; then
- * a new guarantee is filled as lent units come back, before anybody is lent anything.
+ * <p>Invariant: no units are granted beyond the total. After the operator changed the total or a pool
+ * was added, new guarantees are filled as lent units come back, before any units are lent.
  */
 public final class Lender {
-    /** The way to a pool's {@link Share}; messages arrive in the order in which they were sent. */
+    /** Sends messages to a pool's {@link Share}, which arrive in the order in which they were sent. */
     public interface Port {
-        /** These units are the pool's now. */
-        void hand(long units);
+        /** Grants units to the pool. */
+        void grant(long units);
 
-        /** So many lent units are wanted back as soon as they are free. */
+        /** Recalls lent units, to be given back as soon as they are free. */
         void recall(long units);
     }
 
     private static final class Borrower {
         private Port port;
-        private long guaranteed, held, recalled, wanted;
+        private long guaranteed;
+        private long held;
+        private long recalled;
+        private long requested;
 
         long loan() {
             return held - recalled - guaranteed;
@@ -34,48 +37,48 @@
         }
     }
 
-    /** In the order in which they wait: who was served goes to the end. */
+    /** In the order in which they are served; one that was served moves to the end. */
     private final Map<String, Borrower> borrowers = new LinkedHashMap<>();
 
     private long total;
 
-    /** Deals out so many units. */
+    /** Creates a lender of the given number of units. */
     public Lender(long total) {
         this.total = total;
     }
 
-    /** A pool comes, or its guarantee changes. The sum of all guarantees must stay within the total. */
-    public void reserve(String who, long guaranteed, Port port) {
-        Borrower borrower = borrowers.computeIfAbsent(who, name -> new Borrower());
+    /** Adds a pool or changes its guarantee. The sum of all guarantees must stay within the total. */
+    public void reserve(String name, long guaranteed, Port port) {
+        Borrower borrower = borrowers.computeIfAbsent(name, key -> new Borrower());
         borrower.guaranteed = guaranteed;
         borrower.port = port;
         settle();
     }
 
-    /** The operator changes the total. */
+    /** Changes the total. */
     public void resize(long units) {
         total = units;
         settle();
     }
 
-    /** A pool is gone with all it had. */
-    public void leave(String who) {
-        borrowers.remove(who);
+    /** Removes a pool with all units it held. */
+    public void remove(String name) {
+        borrowers.remove(name);
         settle();
     }
 
-    /** A pool wants more; it waits for one answer at a time. */
-    public void ask(String who, long units) {
-        Borrower borrower = borrowers.get(who);
+    /** Requests units for a pool, replacing its pending request. */
+    public void request(String name, long units) {
+        Borrower borrower = borrowers.get(name);
         if (borrower != null) {
-            borrower.wanted = units;
+            borrower.requested = units;
             settle();
         }
     }
 
-    /** A pool gives units back. */
-    public void back(String who, long units) {
-        Borrower borrower = borrowers.get(who);
+    /** Takes back units from a pool. */
+    public void giveBack(String name, long units) {
+        Borrower borrower = borrowers.get(name);
         if (borrower != null) {
             borrower.held -= units;
             borrower.recalled = Math.max(0, borrower.recalled - units);
@@ -84,75 +87,75 @@
     }
 
     private void settle() {
-        long free = total - handedOut();
+        long free = total - granted();
         for (Borrower borrower : borrowers.values()) {
-            long now = Math.min(borrower.missing(), free);
-            if (now > 0) {
-                free -= now;
-                hand(borrower, now);
+            long granting = Math.min(borrower.missing(), free);
+            if (granting > 0) {
+                free -= granting;
+                grant(borrower, granting);
             }
         }
         long missing = borrowers.values().stream().mapToLong(Borrower::missing).sum();
         free -= missing;
-        for (String who : List.copyOf(borrowers.keySet())) {
-            Borrower borrower = borrowers.get(who);
-            long now = Math.min(borrower.wanted, free);
-            if (now > 0) {
-                free -= now;
-                borrowers.remove(who);
-                borrowers.put(who, borrower);
-                hand(borrower, now);
+        for (String name : List.copyOf(borrowers.keySet())) {
+            Borrower borrower = borrowers.get(name);
+            long granting = Math.min(borrower.requested, free);
+            if (granting > 0) {
+                free -= granting;
+                borrowers.remove(name);
+                borrowers.put(name, borrower);
+                grant(borrower, granting);
             }
         }
-        // Guarantees come before everything; what is over the total counts as missing too.
-        callBack(missing + Math.max(0, handedOut() - total), 0);
-        long fair = fair();
+        // Guarantees come first; units beyond the total count as missing too.
+        recallLoans(missing + Math.max(0, granted() - total), 0);
+        long fairLoan = fairLoan();
         long scarce = 0;
         for (Borrower borrower : borrowers.values()) {
-            scarce += Math.max(0, Math.min(borrower.wanted, fair - borrower.loan()));
+            scarce += Math.max(0, Math.min(borrower.requested, fairLoan - borrower.loan()));
         }
-        callBack(scarce + missing, fair);
+        recallLoans(scarce + missing, fairLoan);
     }
 
-    /** Lent units that each of those who have or want some may count on. */
-    private long fair() {
+    /** Returns the equal share of lendable units among the pools that borrow or request some. */
+    private long fairLoan() {
         long rest =
                 total - borrowers.values().stream().mapToLong(b -> b.guaranteed).sum();
         long users = borrowers.values().stream()
-                .filter(b -> b.loan() > 0 || b.wanted > 0)
+                .filter(b -> b.loan() > 0 || b.requested > 0)
                 .count();
         return Math.max(0, rest) / Math.max(1, users);
     }
 
-    /** Calls units back, from the greatest loan first, until so many are on their way. */
-    private void callBack(long units, long leave) {
-        long open =
+    /** Recalls units, largest loan first, until the given number is outstanding; leaves loans of {@code maxLoan}. */
+    private void recallLoans(long units, long maxLoan) {
+        long outstanding =
                 units - borrowers.values().stream().mapToLong(b -> b.recalled).sum();
-        while (open > 0) {
-            Borrower greatest = null;
+        while (outstanding > 0) {
+            Borrower largest = null;
             for (Borrower borrower : borrowers.values()) {
-                if (greatest == null || borrower.loan() > greatest.loan()) {
-                    greatest = borrower;
+                if (largest == null || borrower.loan() > largest.loan()) {
+                    largest = borrower;
                 }
             }
-            if (greatest == null || greatest.loan() <= leave) {
+            if (largest == null || largest.loan() <= maxLoan) {
                 return;
             }
-            long now = Math.min(open, greatest.loan() - leave);
-            greatest.recalled += now;
-            open -= now;
-            greatest.port.recall(now);
+            long recalling = Math.min(outstanding, largest.loan() - maxLoan);
+            largest.recalled += recalling;
+            outstanding -= recalling;
+            largest.port.recall(recalling);
         }
     }
 
-    private void hand(Borrower to, long units) {
+    private void grant(Borrower to, long units) {
         to.held += units;
-        to.wanted = 0;
-        to.port.hand(units);
+        to.requested = 0;
+        to.port.grant(units);
     }
 
-    /** Units that pools hold now, used or not. */
-    public long handedOut() {
+    /** Returns the units that pools hold now, used or not. */
+    public long granted() {
         return borrowers.values().stream().mapToLong(b -> b.held).sum();
     }
 }
--- a/src/main/java/rushpin/budget/Share.java
+++ b/src/main/java/rushpin/budget/Share.java
@@ -1,127 +1,136 @@
 package rushpin.budget;
 
 /**
- * What one pool may use of one resource of the process: its guaranteed part, and what the {@link Lender} has handed it
- * beyond that. It decides at once, from what it holds; more is asked for ahead of need, by messages to the desk, so
+ * The units of one resource that one pool may use: its guaranteed part, and what the {@link Lender} lends beyond that.
+ *
+ * <p>It decides at once from the units it holds, and requests more ahead of need by messages through {@link Port}, so
  * that no pool waits for another's thread. No I/O and no clock; one thread at a time.
  *
- * <p>Bounds: {@code used <= held} always, and {@link #take} never fails while the use stays within the guarantee.
+ * <p>Invariants: {@code used <= held}, and {@link #tryAcquire} never fails while use stays within the guarantee.
  */
 public final class Share {
-    /** The way to the lender; may be a message to another thread, answered later. */
-    public interface OperatorState {
-        /** Wants so many more units, 0 for none any more; the lender hands some over now or when others come back. */
-        void ask(long units);
+    /** Sends messages to the lender, which may run on another thread and answer later. */
+    public interface Port {
+        /** Requests more units, 0 to withdraw the request; the lender grants some now or when others are given back. */
+        void request(long units);
 
         /** Gives units back. */
-        void back(long units);
+        void giveBack(long units);
     }
 
-    private final OperatorState desk;
-    private long guaranteed, held, used, owed;
-    private boolean asked;
+    private final Port port;
+    private long guaranteed;
+    private long held;
+    private long used;
+    private long owed;
+    /** Whether a request to the lender is pending. */
+    private boolean requested;
 
-    /** A share that holds nothing yet; the lender hands the guaranteed part over first. */
-    public Share(long guaranteed, OperatorState desk) {
+    /** Creates a share that holds nothing; the lender grants the guaranteed part first. */
+    public Share(long guaranteed, Port port) {
         this.guaranteed = guaranteed;
-        this.desk = desk;
+        this.port = port;
     }
 
-    /** A share of a resource that has one user: so much, for good. */
+    /** Creates a share of constant size, for a resource with a single user. */
     public static Share fixed(long units) {
-        Share share = new Share(units, new OperatorState() {
+        Share share = new Share(units, new Port() {
             @Override
-            public void ask(long more) {
-                // There is nobody to ask.
+            public void request(long more) {
+                // There is no lender.
             }
 
             @Override
-            public void back(long given) {
-                throw new IllegalStateException("a fixed share gives nothing back");
+            public void giveBack(long returned) {
+                throw new IllegalStateException("a fixed share has no lender to give units back to");
             }
         });
         share.held = units;
         return share;
     }
 
-    /** Takes units if that is within what is held; asks for more ahead of need. */
-    public boolean take(long units) {
-        boolean may = used + units <= held - owed;
-        used += may ? units : 0;
-        if (!asked && owed == 0 && held - used < (may ? step() : units)) {
-            asked = true;
-            desk.ask(Math.max(step(), units));
+    /** Acquires units if enough are held; requests more ahead of need. */
+    public boolean tryAcquire(long units) {
+        boolean available = used + units <= held - owed;
+        used += available ? units : 0;
+        if (!requested && owed == 0 && held - used < (available ? chunk() : units)) {
+            requested = true;
+            port.request(Math.max(chunk(), units));
         }
-        return may;
+        return available;
     }
 
-    /** Units are free again. */
-    public void give(long units) {
+    /**
+     * Releases units that were acquired.
+     *
+     * @throws IllegalStateException if fewer are in use
+     */
+    public void release(long units) {
         if (units > used) {
-            throw new IllegalStateException("gives " + units + " of " + used);
+            throw new IllegalStateException("more units released than are in use: " + units + " > " + used);
         }
         used -= units;
         repay();
     }
 
-    /** The lender handed units over. */
-    public void handed(long units) {
+    /** Adds units that the lender granted. */
+    public void granted(long units) {
         held += units;
-        asked = false;
+        requested = false;
         repay();
     }
 
-    /** The lender wants lent units back, as soon as they are free; returns how many are still in use. */
-    public long recalled(long units) {
-        // A part may be on its way back already, of the pool's own accord: the guaranteed part is never owed.
+    /** Gives lent units back to the lender as soon as they are free; returns how many are still in use. */
+    public long recall(long units) {
+        // Some may have been given back unasked since the recall was sent; the guaranteed part is never owed.
         owed = Math.max(owed, Math.min(owed + units, held - guaranteed));
         repay();
         return owed;
     }
 
-    /** The operator changed the guaranteed part; the lender settles the difference. */
-    public void guarantee(long units) {
+    /** Sets the guaranteed part after the operator changed it; the lender settles the difference. */
+    public void setGuarantee(long units) {
         guaranteed = units;
     }
 
     private void repay() {
-        long now = Math.min(owed, held - used);
-        if (now > 0) {
-            owed -= now;
-            held -= now;
-            desk.back(now);
+        long repaid = Math.min(owed, held - used);
+        if (repaid > 0) {
+            owed -= repaid;
+            held -= repaid;
+            port.giveBack(repaid);
         }
     }
 
-    /** Now and then: what was lent and is not needed goes back. */
-    public void sweep() {
-        long spare = Math.min(held - guaranteed, held - used - step());
+    /** Gives back lent units that are not needed; to be called regularly. */
+    public void returnSpare() {
+        long spare = Math.min(held - guaranteed, held - used - chunk());
         if (owed == 0 && spare > 0) {
-            if (asked) {
-                // It wanted more once; two that wait for each other's spare units would wait for ever.
-                asked = false;
-                desk.ask(0);
+            if (requested) {
+                // Withdraws the request: two shares waiting for each other's spare units would deadlock.
+                requested = false;
+                port.request(0);
             }
             held -= spare;
-            desk.back(spare);
+            port.giveBack(spare);
         }
     }
 
-    private long step() {
+    private long chunk() {
         return Math.max(1, guaranteed / 8);
     }
 
-    /** Units in use. */
+    /** Returns the units in use. */
     public long used() {
         return used;
     }
 
-    /** Units at hand, used or not. */
+    /** Returns the units held, used or not. */
     public long held() {
         return held;
     }
 
-    /** Units wanted back that are still in use. */
+    /** Returns the recalled units that are still in use. */
     public long owed() {
         return owed;
     }
--- a/src/main/java/rushpin/lifecycle/Lifecycle.java
+++ b/src/main/java/rushpin/lifecycle/Lifecycle.java
@@ -1,143 +1,145 @@
 package rushpin.lifecycle;
 
 /**
- * What a process is doing between its start and its end, and what comes next. Time and events are arguments; what is to
- * be done goes out through {@link Port}. One thread at a time; no I/O.
+ * The state machine of a process from its start to its end. Time, in nanoseconds, and events are arguments; actions go
+ * out through {@link Port}. One thread at a time; no I/O.
  *
- * <p>Liveness is that the process is not {@link State#STOPPED}; readiness, that it is {@link State#READY}. Both are told
- * apart: a node that drains is alive and takes nothing new.
+ * <p>The process is live until it is {@link State#STOPPED}, and ready while it is {@link State#READY}. The two differ:
+ * a node that drains is live but accepts nothing new.
  */
 public final class Lifecycle {
     /** The states, in the order in which they can come. */
     public enum State {
-        /** Reads its configuration. */
+        /** Reading the configuration. */
         STARTING,
-        /** Plays made-up requests; listens nowhere. */
-        REHEARSING,
-        /** Serves. */
+        /** Running warm-up requests; not listening yet. */
+        WARMING_UP,
+        /** Serving. */
         READY,
-        /** Another process accepts at the same socket; what this one has is answered. */
+        /** Another process accepts on the same socket; this one answers the requests it has. */
         HANDING_OVER,
-        /** Told to end, with nobody in its place: connections still come for a moment. */
+        /** Terminating without a successor: connections are still accepted for the grace period. */
         DRAINING,
-        /** Over. */
+        /** Ended. */
         STOPPED
     }
 
     /**
-     * How long states last at most, nanoseconds.
+     * Bounds on how long states last, nanoseconds.
      *
-     * @param grace for how long connections go on coming after the word to drain
-     * @param drain how long a drain or a hand-over lasts in all
+     * @param grace how long connections are accepted after the drain began
+     * @param maxDrain how long a drain or a hand-over lasts at most
      */
-    public record Bounds(long grace, long drain) {}
+    public record Bounds(long grace, long maxDrain) {}
 
-    /** What the process is to do. */
+    /** The actions of the process. */
     public interface Port {
-        /** No connection is kept after its next answer, and health says no. */
+        /** Closes each connection after its next answer, and fails health checks. */
         void closeAfterAnswers();
 
-        /** No connection is accepted any more; those without a request are closed if {@code idleToo}. */
+        /** Stops accepting connections; closes those without a request if {@code idleToo}. */
         void stopAccepting(boolean idleToo);
 
-        /** Call {@link Lifecycle#time} again after a span. */
-        void wake(long span);
+        /** Calls {@link Lifecycle#onTimer} after a delay in nanoseconds. */
+        void wakeAfter(long delay);
 
-        /** The end: how many connections were cut, 0 after a whole drain. */
-        void end(int cut);
+        /** Ends the process; {@code cutConnections} is 0 after a complete drain. */
+        void stopped(int cutConnections);
     }
 
     private final Bounds bounds;
     private final Port port;
     private boolean shared;
     private State state = State.STARTING;
-    private long since;
-    private boolean closed;
+    private long enteredAt;
+    private boolean stoppedAccepting;
 
-    /** A process that starts at a moment; {@code shared} if its listening socket is another's too. */
+    /** Creates the state machine; {@code shared} if another process may accept on the same socket. */
     public Lifecycle(Bounds bounds, boolean shared, Port port, long now) {
         this.bounds = bounds;
         this.shared = shared;
         this.port = port;
-        since = now;
+        enteredAt = now;
     }
 
-    /** From now on its listening socket is another's too, or is so no more. */
-    public void shared(boolean now) {
-        shared = now;
+    /** Sets whether another process accepts on the same socket. */
+    public void setShared(boolean socketShared) {
+        shared = socketShared;
     }
 
-    /** What it is doing. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
 
-    /** Whether new clients should come. */
+    /** Returns whether new clients are accepted. */
     public boolean isReady() {
         return state == State.READY;
     }
 
-    /** The rehearsal begins. */
-    public void rehearses(long now) {
+    /** Notes that the warm-up starts. */
+    public void warmingUp(long now) {
         if (state == State.STARTING) {
-            enter(State.REHEARSING, now);
+            enter(State.WARMING_UP, now);
         }
     }
 
-    /** It listens and serves. */
-    public void serves(long now) {
-        if (state == State.STARTING || state == State.REHEARSING) {
+    /** Notes that the process listens and serves. */
+    public void serving(long now) {
+        if (state == State.STARTING || state == State.WARMING_UP) {
             enter(State.READY, now);
         }
     }
 
-    /** The word to end. A second one changes nothing: what was taken is still to be answered. */
+    /**
+     * Starts the drain or hand-over. A second call changes nothing, because open requests still have to be answered.
+     */
     public void terminate(long now, int connections) {
         switch (state) {
-            case STARTING, REHEARSING -> stop(now, 0);
+            case STARTING, WARMING_UP -> stop(now, 0);
             case READY -> {
                 enter(shared ? State.HANDING_OVER : State.DRAINING, now);
                 port.closeAfterAnswers();
                 if (shared) {
                     port.stopAccepting(false);
-                    // What was waiting may have been taken just now, and is not in the count.
-                    port.wake(0);
+                    // A connection from the backlog may have been accepted just now; it is not in the count yet.
+                    port.wakeAfter(0);
                 } else {
-                    port.wake(bounds.grace);
-                    connections(now, connections);
+                    port.wakeAfter(bounds.grace);
+                    onConnections(now, connections);
                 }
             }
             default -> {}
         }
     }
 
-    /** Time has passed. */
-    public void time(long now, int connections) {
+    /** Handles the timer set by {@link Port#wakeAfter}. */
+    public void onTimer(long now, int connections) {
         boolean draining = state == State.DRAINING || state == State.HANDING_OVER;
         if (!draining) {
             return;
         }
-        long age = now - since;
-        if (!closed && age >= bounds.grace) {
-            closed = true;
+        long age = now - enteredAt;
+        if (!stoppedAccepting && age >= bounds.grace) {
+            stoppedAccepting = true;
             port.stopAccepting(true);
-            // What was waiting may have been taken just now, and is not in the count.
-            port.wake(0);
+            // A connection from the backlog may have been accepted just now; it is not in the count yet.
+            port.wakeAfter(0);
             return;
         }
-        if (age >= bounds.drain) {
+        if (age >= bounds.maxDrain) {
             stop(now, connections);
             return;
         }
-        connections(now, connections);
+        onConnections(now, connections);
         if (state != State.STOPPED) {
-            port.wake(closed ? bounds.drain - age : bounds.grace - age);
+            port.wakeAfter(stoppedAccepting ? bounds.maxDrain - age : bounds.grace - age);
         }
     }
 
-    /** So many connections are open now. */
-    public void connections(long now, int open) {
-        boolean draining = state == State.DRAINING && closed || state == State.HANDING_OVER;
+    /** Handles a change of the number of open connections. */
+    public void onConnections(long now, int open) {
+        boolean draining = state == State.DRAINING && stoppedAccepting || state == State.HANDING_OVER;
         if (open == 0 && draining) {
             stop(now, 0);
         }
@@ -145,13 +147,13 @@
 
     private void enter(State next, long now) {
         state = next;
-        since = now;
+        enteredAt = now;
     }
 
     private void stop(long now, int cut) {
         if (state != State.STOPPED) {
             enter(State.STOPPED, now);
-            port.end(cut);
+            port.stopped(cut);
         }
     }
 }
--- a/src/main/java/rushpin/node/Budgets.java
+++ b/src/main/java/rushpin/node/Budgets.java
@@ -7,73 +7,81 @@
 import rushpin.net.OpenRequest;
 import rushpin.net.ServerPool;
 
-/** What one pool may use of the process; owned by the pool's loop. */
+/** The shares of the process's resources that one pool may use; owned by the pool's loop. */
 final class Budgets implements ServerPool.Slots {
-    /** When a client that found its pool full should come again: about what one request of a full pool takes. */
-    static final long COME_BACK = 500_000_000L;
-
-    private final Share requests, connections, bytes, connects;
-    /** Where the process has one pool, bodies count together with what clients' connections hold. */
-    private final ByteBudget common;
+    /** Retry-After for a client whose pool is full, nanoseconds: about as long as one request of a full pool takes. */
+    static final long RETRY_AFTER_NANOS = 500_000_000L;
+
+    private final Share requests;
+    private final Share connections;
+    /** Null where the process has one pool. */
+    private final Share bytes;
+    /** Connection attempts in progress. */
+    private final Share connects;
+    /** Where the process has one pool, bodies count together with the buffers of client connections; else null. */
+    private final ByteBudget clientBytes;
 
     private Runnable onClose = () -> {};
 
-    Budgets(Share requests, Share connections, Share bytes, Share connects, ByteBudget common) {
+    Budgets(Share requests, Share connections, Share bytes, Share connects, ByteBudget clientBytes) {
         this.requests = requests;
         this.connections = connections;
         this.bytes = bytes;
         this.connects = connects;
-        this.common = common;
+        this.clientBytes = clientBytes;
     }
 
-    /** All that the process has, for its one pool. */
-    static Budgets whole(int sockets, ByteBudget common) {
+    /** Returns budgets with all resources of the process, for its single pool. */
+    static Budgets whole(int sockets, ByteBudget clientBytes) {
         return new Budgets(
                 Share.fixed(Long.MAX_VALUE / 4),
                 Share.fixed(Descriptors.of(sockets).servers()),
                 null,
                 Share.fixed(Long.MAX_VALUE / 4),
-                common);
+                clientBytes);
     }
 
-    boolean take(OpenRequest request) {
+    /** Acquires a request and the bytes of its body; false if either is not available. */
+    boolean tryAcquire(OpenRequest request) {
         int size = request.body().readableBytes();
-        if (!requests.take(1)) {
+        if (!requests.tryAcquire(1)) {
             return false;
         }
-        if (common != null) {
-            common.change(size);
-        } else if (!bytes.take(size)) {
-            requests.give(1);
+        if (clientBytes != null) {
+            clientBytes.change(size);
+        } else if (!bytes.tryAcquire(size)) {
+            requests.release(1);
             return false;
         }
         return true;
     }
 
-    void give(OpenRequest request) {
+    /** Releases what {@link #tryAcquire} acquired. */
+    void release(OpenRequest request) {
         int size = request.body().readableBytes();
-        requests.give(1);
-        if (common != null) {
-            common.change(-size);
+        requests.release(1);
+        if (clientBytes != null) {
+            clientBytes.change(-size);
         } else {
-            bytes.give(size);
+            bytes.release(size);
         }
     }
 
-    /** In the order of the constructor. */
-    Share of(int kind) {
+    /** Returns a share by its position in the constructor, from 0. */
+    Share share(int kind) {
         return List.of(requests, connections, bytes, connects).get(kind);
     }
 
-    void sweep() {
-        requests.sweep();
-        connections.sweep();
-        bytes.sweep();
-        connects.sweep();
+    /** Returns lent units that are not needed; to be called regularly. */
+    void returnSpare() {
+        requests.returnSpare();
+        connections.returnSpare();
+        bytes.returnSpare();
+        connects.returnSpare();
     }
 
-    void onClose(Runnable then) {
-        onClose = then;
+    void onClose(Runnable listener) {
+        onClose = listener;
     }
 
     void close() {
@@ -82,22 +90,22 @@
 
     @Override
     public boolean takeConnection() {
-        return connections.take(1);
+        return connections.tryAcquire(1);
     }
 
     @Override
     public void giveConnection() {
-        connections.give(1);
+        connections.release(1);
     }
 
     @Override
     public boolean takeConnect() {
-        return connects.take(1);
+        return connects.tryAcquire(1);
     }
 
     @Override
     public void giveConnect() {
-        connects.give(1);
+        connects.release(1);
     }
 
     @Override
--- a/src/main/java/rushpin/node/Console.java
+++ b/src/main/java/rushpin/node/Console.java
@@ -6,22 +6,23 @@
 import java.util.function.Supplier;
 import rushpin.console.ConsoleServer;
 
-/** What operators may say to a process, from its start on, and what they hear. */
+/** Answers operators' console calls, from the start of the process on. */
 public final class Console implements ConsoleServer.CommandHandler, AutoCloseable {
     private static final String DONE = "done\n";
 
-    private final OperatorState desk;
+    private final OperatorState operatorState;
     private final Supplier<EdgeNode> node;
     private final ConsoleServer server;
 
-    /** Listens from now on; {@code node} gives null for as long as there is none. */
-    public Console(SocketAddress at, OperatorState desk, Supplier<EdgeNode> node) throws InterruptedException {
-        this.desk = desk;
+    /** Listens from now on; {@code node} returns null until a node serves. */
+    public Console(SocketAddress address, OperatorState operatorState, Supplier<EdgeNode> node)
+            throws InterruptedException {
+        this.operatorState = operatorState;
         this.node = node;
-        server = new ConsoleServer(at, this);
+        server = new ConsoleServer(address, this);
     }
 
-    /** Where it listens. */
+    /** Returns the address it listens on. */
     public SocketAddress address() {
         return server.address();
     }
@@ -34,7 +35,8 @@
             case "1READY" ->
                 (serving == null ? CompletableFuture.completedFuture(false) : serving.takesClients())
                         .thenApply(ready -> ready ? DONE : "error not yet, or no more\n");
-            case "1STATS" -> CompletableFuture.completedFuture(desk.counts().lines() + "end\n");
+            case "1STATS" ->
+                CompletableFuture.completedFuture(operatorState.counts().lines() + "end\n");
             case "2DISABLE" -> withhold(serving, words[1], true);
             case "2ENABLE" -> withhold(serving, words[1], false);
             default ->
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -18,15 +18,15 @@
 import rushpin.net.RequestRejectedException;
 import rushpin.net.WatchedLoopGroup;
 
-/** A real edge node: the listening side on one event loop, and the services behind it. */
+/** An edge node: accepts clients on one event loop, and passes their requests to its pools. */
 public final class EdgeNode implements ServerCallbacks, Lifecycle.Port, AutoCloseable {
-    private static final long MS = 1_000_000L;
-    /** How long connections go on coming after SIGTERM (0.4 s at most), and some more. */
-    private static final long DRAIN_GRACE = 600 * MS;
-    /** No request is open longer than its client waits; what is left after this hangs. */
-    private static final long DRAIN_MOST = 60_000 * MS;
-    /** How long a start waits for its first list where clients come as soon as it listens. */
-    private static final long HEAR = 1_500 * MS;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    /** How long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s, plus a margin. */
+    private static final long DRAIN_GRACE_NANOS = 600 * NANOS_PER_MS;
+    /** Bound of a drain: no client waits that long, so a connection still open then hangs. */
+    private static final long MAX_DRAIN_NANOS = 60_000 * NANOS_PER_MS;
+    /** How long a start waits for the first server list where clients connect as soon as it listens. */
+    private static final long FIRST_LIST_TIMEOUT_NANOS = 1_500 * NANOS_PER_MS;
 
     private final EventLoopGroup group = new WatchedLoopGroup();
     private final EventLoop loop = group.next();
@@ -35,103 +35,111 @@
     private final Services services;
     private final OperatorConfig.Listener listener;
     private final Lifecycle lifecycle;
-    /** Where operators' calls end; null where there is no console. */
-    private final OperatorState desk;
-    /** What is shared with other processes; null for nothing. */
+    /** State that operators' console calls act on; null without a console. */
+    private final OperatorState operatorState;
+    /** Coordinates with other processes of the fleet; null without one. */
     private final Together together;
 
     private final CompletableFuture<Integer> drained = new CompletableFuture<>();
 
-    /** A node with the platform's one pool; opens nothing yet. */
+    /** Creates a node with the platform's single pool; it opens nothing before {@link #start}. */
     public EdgeNode(Config config) {
         this(config, null);
     }
 
-    /** A node with the pools of an operator's file, or with the platform's one where that is null. */
+    /** Creates a node with the pools of an operator's file, or with the platform's single pool if that is null. */
     public EdgeNode(Config config, OperatorConfig operator) {
         this(config, operator, new Clock());
     }
 
-    /** As above, by a clock of one's own. */
+    /** Creates a node that uses the given clock. */
     EdgeNode(Config config, OperatorConfig operator, Clock clock) {
         this(config, operator, clock, null);
     }
 
-    /** As above, with what operators' calls go to; null for none. */
-    public EdgeNode(Config config, OperatorConfig operator, OperatorState desk) {
-        this(config, operator, new Clock(), desk);
+    /** Creates a node whose metrics and disabled servers are kept in the given state; null without a console. */
+    public EdgeNode(Config config, OperatorConfig operator, OperatorState operatorState) {
+        this(config, operator, new Clock(), operatorState);
     }
 
-    private EdgeNode(Config config, OperatorConfig operator, Clock clock, OperatorState desk) {
+    private EdgeNode(Config config, OperatorConfig operator, Clock clock, OperatorState operatorState) {
         this.clock = clock;
-        this.desk = desk;
+        this.operatorState = operatorState;
         ByteBudget bytes = new ByteBudget(operator == null ? config.memory() : config.memory() / 2);
         clients = new ClientServer(this, loop, config.listen(), config.sockets(), bytes, operator != null);
         services = operator == null
-                ? new PlatformService(config, loop, clock, bytes, desk)
-                : new PooledServices(operator, config.name(), loop, clock, clients::forget, desk);
-        // Who gives a node a console replaces its process while it serves.
+                ? new PlatformService(config, loop, clock, bytes, operatorState)
+                : new PooledServices(operator, config.name(), loop, clock, clients::forget, operatorState);
+        // With a console, processes are replaced while they serve, so the port must be shareable.
         listener = operator != null
                 ? operator.listener()
-                : desk == null ? OperatorConfig.Listener.OWN : OperatorConfig.Listener.REUSEPORT;
+                : operatorState == null ? OperatorConfig.Listener.OWN : OperatorConfig.Listener.REUSEPORT;
         together = operator == null || operator.fleet() == null
                 ? null
-                : new Together(operator.fleet(), services::agree, services::permit);
+                : new Together(operator.fleet(), services::applyStanding, services::onGrant);
         if (together != null) {
-            services.account(together::has);
-            services.watch(together::saw);
+            services.setConnectionReports(together::has);
+            services.setZoneReports(together::saw);
         }
         lifecycle = new Lifecycle(
-                new Lifecycle.Bounds(DRAIN_GRACE, DRAIN_MOST), listener != OperatorConfig.Listener.OWN, this, now());
+                new Lifecycle.Bounds(DRAIN_GRACE_NANOS, MAX_DRAIN_NANOS),
+                listener != OperatorConfig.Listener.OWN,
+                this,
+                now());
     }
 
-    /** Begins to serve; returns when it listens. */
+    /** Starts to serve; returns when it listens. */
     public void start() throws Exception {
         services.start();
         if (together != null) {
             together.start();
         }
-        if (desk != null) {
-            // Clients come at once beside another process: the list is heard first, or has been silent for long.
-            for (long end = System.nanoTime() + HEAR; !services.ready() && System.nanoTime() - end < 0; ) {
+        if (operatorState != null) {
+            // Beside another process clients connect at once, so wait for the first server list or a timeout.
+            for (long end = System.nanoTime() + FIRST_LIST_TIMEOUT_NANOS;
+                    !services.ready() && System.nanoTime() - end < 0; ) {
                 Thread.sleep(5);
             }
-            desk.beside().serve();
+            operatorState.beside().serve();
         }
         switch (listener) {
             case OWN -> clients.bind().get();
             case REUSEPORT -> clients.bindReusePort().get();
             case INHERITED -> {
-                if (!(System.inheritedChannel() instanceof ServerSocketChannel passed)) {
+                if (!(System.inheritedChannel() instanceof ServerSocketChannel inherited)) {
                     throw new IOException("process.listener is inherited and standard input is no listening socket");
                 }
-                clients.acceptFrom(passed).get();
+                clients.acceptFrom(inherited).get();
             }
         }
-        loop.submit(() -> lifecycle.serves(now())).get();
+        loop.submit(() -> lifecycle.serving(now())).get();
     }
 
-    /** Where clients connect. */
+    /** Returns the address that clients connect to. */
     public SocketAddress address() {
         return clients.address();
     }
 
-    /** The listening side's loop. */
+    /** Returns the front loop, which accepts clients. */
     EventLoop loop() {
         return loop;
     }
 
-    /** How many clients' connections are open. */
+    /** Returns the number of open client connections. */
     int connections() throws Exception {
         return clients.connections();
     }
 
-    /** Goes over to a new configuration of the platform, where there is no operator's file. */
+    /** Applies a new configuration of the platform where there is no operator's file. */
     public void reload(Config changed) {
         services.reload(changed, null);
     }
 
-    /** Goes over to new settings, read and checked whole. Clients and what they have asked stay. */
+    /**
+     * Applies new settings, validated as a whole; clients and their requests stay.
+     *
+     * @throws OperatorConfig.Faulty if the new file cannot replace the present one; nothing has changed then
+     */
     public void reload(Config changed, OperatorConfig operator) throws OperatorConfig.Faulty {
         FleetConfig fleet = operator == null ? null : operator.fleet();
         if (together != null && fleet != null) {
@@ -141,33 +149,33 @@
         if (together != null && fleet != null) {
             together.change(fleet);
         } else if (together != null || fleet != null) {
-            System.out.println("whether there is a table [fleet] is for the next start");
+            System.out.println("adding or removing the table [fleet] takes effect at the next start");
         }
     }
 
     /**
-     * Answers all that was taken; completes at the end of that with how many connections were cut. Others of its fleet hear
-     * meanwhile that this process ends, and after it that its part of groups' connections is free.
+     * Drains: answers all requests received; completes with the number of connections that were cut. The fleet is
+     * notified at the start that this process ends, and at the end that its connections to groups are free.
      */
     public CompletableFuture<Integer> drain() {
-        CompletableFuture<Void> left =
+        CompletableFuture<Void> fleetLeft =
                 together == null ? CompletableFuture.completedFuture(null) : together.leave(drained);
         loop.execute(() -> {
-            if (desk != null && listener == OperatorConfig.Listener.REUSEPORT) {
-                // Alone, it goes on taking those who still come for a moment; else they are the other process's.
-                lifecycle.shared(desk.others() > 0);
+            if (operatorState != null && listener == OperatorConfig.Listener.REUSEPORT) {
+                // Without another process it keeps accepting for the grace period; else the other process accepts.
+                lifecycle.setShared(operatorState.others() > 0);
             }
             lifecycle.terminate(now(), clients.openConnections());
         });
-        return drained.thenCombine(left, (cut, none) -> cut);
+        return drained.thenCombine(fleetLeft, (cut, none) -> cut);
     }
 
-    /** Whether it takes clients now; completes on the loop that knows. */
+    /** Completes on the front loop with whether new clients are accepted. */
     CompletableFuture<Boolean> takesClients() {
         return CompletableFuture.supplyAsync(this::ready, loop);
     }
 
-    /** Takes an app server out, or puts it back; see {@link Services#withhold}. */
+    /** Disables or enables an app server; see {@link Services#withhold}. */
     CompletableFuture<Boolean> withhold(String id, boolean out) {
         return services.withhold(id, out);
     }
@@ -183,19 +191,19 @@
     }
 
     @Override
-    public void wake(long span) {
-        loop.schedule(() -> lifecycle.time(now(), clients.openConnections()), span, TimeUnit.NANOSECONDS);
+    public void wakeAfter(long delay) {
+        loop.schedule(() -> lifecycle.onTimer(now(), clients.openConnections()), delay, TimeUnit.NANOSECONDS);
     }
 
     @Override
-    public void end(int cut) {
-        services.leave();
-        drained.complete(cut);
+    public void stopped(int cutConnections) {
+        services.handOver();
+        drained.complete(cutConnections);
     }
 
     @Override
     public void connectionEnded(int open) {
-        lifecycle.connections(now(), open);
+        lifecycle.onConnections(now(), open);
     }
 
     @Override
@@ -205,8 +213,8 @@
         }
         services.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
-        if (desk != null) {
-            desk.close();
+        if (operatorState != null) {
+            operatorState.close();
         }
     }
 
--- a/src/main/java/rushpin/node/OperatorState.java
+++ b/src/main/java/rushpin/node/OperatorState.java
@@ -2,30 +2,30 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import rushpin.console.OutOfService;
-import rushpin.console.ProcessMetrics;
 import rushpin.console.ProcessRegistry;
+import rushpin.console.ProcessMetrics;
+import rushpin.console.OutOfService;
 import rushpin.net.ErrorLog;
 
 /**
- * What operators' calls go to.
+ * State that operators' console calls act on.
  *
- * @param counts what the process reports
- * @param out which app servers they have taken out, for all processes of this node
- * @param beside which processes these are
+ * @param counts the metrics of the process
+ * @param out the app servers that operators have disabled, for all processes of this node
+ * @param beside the processes that act as this node
  */
 public record OperatorState(ProcessMetrics counts, OutOfService out, ProcessRegistry beside) implements AutoCloseable {
-    /** Keeps what outlives a process in a folder that all processes of the node share. */
+    /** Creates the state, which keeps what outlives a process in a folder that all processes of the node share. */
     public static OperatorState in(Path folder) throws IOException {
         return new OperatorState(new ProcessMetrics(), new OutOfService(folder), new ProcessRegistry(folder));
     }
 
-    /** A configuration was read again: taken, or turned down whole. */
-    public void configured(boolean taken) {
-        counts.configured(taken);
+    /** Counts a reload of the configuration, which was applied or rejected as a whole. */
+    public void configured(boolean applied) {
+        counts.configured(applied);
     }
 
-    /** How many other processes act as this node; as good as none where that cannot be told. */
+    /** Returns how many other processes act as this node; 0 if that cannot be determined. */
     int others() {
         try {
             return beside.others();
--- a/src/main/java/rushpin/node/PlainLogFormatter.java
+++ b/src/main/java/rushpin/node/PlainLogFormatter.java
@@ -8,25 +8,27 @@
 import java.util.logging.Logger;
 
 /**
- * What libraries log, without the hour, which whoever keeps lines has. The JVM's own formatter opens a file for it at its first line: where no
- * descriptor was left, to say so failed by an Error, and that ended the event loop.
+ * Formats log records of libraries without a timestamp, which log collectors add.
+ *
+ * <p>The JDK's own formatter opens a file for the timestamp at its first record. With no file descriptor left, logging
+ * that failure threw an Error, which ended the event loop.
  */
 public final class PlainLogFormatter extends Formatter {
     private PlainLogFormatter() {}
 
-    /** From now on all handlers write so. */
+    /** Installs this format on all handlers of the root logger. */
     public static void install() {
-        for (Handler each : Logger.getLogger("").getHandlers()) {
-            each.setFormatter(new PlainLogFormatter());
+        for (Handler handler : Logger.getLogger("").getHandlers()) {
+            handler.setFormatter(new PlainLogFormatter());
         }
     }
 
     @Override
-    public String format(LogRecord of) {
+    public String format(LogRecord entry) {
         StringWriter text = new StringWriter();
-        text.append(of.getLoggerName() + ": " + formatMessage(of) + System.lineSeparator());
-        if (of.getThrown() != null) {
-            of.getThrown().printStackTrace(new PrintWriter(text));
+        text.append(entry.getLoggerName() + ": " + formatMessage(entry) + System.lineSeparator());
+        if (entry.getThrown() != null) {
+            entry.getThrown().printStackTrace(new PrintWriter(text));
         }
         return text.toString();
     }
--- a/src/main/java/rushpin/node/PlatformService.java
+++ b/src/main/java/rushpin/node/PlatformService.java
@@ -11,19 +11,19 @@
 import rushpin.net.ServerCallbacks;
 import rushpin.net.RequestRejectedException;
 
-/** The platform's one pool, on the listening side's loop, with all that the process has. */
+/** The platform's single pool, on the front loop, with all resources of the process. */
 final class PlatformService implements Services {
     private final EventLoop loop;
     private final Pool pool;
-    private final ServerCallbacks.Destination way;
+    private final ServerCallbacks.Destination destination;
 
-    PlatformService(Config config, EventLoop loop, Clock clock, ByteBudget bytes, OperatorState desk) {
+    PlatformService(Config config, EventLoop loop, Clock clock, ByteBudget bytes, OperatorState operatorState) {
         this.loop = loop;
         pool = new Pool(PoolConfig.platform(config), loop, loop, clock, Budgets.whole(config.sockets(), bytes), null);
-        if (desk != null) {
-            pool.serveDesk(desk);
+        if (operatorState != null) {
+            pool.setOperatorState(operatorState);
         }
-        way = new ServerCallbacks.Destination(pool, null);
+        destination = new ServerCallbacks.Destination(pool, null);
     }
 
     @Override
@@ -37,7 +37,7 @@
         if (!uri.equals("/api") && !uri.startsWith("/api?")) {
             throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND, "no such path");
         }
-        return way;
+        return destination;
     }
 
     @Override
@@ -46,20 +46,20 @@
     }
 
     /**
-     * Clients, attempts, the module and its list stay as they are. Addresses, classes and limits are taken; all else
-     * is for the next start.
+     * Applies addresses, classes and limits; everything else takes effect at the next start. Clients, attempts, the
+     * module and its server list stay as they are.
      */
     @Override
     public void reload(Config changed, OperatorConfig operator) {
         loop.execute(() -> {
-            pool.move(PoolConfig.platform(changed));
+            pool.changeAddresses(PoolConfig.platform(changed));
             pool.retune(changed.names(), changed.settings());
         });
     }
 
     @Override
-    public void leave() {
-        pool.leave();
+    public void handOver() {
+        pool.handOver();
     }
 
     @Override
@@ -69,6 +69,6 @@
 
     @Override
     public void close() {
-        // All of it lives on the listening side's loop.
+        // Everything runs on the front loop.
     }
 }
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -18,8 +18,8 @@
 import rushpin.accord.Plan;
 import rushpin.config.GroupConfig;
 import rushpin.config.PoolConfig;
-import rushpin.console.ProcessMetrics;
 import rushpin.console.ProcessRegistry;
+import rushpin.console.ProcessMetrics;
 import rushpin.gateway.Gateway;
 import rushpin.gateway.Ports;
 import rushpin.gateway.Ports.ListKind;
@@ -28,12 +28,12 @@
 import rushpin.gateway.Ports.Result;
 import rushpin.gateway.Ports.Server;
 import rushpin.gateway.Ports.Settings;
-import rushpin.lifecycle.Stalls;
-import rushpin.membership.DisabledServers;
+import rushpin.lifecycle.StallDetector;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
 import rushpin.membership.StartTimes;
+import rushpin.membership.DisabledServers;
 import rushpin.net.CounterClient;
 import rushpin.net.DiscoveryClient;
 import rushpin.net.LoopWatch;
@@ -50,88 +50,121 @@
 import rushpin.traffic.Entry;
 
 /**
- * One service: its module, its requests, its servers and its counter names. It carries what happens on the sockets to
- * the module and the module's actions back. All of it runs on one event loop thread, so nothing here is locked and
- * the module's contract of one caller holds.
+ * One pool: its decision module ({@link Gateway}), open requests, server connections and counter names.
+ *
+ * <p>It passes socket events to the module and carries out the module's actions. Everything runs on one event loop
+ * thread, so nothing is locked and the module has a single caller, as its contract requires.
  */
 final class Pool implements Ports.Actions, Service, ServerPool.Listener, DiscoveryClient.Listener {
-    private static final long MS = 1_000_000L;
-    /** So long before the client's deadline a request that the module has left unanswered is failed. */
-    private static final long LAST_MOMENT = 6 * MS;
-    /** How often the state folder is looked through for what ended processes have left, and the machine's clock is read. */
-    private static final long ADOPT = 1_000 * MS;
-    /** How often what other processes of this node wrote down is read: a server taken out there binds here in 1 s. */
-    private static final long DESK = 200 * MS;
-    /** A pause of the process that is told to operators. */
-    private static final long STALL = 700 * MS;
-    /** A client's leaving binds 100 ms after it: what has lain unread for nearly so long is read before anything is written. */
-    private static final long LONGEST_UNREAD = 80 * MS;
-    /** A pause between reading the clock and writing, which nobody sees, is allowed for in a drain's grace. */
-    private static final long UNSEEN_PAUSE = 150 * MS;
-    /** How often a request that came before the first list is looked at again; discovery's patience bounds it. */
-    private static final long HELD = 5 * MS;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    /** How long before the client's deadline a request that the module has not answered is failed. */
+    private static final long ANSWER_RESERVE_NANOS = 6 * NANOS_PER_MS;
+    /** How often the state folder is scanned for files of ended processes, and the wall clock is read. */
+    private static final long ADOPT_INTERVAL_NANOS = 1_000 * NANOS_PER_MS;
+    /**
+     * How often the state shared with other processes of this node is read: a server disabled there binds here in 1 s.
+     */
+    private static final long OPERATOR_STATE_INTERVAL_NANOS = 200 * NANOS_PER_MS;
+    /** Pauses of the process from this length on are logged. */
+    private static final long MIN_STALL_NANOS = 700 * NANOS_PER_MS;
+    /**
+     * Input that has been unread for longer is read before anything is written: a client that closes its connection
+     * must be noticed within 100 ms.
+     */
+    private static final long MAX_UNREAD_NANOS = 80 * NANOS_PER_MS;
+    /** Part of a drain's grace period reserved for an undetected pause between reading the clock and writing. */
+    private static final long PAUSE_ALLOWANCE_NANOS = 150 * NANOS_PER_MS;
+    /**
+     * How often a request that arrived before the first server list is retried; discovery's timeout bounds the wait.
+     */
+    private static final long FIRST_LIST_POLL_NANOS = 5 * NANOS_PER_MS;
 
     private final EventLoop loop;
     private final Clock clock;
     private final PoolConfig plan;
     private final Budgets budgets;
-    /** Where lists go first, if other pools have a word in them; their answer comes by {@link #apply}. */
+    /**
+     * Checks server lists against the claims of other pools to addresses and returns the result by {@link #applyList};
+     * null where there are no other pools.
+     */
     private final DiscoveryClient.Listener claims;
 
-    private final Map<String, OpenRequest> open = new HashMap<>();
+    /** By request ID. */
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
+
     private final ServerPool servers;
     private final CounterClient counter;
     private final DiscoveryClient discovery;
     private Gateway gateway;
-    /** What operators' calls go to, and who is out by them; null for none. */
-    private OperatorState desk;
+    /** State that operators' console calls act on; null without a console. */
+    private OperatorState operatorState;
 
+    /** Servers that an operator has disabled; null without a console. */
     private DisabledServers withheld;
-    private final List<ProcessRegistry.QuotaTransfer> gifts = new ArrayList<>();
-    private int processes = 1;
-    /** As they are now: classes that are dropped stand behind the others until their last clients are gone. */
+    /** Filled by {@link #gave} during a hand-over. */
+    private final List<ProcessRegistry.QuotaTransfer> transfers = new ArrayList<>();
+
+    private int processCount = 1;
+    /** Current names; classes removed by a reload follow the others until their last clients are gone. */
     private Names names;
 
     private Settings settings;
-    private final Map<String, Long> leaving = new HashMap<>();
-    private int retunes;
-    private long deskDue;
-    private boolean deskTrouble;
-    /** In place of discovery; null for none. */
+    /** Removed classes that are still served, with the time until which they are. */
+    private final Map<String, Long> droppedClassesUntil = new HashMap<>();
+    /** Number of the latest reload; a scheduled one with an older number is obsolete. */
+    private int retuneCount;
+
+    private long operatorStateDue;
+    private boolean operatorStateFailed;
+    /** Replaces discovery if set; null for none. */
     private XdsSource xds;
 
-    private double dropped, dropDebt;
-    private int mostOpen;
-    /** Long pauses of this process. */
-    private final Stalls stalls;
+    /** The part of requests, 0 to 1, that the cluster's drop policy turns away. */
+    private double dropFraction;
+
+    private double dropDebt;
+    /** 0 for no limit. */
+    private int maxOpenRequests;
 
-    private final ReadBarrier barrier;
+    private final StallDetector stallDetector;
+
+    private final ReadBarrier readBarrier;
     private final StartTimes starts = new StartTimes();
-    private Runnable ended;
-    private long ahead, clockDue;
-    private boolean inside, closed;
-    /** Where use is kept over a hard kill, and calls to the counter that are out, by name in their order; else null. */
-    private UseStore use;
+    /** Called when a retired pool has closed; null until it is retired. */
+    private Runnable onClosed;
+    /** How far the wall clock was set ahead of the node's clock when last read, nanoseconds. */
+    private long clockAhead;
+
+    private long clockDue;
+    /** Whether an event of the module is running. */
+    private boolean inEvent;
+
+    private boolean closed;
+    /** Keeps quota use over a hard kill; null without a state folder. */
+    private UseStore useStore;
 
     private Future<?> adoption;
+    /** Counter calls in flight, by counter name in their order; null without a state folder. */
     private Tellings tellings;
-    /** Follows requests for the records; null for none. */
-    private Tap tap;
-    /** Counts what is seen of zones; null where there is no fleet. */
+    /** Records requests for the traffic records; null for none. */
+    private RequestRecorder recorder;
+    /** Counts attempt outcomes per zone; null without a fleet. */
     private Witness witness;
-    /** What the fleet says, null for nothing yet; whether the local rule is in its place; the last look at it. */
+    /** The fleet's plan and whether it is stale; null until the first. */
     private Standing standing;
 
-    private boolean local;
-    private int looks;
-    /** In which the list has had servers, by index. */
-    private final BitSet zones = new BitSet();
+    /** Whether the local rule applies in place of the plan. */
+    private boolean usesLocalRule;
+    /** Number of the latest routing update; a scheduled one with an older number is obsolete. */
+    private int routingUpdates;
+    /** Zones in which the server list has had servers, by index. */
+    private final BitSet listedZones = new BitSet();
 
     /**
-     * Opens nothing yet.
+     * Creates a pool that opens no connection before {@link #start}.
      *
      * @param clients the loop that reads the clients' connections, which may be the pool's own
-     * @param claims null where the list is nobody else's concern
+     * @param claims receives server lists before they apply; null where no other pool can claim an address
      */
     Pool(
             PoolConfig plan,
@@ -147,80 +180,87 @@
         this.claims = claims;
         names = plan.upstream().names();
         settings = plan.settings();
-        stalls = new Stalls(STALL, clock.now());
-        barrier = barrier(
+        stallDetector = new StallDetector(MIN_STALL_NANOS, clock.now());
+        readBarrier = newReadBarrier(
                 LoopWatch.of(loop), LoopWatch.of(clients), settings.rules().drainGrace());
         servers = new ServerPool(this, loop, plan.upstream(), budgets);
         counter = new CounterClient(this::counted, loop, plan.upstream());
         discovery = plan.upstream().discovery() == null ? null : new DiscoveryClient(this, loop, plan.upstream());
     }
 
-    /** A drain's news may lie unread for a part of its grace; behind slow passes of the loop, for nearly all of it. */
-    private static ReadBarrier barrier(LoopWatch own, LoopWatch clients, long drainGrace) {
-        long most = Math.max(drainGrace - UNSEEN_PAUSE, drainGrace / 4);
-        return new ReadBarrier(own, clients, Math.min(LONGEST_UNREAD, most), most);
+    /**
+     * Bounds how long input may stay unread: usually a short time, and nearly the whole of a drain's grace period where
+     * the loop's iterations are slow.
+     */
+    private static ReadBarrier newReadBarrier(LoopWatch own, LoopWatch clients, long drainGrace) {
+        long maxUnread = Math.max(drainGrace - PAUSE_ALLOWANCE_NANOS, drainGrace / 4);
+        return new ReadBarrier(own, clients, Math.min(MAX_UNREAD_NANOS, maxUnread), maxUnread);
     }
 
-    /** Reports to a desk, and keeps to what operators say there; before the start. */
-    void serveDesk(OperatorState with) {
-        desk = with;
+    /** Reports metrics to the given state and follows what operators disable in it; call before the start. */
+    void setOperatorState(OperatorState state) {
+        operatorState = state;
         withheld = new DisabledServers();
-        names().classes().forEach(name -> desk.counts().of(figure(name)));
+        names().classes().forEach(name -> operatorState.counts().of(metricName(name)));
     }
 
-    /** Has its requests followed for the records; before the start. */
-    void record(Tap with) {
-        tap = with;
+    /** Records requests from now on; call before the start. */
+    void setRecorder(RequestRecorder requestRecorder) {
+        recorder = requestRecorder;
     }
 
-    /** Has what is open at its servers kept to the permits for a group of them; before the start. */
-    GroupSide keepTo(GroupConfig group, Consumer<GroupSide.Account> accounts) {
+    /** Limits connections to the grants for a group of servers; call before the start. */
+    GroupSide joinGroup(GroupConfig group, Consumer<GroupSide.Account> accounts) {
         return new GroupSide(group, names.plans(), servers, loop, accounts);
     }
 
-    /** Has what it sees of zones counted; before the start. */
-    void witness(Witness with) {
-        witness = with;
+    /** Counts attempt outcomes per zone; call before the start. */
+    void setWitness(Witness zoneWitness) {
+        witness = zoneWitness;
         witness.begin(loop, server -> gateway != null && gateway.isServerHeldOut(server));
     }
 
-    /** What a class is called in the figures: where there are several pools, behind its pool. */
-    private String figure(String className) {
+    /** Returns the name of a class in metrics, prefixed with the pool's name where there are several pools. */
+    private String metricName(String className) {
         return plan.name().isEmpty() ? className : plan.name() + "." + className;
     }
 
-    private ProcessMetrics.ClassMetrics counts(OpenRequest of) {
-        return desk.counts().of(figure(of.className()));
+    private ProcessMetrics.ClassMetrics counts(OpenRequest request) {
+        return operatorState.counts().of(metricName(request.className()));
     }
 
-    /** A request has ended, as one that is counted so. */
-    private void ended(OpenRequest of, Consumer<ProcessMetrics.ClassMetrics> as) {
-        if (desk != null) {
-            desk.counts().open(-1);
-            as.accept(counts(of));
+    /** Counts the end of a request. */
+    private void countEnd(OpenRequest request, Consumer<ProcessMetrics.ClassMetrics> counting) {
+        if (operatorState != null) {
+            operatorState.counts().open(-1);
+            counting.accept(counts(request));
         }
     }
 
-    /** The way of a request's one answer, which is counted; null if it was given. */
-    private OpenRequest.Responder answer(OpenRequest of, Consumer<ProcessMetrics.ClassMetrics> as) {
-        OpenRequest.Responder answers = of.answerOnce();
+    /** AddressOwners the request's single answer and counts it; returns null if the request was answered before. */
+    private OpenRequest.Responder claimAnswer(OpenRequest request, Consumer<ProcessMetrics.ClassMetrics> counting) {
+        OpenRequest.Responder answers = request.answerOnce();
         if (answers != null) {
-            ended(of, as);
+            countEnd(request, counting);
         }
         return answers;
     }
 
-    /** Takes a server out, or puts it back; false if none of that id was ever listed. Nothing changes if it throws. */
+    /**
+     * Disables or enables a server; returns false if no server of that ID was ever listed.
+     *
+     * @throws IOException if it could not be stored; nothing has changed then
+     */
     boolean withhold(String id, boolean out) throws IOException {
         if (!withheld.knows(id)) {
             return false;
         }
-        desk.out().set(id, out);
-        followOut();
+        operatorState.out().set(id, out);
+        applyOutOfService();
         return true;
     }
 
-    /** The same from any thread. */
+    /** Like {@link #withhold}, from any thread. */
     CompletableFuture<Boolean> withholdLater(String id, boolean out) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         loop.execute(() -> {
@@ -233,94 +273,100 @@
         return done;
     }
 
-    /** What other processes of this node have written down, and how many there are; a trouble is told once. */
-    private void followDesk() {
+    /** Reads what other processes of this node have stored, and counts them; a failure is reported once. */
+    private void pollOperatorState() {
         try {
-            followOut();
-            int now = 1 + desk.beside().others();
-            if (now != processes) {
-                log(now == 1 ? "alone again" : now + " processes act as this node");
-                if (now > processes) {
-                    // One that begins has nothing under any ceiling: it is given its part of what is here.
-                    give(1 - processes / (double) now);
+            applyOutOfService();
+            int count = 1 + operatorState.beside().others();
+            if (count != processCount) {
+                log(count == 1 ? "alone again" : count + " processes act as this node");
+                if (count > processCount) {
+                    // A new process has no units under any ceiling: it gets its part of the units held here.
+                    handOverPart(1 - processCount / (double) count);
                 }
-                processes = now;
-                event(null, at -> gateway.processes(at, now));
+                processCount = count;
+                runEvent(null, at -> gateway.processes(at, count));
             }
-            for (ProcessRegistry.QuotaTransfer gift : desk.beside().take(plan.name(), clock.wallMs())) {
-                event(null, at -> gateway.acquireCeiling(at, gift.customer(), gift.plan(), gift.setSize(), gift.units()));
+            for (ProcessRegistry.QuotaTransfer transfer : operatorState.beside().take(plan.name(), clock.wallMs())) {
+                runEvent(
+                        null,
+                        at -> gateway.acquireCeiling(
+                                at, transfer.customer(), transfer.plan(), transfer.setSize(), transfer.units()));
             }
-            deskTrouble = false;
+            operatorStateFailed = false;
         } catch (IOException e) {
-            if (!deskTrouble) {
-                ErrorLog.report("the folder that this node's processes share", e);
+            if (!operatorStateFailed) {
+                ErrorLog.report("the folder shared by this node's processes cannot be used", e);
             }
-            deskTrouble = true;
+            operatorStateFailed = true;
         }
-        if (ended == null) {
-            // One that is being replaced reports no more: its name is the next one's.
-            desk.counts().servers(plan.name(), withheld.listed(), withheld.out() + gateway.ejected());
+        if (onClosed == null) {
+            // A retired pool reports nothing: its successor has the same name.
+            operatorState.counts().servers(plan.name(), withheld.listed(), withheld.out() + gateway.ejected());
         }
     }
 
-    private void followOut() throws IOException {
-        ServerListUpdate changes = withheld.set(desk.out().read());
+    private void applyOutOfService() throws IOException {
+        ServerListUpdate changes = withheld.set(operatorState.out().read());
         if (!changes.members().isEmpty()) {
             changes.members()
                     .forEach(m -> log((m.isReady() ? "put back by hand: " : "taken out by hand: ")
                             + m.server().id()));
-            tell(changes, ListKind.DELTA);
+            updateServers(changes, ListKind.DELTA);
         }
     }
 
-    /** Gives a part of what ceilings hold here to the other processes of this node. */
-    private void give(double part) throws IOException {
-        gifts.clear();
-        event(null, at -> gateway.releaseCeiling(at, part));
-        desk.beside().give(plan.name(), gifts);
+    /** Transfers a part, 0 to 1, of the units that ceilings hold here to the other processes of this node. */
+    private void handOverPart(double part) throws IOException {
+        transfers.clear();
+        runEvent(null, at -> gateway.releaseCeiling(at, part));
+        operatorState.beside().give(plan.name(), transfers);
     }
 
-    /** The process ends: what it holds is another's, if there is one. */
-    void leave() {
+    /** Transfers all units held to another process of this node, if there is one; called when this process ends. */
+    void handOver() {
         try {
-            if (desk != null && desk.beside().others() > 0) {
-                give(1);
+            if (operatorState != null && operatorState.beside().others() > 0) {
+                handOverPart(1);
             }
         } catch (IOException e) {
-            ErrorLog.report("what was given to another process", e);
+            ErrorLog.report("units could not be handed over to another process", e);
         }
     }
 
     @Override
     public void ceilingReleased(long customer, int plan, int setSize, double units) {
-        gifts.add(new ProcessRegistry.QuotaTransfer(customer, plan, setSize, units));
+        transfers.add(new ProcessRegistry.QuotaTransfer(customer, plan, setSize, units));
     }
 
-    /** Begins with the list as last known; called on the loop. */
+    /** Starts with the last known server list; call on the loop. */
     void start(ServerListUpdate known) {
         start(known, null, "");
     }
 
-    /** As {@link #start(ServerListUpdate)}, with use kept in a state folder; null for none. */
+    /** Like {@link #start(ServerListUpdate)}, with quota use stored in a state folder; null for none. */
     void start(ServerListUpdate known, Path state, String node) {
         gateway = new Gateway(plan.settings(), plan.seed(), now(), this);
         UseStore.Opened opened =
                 state == null ? null : UseStore.open(state, node, plan.name(), clock.wallMs(), this::log);
         if (opened != null) {
-            use = opened.store();
-            tellings = new Tellings(use.book());
+            useStore = opened.store();
+            tellings = new Tellings(useStore.book());
             restore(opened.untold());
             adoption = loop.scheduleAtFixedRate(
-                    () -> restore(use.adopt(clock.wallMs())), ADOPT, ADOPT, TimeUnit.NANOSECONDS);
+                    () -> restore(useStore.adopt(clock.wallMs())),
+                    ADOPT_INTERVAL_NANOS,
+                    ADOPT_INTERVAL_NANOS,
+                    TimeUnit.NANOSECONDS);
         }
         if (plan.xds() != null) {
             startXds(known, state);
             return;
         }
-        if (desk != null) {
-            followDesk();
+        if (operatorState != null) {
+            pollOperatorState();
         }
-        apply(known, ListKind.CACHED);
+        applyList(known, ListKind.CACHED);
         if (discovery != null) {
             discovery.start(plan.known().revision());
         }
@@ -331,7 +377,7 @@
         List<Member> kept = state == null ? List.of() : new LastGood(state, plan.name(), names()).read(this::log);
         members = kept.isEmpty() ? members : kept;
         xds = new XdsSource(plan.xds(), plan.name(), names(), members, state, plan.seed(), loop, this, clock::wallMs);
-        // The first of all lists goes the way of all others: another pool may have a word in it.
+        // The first list is checked against other pools' claims like every later one.
         list(new ServerListUpdate(0, true, members), ListKind.CACHED);
         xds.start(!members.isEmpty());
     }
@@ -339,17 +385,17 @@
     @Override
     public void bounds(long connectTimeout, int mostConnections, int mostRequests) {
         servers.bounds(connectTimeout == 0 ? plan.upstream().connectTimeout() : connectTimeout, mostConnections);
-        mostOpen = mostRequests;
+        maxOpenRequests = mostRequests;
     }
 
     @Override
     public void dropped(double part) {
-        dropped = part;
+        dropFraction = part;
     }
 
-    /** Turns away the part that the cluster says, evenly: the same history gives the same answers. */
-    private boolean drops() {
-        dropDebt += dropped;
+    /** Spreads the drops of the cluster's drop policy evenly, without randomness, so that a run can be repeated. */
+    private boolean shouldDrop() {
+        dropDebt += dropFraction;
         boolean drop = dropDebt >= 1;
         dropDebt -= drop ? 1 : 0;
         return drop;
@@ -357,45 +403,46 @@
 
     private void restore(List<UseRecord.Balance> untold) {
         untold.forEach(b ->
-                event(null, now -> gateway.restore(now, b.customer(), b.plan() & 0xff, b.plan() >> 8, b.units())));
+                runEvent(null, now -> gateway.restore(now, b.customer(), b.plan() & 0xff, b.plan() >> 8, b.units())));
     }
 
-    /** A plan of the fleet is in force, or is stale: taken as a whole, and never given up for an older one. */
-    void agree(Standing now) {
-        if (closed || standing != null && standing.plan().isNewerThan(now.plan())) {
+    /** Applies a plan of the fleet, or its having become stale; one that is older than the present plan is ignored. */
+    void applyStanding(Standing next) {
+        if (closed || standing != null && standing.plan().isNewerThan(next.plan())) {
             return;
         }
-        boolean newer = standing == null || now.plan().isNewerThan(standing.plan());
-        standing = now;
-        goBy();
+        boolean newer = standing == null || next.plan().isNewerThan(standing.plan());
+        standing = next;
+        updateRouting();
         if (newer) {
-            Plan taken = now.plan();
+            Plan taken = next.plan();
             System.out.println("fleet plan pool=" + plan.name() + " number=" + taken.number() + " fence="
                     + taken.fence() + " at=" + System.nanoTime());
         }
     }
 
-    /** Tells the module the ways in force; while the plan is stale they change by themselves, with each lease. */
-    private void goBy() {
+    /** Passes the routing between zones to the module, and again after each lease while the plan is stale. */
+    private void updateRouting() {
         long now = System.nanoTime();
         int[][] parts = standing.parts(
                 now,
                 plan.name(),
                 names,
-                zones,
+                listedZones,
                 zone -> gateway.isZoneFailing(names.zones().indexOf(zone)));
-        int[][] spare = standing.spare(now, plan.name(), names, zones);
-        event(null, at -> gateway.zones(at, parts, spare));
-        if (local != standing.isLocal(now)) {
-            local = !local;
-            System.out.println("fleet rule pool=" + plan.name() + " rule=" + (local ? "local" : "plan") + " at=" + now);
-        }
-        int mine = ++looks;
+        int[][] spare = standing.spare(now, plan.name(), names, listedZones);
+        runEvent(null, at -> gateway.zones(at, parts, spare));
+        if (usesLocalRule != standing.isLocal(now)) {
+            usesLocalRule = !usesLocalRule;
+            System.out.println(
+                    "fleet rule pool=" + plan.name() + " rule=" + (usesLocalRule ? "local" : "plan") + " at=" + now);
+        }
+        int update = ++routingUpdates;
         if (standing.stale()) {
             loop.schedule(
                     () -> {
-                        if (mine == looks && !closed) {
-                            goBy();
+                        if (update == routingUpdates && !closed) {
+                            updateRouting();
                         }
                     },
                     standing.next(now),
@@ -403,8 +450,8 @@
         }
     }
 
-    /** Goes over to other addresses; requests, attempts, the module and its list stay as they are. */
-    void move(PoolConfig changed) {
+    /** Changes the addresses of discovery and counter; requests, attempts, the module and its list stay. */
+    void changeAddresses(PoolConfig changed) {
         if (discovery != null) {
             discovery.move(changed.upstream().discovery());
         }
@@ -414,8 +461,8 @@
     }
 
     /**
-     * Takes classes and limits of other settings; what is open keeps its rules. A class that is dropped is served by
-     * its old ones for as long as a client that has begun a request in it may come again.
+     * Applies classes and limits of new settings; open requests keep their rules. A removed class is still served by
+     * its old rules for as long as a client that began a request in it may retry.
      */
     void retune(Names changed, Settings to) {
         if (!changed.plans().equals(names.plans()) || !to.plans().equals(settings.plans())) {
@@ -423,15 +470,16 @@
         }
         List<String> classes = new ArrayList<>(changed.classes());
         List<RequestClass> specs = new ArrayList<>(to.classes());
-        leaving.keySet().removeAll(classes);
-        long now = now(), last = now;
+        droppedClassesUntil.keySet().removeAll(classes);
+        long now = now();
+        long last = now;
         for (int i = 0; i < names.classes().size(); i++) {
             String name = names.classes().get(i);
             if (classes.contains(name)) {
                 continue;
             }
-            // From the reload that dropped it: later ones must not keep it for longer.
-            long until = leaving.computeIfAbsent(
+            // Counted from the reload that removed the class: later reloads must not extend it.
+            long until = droppedClassesUntil.computeIfAbsent(
                     name,
                     n -> now
                             + settings.classes().get(names.classes().indexOf(n)).deadline());
@@ -441,13 +489,13 @@
                 last = Math.max(last, until);
             }
         }
-        take(classes, specs, to);
-        leaving.keySet().retainAll(classes);
-        int mine = ++retunes;
+        applyClasses(classes, specs, to);
+        droppedClassesUntil.keySet().retainAll(classes);
+        int retune = ++retuneCount;
         if (last > now) {
             loop.schedule(
                     () -> {
-                        if (mine == retunes) {
+                        if (retune == retuneCount) {
                             retune(changed, to);
                         }
                     },
@@ -456,13 +504,13 @@
         }
     }
 
-    private void take(List<String> classes, List<RequestClass> specs, Settings to) {
+    private void applyClasses(List<String> classes, List<RequestClass> specs, Settings to) {
         if (classes.equals(names.classes())
                 && specs.equals(settings.classes())
                 && to.limits().equals(settings.limits())) {
             return;
         }
-        int[] was = classes.stream().mapToInt(names.classes()::indexOf).toArray();
+        int[] oldIndexes = classes.stream().mapToInt(names.classes()::indexOf).toArray();
         names = new Names(List.copyOf(classes), names.plans(), names.zones(), names.kinds());
         settings = new Settings(
                 settings.me(),
@@ -476,42 +524,42 @@
                 to.limits(),
                 settings.counter(),
                 settings.rules());
-        if (desk != null) {
-            classes.forEach(name -> desk.counts().of(figure(name)));
+        if (operatorState != null) {
+            classes.forEach(name -> operatorState.counts().of(metricName(name)));
         }
         if (witness != null) {
             witness.classes(classes, specs);
         }
-        log("classes are now " + String.join(", ", classes) + "; attempts at most "
+        log("classes are now " + String.join(", ", classes) + "; max attempts "
                 + to.limits().maxAttempts());
-        Settings now = settings;
-        event(null, at -> gateway.settings(at, now, was));
+        Settings current = settings;
+        runEvent(null, at -> gateway.settings(at, current, oldIndexes));
         if (standing != null) {
-            goBy();
+            updateRouting();
         }
     }
 
     /**
-     * Ends the pool once what it has taken is answered and no attempt is out any more. Until then it goes on hearing
-     * of drains: an attempt that is repeated keeps the rules to its end.
+     * Closes the pool once its requests are answered and no attempt is in flight. Until then it still follows the
+     * server list, because retries must respect drains.
      */
     void retire(Runnable then) {
-        ended = then;
+        onClosed = then;
         if (witness != null) {
             witness.retire();
         }
-        endIfDone();
+        closeIfDone();
     }
 
-    /** The process ends: nothing more is heard of servers. */
+    /** Stops the xDS stream when the process ends. */
     void close() {
         if (xds != null) {
             xds.end();
         }
     }
 
-    private void endIfDone() {
-        if (ended != null && !closed && open.isEmpty()) {
+    private void closeIfDone() {
+        if (onClosed != null && !closed && openRequests.isEmpty()) {
             closed = true;
             if (discovery != null) {
                 discovery.close();
@@ -525,11 +573,11 @@
             if (witness != null) {
                 witness.end();
             }
-            if (use != null) {
+            if (useStore != null) {
                 adoption.cancel(false);
-                use.close();
+                useStore.close();
             }
-            ended.run();
+            onClosed.run();
         }
     }
 
@@ -542,22 +590,23 @@
         return plan;
     }
 
-    /** Connections that were lent are wanted back. */
+    /** Closes idle connections, as the budget recalls lent ones. */
     void shrink() {
         servers.shrink();
     }
 
-    /** Whether the list has been heard, or has been silent for so long that the known one must do. */
+    /** Returns whether a server list has arrived, or discovery's timeout is over and the known list is used. */
     boolean ready() {
         return xds != null ? xds.heard() : discovery == null || discovery.heard();
     }
 
-    /** The time, and a sign of life: the module's own tick comes each 10 ms. */
+    /** Returns the time, and detects stalls: the module's own timer calls this every 10 ms. */
     private long now() {
         long now = clock.now();
-        long stall = stalls.beat(now);
+        long stall = stallDetector.heartbeat(now);
         if (stall > 0) {
-            log("stood still for " + stall / MS + " ms: what came meanwhile is read before anything is sent");
+            log("stood still for " + stall / NANOS_PER_MS
+                    + " ms: input that arrived meanwhile is read before anything is sent");
         }
         return now;
     }
@@ -578,248 +627,258 @@
     }
 
     /**
-     * Runs one event of the module. Sockets may report within an action, that is within an event, and the
-     * module must not be entered twice: such a report waits for the loop.
+     * Runs one event of the module. A socket may report during an action of an event; because the module is not
+     * reentrant, such a report is queued on the loop.
+     *
+     * @param about the request that is failed if the module throws; null for none
      */
-    private void event(OpenRequest about, LongConsumer call) {
-        if (inside) {
-            loop.execute(() -> event(about, call));
+    private void runEvent(OpenRequest about, LongConsumer call) {
+        if (inEvent) {
+            loop.execute(() -> runEvent(about, call));
             return;
         }
         if (closed) {
             return;
         }
-        inside = true;
+        inEvent = true;
         try {
             call.accept(now());
         } catch (RuntimeException e) {
-            // One request's trouble must not end the process, nor leave that request without an answer.
-            ErrorLog.report("the module failed", e);
+            // A fault in one event must not end the process, nor leave the request without an answer.
+            ErrorLog.report("the decision module threw an exception", e);
             if (about != null) {
                 fail(about);
-                // The module must not go on counting it; an attempt that is out still ends.
-                loop.execute(() -> event(
+                // Makes the module forget the request; an attempt in flight still ends.
+                loop.execute(() -> runEvent(
                         null, now -> gateway.clientGone(now, about.request().id())));
             }
         } finally {
-            inside = false;
+            inEvent = false;
         }
     }
 
     @Override
     public void list(ServerListUpdate roll, ListKind kind) {
         if (claims == null) {
-            apply(roll, kind);
+            applyList(roll, kind);
         } else {
             claims.list(roll, kind);
         }
     }
 
-    /** The list, or changes to it, as this pool is to have them. */
-    void apply(ServerListUpdate roll, ListKind kind) {
+    /** Applies a server list, or changes to it, after claims were resolved. */
+    void applyList(ServerListUpdate roll, ListKind kind) {
         if (!closed) {
-            followClock();
-            ServerListUpdate carried = starts.carry(roll, kind != ListKind.DELTA, clock.now(), ahead);
-            tell(withheld == null ? carried : withheld.follow(carried, kind != ListKind.DELTA), kind);
+            pollClock();
+            ServerListUpdate carried = starts.carry(roll, kind != ListKind.DELTA, clock.now(), clockAhead);
+            updateServers(withheld == null ? carried : withheld.follow(carried, kind != ListKind.DELTA), kind);
         }
     }
 
-    private void tell(ServerListUpdate roll, ListKind kind) {
-        List<Server> told = servers.update(roll, kind != ListKind.DELTA);
-        event(null, now -> gateway.list(now, kind, told));
+    private void updateServers(ServerListUpdate roll, ListKind kind) {
+        List<Server> changed = servers.update(roll, kind != ListKind.DELTA);
+        runEvent(null, now -> gateway.list(now, kind, changed));
         if (witness != null) {
-            witness.listed(told, kind != ListKind.DELTA);
-            int known = zones.cardinality();
-            told.stream().mapToInt(Server::zone).filter(zone -> zone >= 0).forEach(zones::set);
-            if (standing != null && zones.cardinality() > known) {
-                goBy();
+            witness.listed(changed, kind != ListKind.DELTA);
+            int known = listedZones.cardinality();
+            changed.stream().mapToInt(Server::zone).filter(zone -> zone >= 0).forEach(listedZones::set);
+            if (standing != null && listedZones.cardinality() > known) {
+                updateRouting();
             }
         }
     }
 
-    /** The machines' clock may be set while the node runs. */
-    private void followClock() {
+    /** Detects that the wall clock was set while the node runs. */
+    private void pollClock() {
         long by = clock.ahead();
-        if (Math.abs(by - ahead) >= 100 * MS) {
-            log("the machine's clock was set by " + (by - ahead) / MS + " ms");
-            ahead = by;
-            event(null, now -> gateway.clock(now, by));
+        if (Math.abs(by - clockAhead) >= 100 * NANOS_PER_MS) {
+            log("the machine's clock was set by " + (by - clockAhead) / NANOS_PER_MS + " ms");
+            clockAhead = by;
+            runEvent(null, now -> gateway.clock(now, by));
         }
     }
 
     @Override
     public void take(OpenRequest taken) {
-        if (desk != null) {
-            desk.counts().open(1);
+        if (operatorState != null) {
+            operatorState.counts().open(1);
         }
         if (witness != null) {
             witness.entered(taken.className());
         }
         if (closed
                 || left(taken) <= 0
-                || mostOpen > 0 && open.size() >= mostOpen
-                || dropped > 0 && drops()
-                || !budgets.take(taken)) {
-            // Nothing was sent for it, and its time is over, or its pool is full or has just gone: to come again is
-            // harmless.
-            answer(taken, ProcessMetrics.ClassMetrics::refused).refused(Budgets.COME_BACK);
-            if (tap != null) {
-                tap.turnedAway(taken, names.plans(), now());
+                || maxOpenRequests > 0 && openRequests.size() >= maxOpenRequests
+                || dropFraction > 0 && shouldDrop()
+                || !budgets.tryAcquire(taken)) {
+            // Nothing was sent, and the deadline has passed or the pool is full or closed: a retry is harmless.
+            claimAnswer(taken, ProcessMetrics.ClassMetrics::refused).refused(Budgets.RETRY_AFTER_NANOS);
+            if (recorder != null) {
+                recorder.refused(taken, names.plans(), now());
             }
             taken.settle();
             return;
         }
-        if (open.putIfAbsent(taken.request().id(), taken) != null) {
-            budgets.give(taken);
-            answer(taken, uncounted -> {}).duplicate();
+        if (openRequests.putIfAbsent(taken.request().id(), taken) != null) {
+            budgets.release(taken);
+            claimAnswer(taken, uncounted -> {}).duplicate();
             taken.settle();
             return;
         }
-        if (tap != null) {
-            tap.began(taken, now());
+        if (recorder != null) {
+            recorder.started(taken, now());
         }
-        long left = lastMoment(taken) - now();
-        // The backstop for a module that is late: no request may be left without an answer.
+        long left = answerDeadline(taken) - now();
+        // Fails the request if the module has not answered in time.
         taken.setTimeoutTask(loop.schedule(() -> overdue(taken), Math.max(0, left), TimeUnit.NANOSECONDS));
-        enter(taken);
+        admit(taken);
     }
 
-    /** What the agent holds counts as told from the first moment: nothing is decided by the saved list before it spoke. */
-    private void enter(OpenRequest taken) {
+    /**
+     * Passes a request to the module once discovery's first list has arrived: a drain that discovery knows of binds
+     * from the start, so nothing is decided by the saved list before.
+     */
+    private void admit(OpenRequest taken) {
         if (discovery == null || discovery.heard()) {
-            event(taken, now -> gateway.request(now, taken.request()));
+            runEvent(taken, now -> gateway.request(now, taken.request()));
         } else if (!taken.isAnswered()) {
-            loop.schedule(() -> enter(taken), HELD, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> admit(taken), FIRST_LIST_POLL_NANOS, TimeUnit.NANOSECONDS);
         }
     }
 
-    private static long lastMoment(OpenRequest of) {
-        return of.deadlineNanos() + RequestReader.ANSWER_MARGIN - LAST_MOMENT;
+    private static long answerDeadline(OpenRequest request) {
+        return request.deadlineNanos() + RequestReader.ANSWER_MARGIN - ANSWER_RESERVE_NANOS;
     }
 
     private void overdue(OpenRequest late) {
         if (!late.isAnswered()) {
             fail(late);
-            event(null, now -> gateway.clientGone(now, late.request().id()));
+            runEvent(null, now -> gateway.clientGone(now, late.request().id()));
         }
     }
 
     @Override
     public void clientGone(OpenRequest gone) {
-        if (answer(gone, uncounted -> {}) != null) {
-            note(gone, Entry.End.GONE);
+        if (claimAnswer(gone, uncounted -> {}) != null) {
+            recordEnd(gone, Entry.End.GONE);
             settle(gone);
-            event(gone, now -> gateway.clientGone(now, gone.request().id()));
+            runEvent(gone, now -> gateway.clientGone(now, gone.request().id()));
         }
     }
 
     @Override
-    public void attemptEnded(OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
-        of.endAttempt();
-        noteAttempt(of, outcome, took, server, units);
-        int attempt = of.attempts() - 1;
-        // After a stall answers are read before the backstop has its turn: what comes too late was not served.
-        if (outcome == Outcome.OK && now() > lastMoment(of)) {
-            fail(of);
+    public void attemptEnded(
+            OpenRequest request, Outcome outcome, long took, String server, double units, ByteBuf body) {
+        request.endAttempt();
+        recordAttempt(request, outcome, took, server, units);
+        int attempt = request.attempts() - 1;
+        // After a stall a response may be read before the backstop timer runs; a late one does not count as served.
+        if (outcome == Outcome.OK && now() > answerDeadline(request)) {
+            fail(request);
         } else if (outcome == Outcome.OK) {
-            OpenRequest.Responder answers = answer(of, ProcessMetrics.ClassMetrics::served);
+            OpenRequest.Responder answers = claimAnswer(request, ProcessMetrics.ClassMetrics::served);
             if (answers != null) {
-                note(of, Entry.End.SERVED);
+                recordEnd(request, Entry.End.SERVED);
                 answers.served(body);
             }
         }
-        boolean complete = of.isAnswered();
-        event(
-                of,
+        boolean complete = request.isAnswered();
+        runEvent(
+                request,
                 now -> gateway.attemptEnded(
                         now,
-                        new Result(of.request().id(), outcome, took, server, complete, attempt, units, List.of())));
-        settle(of);
+                        new Result(
+                                request.request().id(), outcome, took, server, complete, attempt, units, List.of())));
+        settle(request);
     }
 
     @Override
-    public void bodyReceived(OpenRequest of, long age) {
-        of.bodyReceived(now(), age);
-        if (!of.isAnswered()) {
-            of.setTimeoutTask(loop.schedule(() -> overdue(of), Math.max(0, lastMoment(of) - now()), TimeUnit.NANOSECONDS));
+    public void bodyReceived(OpenRequest request, long age) {
+        request.bodyReceived(now(), age);
+        if (!request.isAnswered()) {
+            request.setTimeoutTask(loop.schedule(
+                    () -> overdue(request), Math.max(0, answerDeadline(request) - now()), TimeUnit.NANOSECONDS));
         }
     }
 
     @Override
-    public long left(OpenRequest of) {
-        return of.deadlineNanos() - now();
+    public long left(OpenRequest request) {
+        return request.deadlineNanos() - now();
     }
 
     @Override
-    public void bodyGone(OpenRequest of) {
-        event(null, now -> gateway.bodyGone(now, of.request().id()));
+    public void bodyGone(OpenRequest request) {
+        runEvent(null, now -> gateway.bodyGone(now, request.request().id()));
     }
 
-    /** To the module the attempt is over: the app server has done its work, and no further one may go out. */
+    /** Ends the attempt for the module: the app server has processed the request, so it must not be sent again. */
     @Override
-    public void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
-        of.endAttempt();
-        noteAttempt(of, Outcome.OK, took, server, units);
-        int attempt = of.attempts() - 1;
-        if (now() > lastMoment(of)) {
-            fail(of);
-        }
-        OpenRequest.Responder answers = of.answerOnce();
+    public void answerBegins(
+            OpenRequest request, long took, String server, double units, BodyStream passage, long length) {
+        request.endAttempt();
+        recordAttempt(request, Outcome.OK, took, server, units);
+        int attempt = request.attempts() - 1;
+        if (now() > answerDeadline(request)) {
+            fail(request);
+        }
+        OpenRequest.Responder answers = request.answerOnce();
         if (answers == null) {
             passage.stop();
         } else {
-            note(of, Entry.End.SERVED);
+            recordEnd(request, Entry.End.SERVED);
             answers.streamed(
                     passage,
                     length,
-                    whole -> ended(
-                            of, whole ? ProcessMetrics.ClassMetrics::served : ProcessMetrics.ClassMetrics::failed));
+                    whole -> countEnd(request, whole ? ProcessMetrics.ClassMetrics::served : ProcessMetrics.ClassMetrics::failed));
         }
-        event(
-                of,
+        runEvent(
+                request,
                 now -> gateway.attemptEnded(
-                        now, new Result(of.request().id(), Outcome.OK, took, server, true, attempt, units, List.of())));
-        settle(of);
+                        now,
+                        new Result(request.request().id(), Outcome.OK, took, server, true, attempt, units, List.of())));
+        settle(request);
     }
 
     @Override
-    public void attemptWritten(OpenRequest of) {
-        if (desk != null) {
-            counts(of).tried();
+    public void attemptWritten(OpenRequest request) {
+        if (operatorState != null) {
+            counts(request).tried();
         }
     }
 
     private void counted(long name, Outcome outcome, double total) {
-        if (use != null) {
+        if (useStore != null) {
             tellings.ended(name, outcome, clock.wallMs());
         }
-        event(null, now -> gateway.counted(now, name, outcome, total));
+        runEvent(null, now -> gateway.counted(now, name, outcome, total));
     }
 
-    private void note(OpenRequest of, Entry.End end) {
-        if (tap != null) {
-            tap.answered(of, end, now());
+    private void recordEnd(OpenRequest request, Entry.End end) {
+        if (recorder != null) {
+            recorder.answered(request, end, now());
         }
     }
 
-    private void noteAttempt(OpenRequest of, Outcome outcome, long took, String server, double units) {
+    private void recordAttempt(OpenRequest request, Outcome outcome, long took, String server, double units) {
         if (witness != null) {
-            witness.ended(of.className(), server, outcome, took);
+            witness.ended(request.className(), server, outcome, took);
         }
-        if (tap != null) {
-            tap.attemptEnded(of, outcome, units, now());
+        if (recorder != null) {
+            recorder.attemptEnded(request, outcome, units, now());
         }
     }
 
-    /** Forgets a request once it is answered and no attempt of it is out. */
-    private void settle(OpenRequest of) {
-        if (of.isAnswered() && !of.isAttemptInFlight() && open.remove(of.request().id(), of)) {
-            if (tap != null) {
-                tap.settled(of, names.plans());
+    /** Removes a request once it is answered and has no attempt in flight. */
+    private void settle(OpenRequest request) {
+        if (request.isAnswered()
+                && !request.isAttemptInFlight()
+                && openRequests.remove(request.request().id(), request)) {
+            if (recorder != null) {
+                recorder.completed(request, names.plans());
             }
-            budgets.give(of);
-            of.settle();
-            endIfDone();
+            budgets.release(request);
+            request.settle();
+            closeIfDone();
         }
     }
 
@@ -830,115 +889,116 @@
 
     @Override
     public void send(String id, String server, long patience, long startWithin) {
-        OpenRequest of = open.get(id);
-        if (of == null || of.isAnswered() || of.isAttemptInFlight()) {
-            // It may not go out, but the module counts it as out until it hears how it ended.
-            Result moot = new Result(id, Outcome.NOT_SENT, 0, server, of == null || of.isAnswered(), 0, 0, List.of());
-            loop.execute(() -> event(null, now -> gateway.attemptEnded(now, moot)));
+        OpenRequest request = openRequests.get(id);
+        if (request == null || request.isAnswered() || request.isAttemptInFlight()) {
+            // It is not sent, but the module counts the attempt as in flight until it gets a result.
+            Result moot = new Result(
+                    id, Outcome.NOT_SENT, 0, server, request == null || request.isAnswered(), 0, 0, List.of());
+            loop.execute(() -> runEvent(null, now -> gateway.attemptEnded(now, moot)));
             return;
         }
-        of.beginAttempt();
-        if (tap != null) {
-            tap.sent(of, server, now());
+        request.beginAttempt();
+        if (recorder != null) {
+            recorder.sent(request, server, now());
         }
         long decidedAt = System.nanoTime();
-        // The list and the clients decide whether anything may still be sent.
-        barrier.runAfterRead(
-                () -> of.isAnswered() || System.nanoTime() - decidedAt >= Math.min(patience, startWithin),
-                () -> sendOnceRead(of, server, patience, startWithin, decidedAt));
+        // Unread drains and client disconnects decide whether the attempt may still be sent.
+        readBarrier.pass(
+                () -> request.isAnswered() || System.nanoTime() - decidedAt >= Math.min(patience, startWithin),
+                () -> sendAfterRead(request, server, patience, startWithin, decidedAt));
     }
 
-    private void sendOnceRead(OpenRequest of, String server, long patience, long startWithin, long decidedAt) {
+    private void sendAfterRead(OpenRequest request, String server, long patience, long startWithin, long decidedAt) {
         long waited = System.nanoTime() - decidedAt;
         long left = startWithin == Long.MAX_VALUE ? Long.MAX_VALUE : startWithin - waited;
-        if (of.isAnswered() || patience <= waited || left <= 0) {
-            loop.execute(() -> attemptEnded(of, Outcome.NOT_SENT, 0, server, 0, null));
+        if (request.isAnswered() || patience <= waited || left <= 0) {
+            loop.execute(() -> attemptEnded(request, Outcome.NOT_SENT, 0, server, 0, null));
         } else {
-            servers.send(of, server, patience - waited, left);
+            servers.send(request, server, patience - waited, left);
         }
     }
 
     @Override
     public boolean mustRead() {
-        return barrier.isClosed();
+        return readBarrier.isClosed();
     }
 
     @Override
     public void whenRead(BooleanSupplier isOver, Runnable task) {
-        barrier.runAfterRead(isOver, task);
+        readBarrier.pass(isOver, task);
     }
 
     @Override
     public void refuse(String id, long retryAfter) {
-        OpenRequest of = open.get(id);
-        OpenRequest.Responder answers = of == null ? null : answer(of, ProcessMetrics.ClassMetrics::refused);
+        OpenRequest request = openRequests.get(id);
+        OpenRequest.Responder answers = request == null ? null : claimAnswer(request, ProcessMetrics.ClassMetrics::refused);
         if (answers != null) {
-            note(of, Entry.End.REFUSED);
+            recordEnd(request, Entry.End.REFUSED);
             answers.refused(retryAfter);
-            settle(of);
+            settle(request);
         }
     }
 
     @Override
     public void fail(String id) {
-        OpenRequest of = open.get(id);
-        if (of != null) {
-            fail(of);
+        OpenRequest request = openRequests.get(id);
+        if (request != null) {
+            fail(request);
         }
     }
 
-    private void fail(OpenRequest of) {
-        OpenRequest.Responder answers = answer(of, ProcessMetrics.ClassMetrics::failed);
+    private void fail(OpenRequest request) {
+        OpenRequest.Responder answers = claimAnswer(request, ProcessMetrics.ClassMetrics::failed);
         if (answers != null) {
-            note(of, Entry.End.FAILED);
+            recordEnd(request, Entry.End.FAILED);
             answers.failed();
-            settle(of);
+            settle(request);
         }
     }
 
     @Override
     public void probe(String server) {
-        // The site does not allow it, and the module asks only where the settings do.
+        // The platform does not allow probes; the module asks for them only where the settings do.
     }
 
     @Override
     public void count(long customer, long name, double amount, long lifetime) {
-        if (use != null) {
+        if (useStore != null) {
             tellings.begins(customer, name, amount, clock.wallMs());
         }
         counter.count(name, amount, lifetime);
     }
 
-    /** Written down when the module takes it, which is before the request is sent. */
+    /** Stores quota use when the module takes it, which is before the request is sent. */
     @Override
     public void useChanged(long customer, int plan, int setSize, double units) {
-        if (use != null && units != 0) {
-            use.book().useChanged(customer, plan & 0xff | (setSize & 0xff) << 8, units, clock.wallMs());
+        if (useStore != null && units != 0) {
+            useStore.book().useChanged(customer, plan & 0xff | (setSize & 0xff) << 8, units, clock.wallMs());
         }
     }
 
     @Override
-    public void timer(long token, long span) {
+    public void timer(long token, long delay) {
         if (!closed) {
-            loop.schedule(() -> tick(token), span, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> tick(token), delay, TimeUnit.NANOSECONDS);
         }
     }
 
     private void tick(long token) {
         if (now() >= clockDue) {
-            clockDue = now() + ADOPT;
-            followClock();
+            clockDue = now() + ADOPT_INTERVAL_NANOS;
+            pollClock();
         }
-        if (desk != null && now() >= deskDue) {
-            deskDue = now() + DESK;
-            followDesk();
+        if (operatorState != null && now() >= operatorStateDue) {
+            operatorStateDue = now() + OPERATOR_STATE_INTERVAL_NANOS;
+            pollOperatorState();
         }
-        event(null, now -> gateway.timer(now, token));
+        runEvent(null, now -> gateway.timer(now, token));
     }
 
     @Override
     public void watchList() {
-        // Discovery is watched from the start and again whenever a watch ends.
+        // The discovery client watches from the start, and again whenever a watch ends.
     }
 
     @Override
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -19,10 +19,10 @@
 import rushpin.budget.Lender;
 import rushpin.budget.Share;
 import rushpin.config.Config;
+import rushpin.config.ResourceLimits;
 import rushpin.config.GroupConfig;
 import rushpin.config.OperatorConfig;
 import rushpin.config.PoolConfig;
-import rushpin.config.ResourceLimits;
 import rushpin.gateway.Ports.ListKind;
 import rushpin.membership.AddressOwners;
 import rushpin.membership.ServerListUpdate;
@@ -34,69 +34,85 @@
 import rushpin.traffic.Recorder;
 
 /**
- * The pools of an operator's file. Routes, lenders and claims belong to the listening side's loop; a pool belongs to its
- * own loop or to that one. What crosses goes as a message, in the order in which it was sent.
+ * The pools of an operator's file. Routes, lenders and claims belong to the front loop, which accepts clients; a pool
+ * belongs to its own loop or to the front loop. Loops exchange messages, which keep the order in which they were sent.
  */
 final class PooledServices implements Services {
-    private static final long SWEEP_S = 1;
-
-    /** A pool that runs; the key at the lenders and claims differs between two of one name that meet in a reload. */
-    private record Running(Pool pool, String key, EventLoopGroup own, Budgets budgets, GroupSide side) {}
-
-    private enum Kind {
+    private static final long RETURN_SPARE_INTERVAL_S = 1;
+
+    /**
+     * A pool that runs.
+     *
+     * @param key names it to lenders and claims; unlike the pool's name it is unique while a reload replaces a pool
+     * @param ownLoop null where the pool runs on the front loop
+     * @param groupSide null where the pool belongs to no group
+     */
+    private record Running(Pool pool, String key, EventLoopGroup ownLoop, Budgets budgets, GroupSide groupSide) {}
+
+    private enum Resource {
         REQUESTS,
         CONNECTIONS,
         BYTES,
         CONNECTS
     }
 
-    private final EventLoop front;
+    private final EventLoop frontLoop;
     private final Clock clock;
-    private final Consumer<String> ended;
+    private final Consumer<String> onPoolRemoved;
     private final String node;
-    /** For the life of the process: a record can't change its folder. */
-    private final Path state;
-    /** Where operators' calls end; null where there is no console. */
-    private final OperatorState console;
+    /** Fixed for the life of the process, because records of use cannot change their folder. */
+    private final Path stateFolder;
+    /** State that operators' console calls act on; null without a console. */
+    private final OperatorState operatorState;
 
     private final Map<String, Running> running = new LinkedHashMap<>();
     private final List<Running> retiring = new ArrayList<>();
-    private final Map<String, Running> byKey = new HashMap<>();
-    private final Lender[] lenders = new Lender[Kind.values().length];
+    private final Map<String, Running> runningByKey = new HashMap<>();
+    private final Lender[] lenders = new Lender[Resource.values().length];
     private final AddressOwners claims = new AddressOwners();
-    /** For the life of the process, like the state folder; null where nothing is recorded. */
+    /** Fixed for the life of the process, like the state folder; null where nothing is recorded. */
     private Recorder recorder;
 
     private OperatorConfig operator;
     private RouteTable table;
-    /** The newest of the fleet; null for none. */
-    private Standing agreed;
-    /** Hears what pools see; null where there is no fleet. */
-    private Consumer<Witness.Account> watcher;
-    /** Hears what pools have open to groups of servers; null where there is no fleet. */
-    private Consumer<GroupSide.Account> accounts;
-    /** The newest permit for each group. */
-    private final Map<String, GroupSide.Numbered> permits = new HashMap<>();
+    /** The newest plan of the fleet and whether it is stale; null for none. */
+    private Standing standing;
+    /** Receives what pools see of zones; null without a fleet. */
+    private Consumer<Witness.Account> zoneReports;
+    /** Receives the connections that pools have to groups of servers; null without a fleet. */
+    private Consumer<GroupSide.Account> connectionReports;
+    /** The newest connection grant of each group. */
+    private final Map<String, GroupSide.Numbered> grants = new HashMap<>();
 
     private int generation;
 
-    /** Opens nothing yet; {@code ended} hears on the listening side's loop of each name that no pool has any more. */
+    /**
+     * Creates the pools' owner, which opens nothing before {@link #start}.
+     *
+     * @param onPoolRemoved receives, on the front loop, each name that no pool has any more
+     * @param operatorState null without a console
+     */
     PooledServices(
-            OperatorConfig operator, String node, EventLoop front, Clock clock, Consumer<String> ended, OperatorState console) {
-        this.console = console;
+            OperatorConfig operator,
+            String node,
+            EventLoop frontLoop,
+            Clock clock,
+            Consumer<String> onPoolRemoved,
+            OperatorState operatorState) {
+        this.operatorState = operatorState;
         this.operator = operator;
         this.node = node;
-        state = operator.state();
-        this.front = front;
+        stateFolder = operator.state();
+        this.frontLoop = frontLoop;
         this.clock = clock;
-        this.ended = ended;
-        for (Kind kind : Kind.values()) {
-            lenders[kind.ordinal()] = new Lender(of(operator.total(), kind));
+        this.onPoolRemoved = onPoolRemoved;
+        for (Resource resource : Resource.values()) {
+            lenders[resource.ordinal()] = new Lender(amount(operator.total(), resource));
         }
     }
 
-    private static long of(ResourceLimits grants, Kind kind) {
-        return switch (kind) {
+    private static long amount(ResourceLimits grants, Resource resource) {
+        return switch (resource) {
             case REQUESTS -> grants.requests();
             case CONNECTIONS -> grants.connections();
             case BYTES -> grants.bytes();
@@ -109,18 +125,18 @@
         if (operator.records() != null) {
             recorder = new Recorder(operator.records(), node, System.out::println);
         }
-        front.submit(() -> apply(operator)).get();
-        // The hand-over of each pool's first list and first shares is behind these in line.
+        frontLoop.submit(() -> applyConfig(operator)).get();
+        // The tasks that deliver each pool's first list and first shares are queued before this one.
         for (Running each : List.copyOf(running.values())) {
             each.pool().loop().submit(() -> {}).get();
         }
     }
 
-    /** The whole of a checked file takes the place of the one before; on the listening side's loop. */
-    private void apply(OperatorConfig next) {
+    /** Replaces the configuration by a validated file as a whole; on the front loop. */
+    private void applyConfig(OperatorConfig next) {
         operator = next;
-        for (Kind kind : Kind.values()) {
-            lenders[kind.ordinal()].resize(of(next.total(), kind));
+        for (Resource resource : Resource.values()) {
+            lenders[resource.ordinal()].resize(amount(next.total(), resource));
         }
         Map<String, Running> before = new LinkedHashMap<>(running);
         running.clear();
@@ -130,10 +146,10 @@
             if (known != null && known.pool().plan().differsOnlyInAddresses(plan)) {
                 before.remove(plan.name());
                 running.put(plan.name(), known);
-                known.pool().loop().execute(() -> known.pool().move(plan));
-                if (known.side() != null) {
+                known.pool().loop().execute(() -> known.pool().changeAddresses(plan));
+                if (known.groupSide() != null) {
                     GroupConfig group = next.fleet().group(plan.group());
-                    known.pool().loop().execute(() -> known.side().change(group));
+                    known.pool().loop().execute(() -> known.groupSide().change(group));
                 }
                 reserve(known, plan);
             } else {
@@ -141,123 +157,132 @@
             }
         }
         before.values().forEach(this::retire);
-        fresh.forEach(this::begin);
+        fresh.forEach(this::startPool);
         table = new RouteTable(next.routes());
     }
 
-    private void begin(PoolConfig plan) {
-        EventLoopGroup own = plan.ownLoop() ? new WatchedLoopGroup() : null;
-        EventLoop loop = own == null ? front : own.next();
+    private void startPool(PoolConfig plan) {
+        EventLoopGroup ownLoop = plan.ownLoop() ? new WatchedLoopGroup() : null;
+        EventLoop loop = ownLoop == null ? frontLoop : ownLoop.next();
         String key = plan.name() + "#" + generation++;
         Share[] shares = new Share[lenders.length];
-        for (Kind kind : Kind.values()) {
-            shares[kind.ordinal()] = new Share(of(plan.guaranteed(), kind), desk(key, kind));
+        for (Resource resource : Resource.values()) {
+            shares[resource.ordinal()] = new Share(amount(plan.guaranteed(), resource), lenderPort(key, resource));
         }
         Budgets budgets = new Budgets(shares[0], shares[1], shares[2], shares[3], null);
         Pool pool = new Pool(
-                plan, loop, front, clock, budgets, (roll, kind) -> front.execute(() -> admit(key, roll, kind)));
-        if (console != null) {
-            pool.serveDesk(console);
+                plan,
+                loop,
+                frontLoop,
+                clock,
+                budgets,
+                (roll, kind) -> frontLoop.execute(() -> admitList(key, roll, kind)));
+        if (operatorState != null) {
+            pool.setOperatorState(operatorState);
         }
         if (recorder != null) {
-            // Each pool has the whole rate: what all of them offer beyond it finds the queue full.
-            pool.record(new Tap(recorder, node, plan.name(), recorder.mostPerSecond(), clock.wallMs(), clock.now()));
+            // Each pool may use the whole rate; records beyond it in total are dropped at the full queue.
+            pool.setRecorder(new RequestRecorder(
+                    recorder, node, plan.name(), recorder.mostPerSecond(), clock.wallMs(), clock.now()));
         }
-        if (watcher != null) {
-            pool.witness(new Witness(plan.name(), plan.upstream().names(), plan.settings(), clock::now, watcher));
+        if (zoneReports != null) {
+            pool.setWitness(
+                    new Witness(plan.name(), plan.upstream().names(), plan.settings(), clock::now, zoneReports));
         }
         GroupConfig group = plan.group() == null ? null : operator.fleet().group(plan.group());
-        if (group != null && accounts == null) {
+        if (group != null && connectionReports == null) {
             System.out.println("pool " + plan.name() + " keeps to no permits: a table [fleet] is for the next start");
         }
-        GroupSide side = group == null || accounts == null ? null : pool.keepTo(group, accounts);
-        Running begun = new Running(pool, key, own, budgets, side);
-        running.put(plan.name(), begun);
-        byKey.put(key, begun);
-        reserve(begun, plan);
-        var sweep = loop.scheduleAtFixedRate(budgets::sweep, SWEEP_S, SWEEP_S, TimeUnit.SECONDS);
+        GroupSide groupSide =
+                group == null || connectionReports == null ? null : pool.joinGroup(group, connectionReports);
+        Running started = new Running(pool, key, ownLoop, budgets, groupSide);
+        running.put(plan.name(), started);
+        runningByKey.put(key, started);
+        reserve(started, plan);
+        var sweep = loop.scheduleAtFixedRate(
+                budgets::returnSpare, RETURN_SPARE_INTERVAL_S, RETURN_SPARE_INTERVAL_S, TimeUnit.SECONDS);
         budgets.onClose(() -> sweep.cancel(false));
-        // The known list goes by the claims like every other; the pool begins with what they leave of it.
+        // The known list is checked against claims like every later one; the pool starts with the result.
         AddressOwners.Admission first = claims.admit(key, plan.known(), ListKind.CACHED);
         first.conflicts().forEach(System.out::println);
-        loop.execute(() -> pool.start(first.updates().get(0).update(), state, node));
-        if (agreed != null) {
-            Standing known = agreed;
-            loop.execute(() -> pool.agree(known));
+        loop.execute(() -> pool.start(first.updates().get(0).update(), stateFolder, node));
+        if (standing != null) {
+            Standing known = standing;
+            loop.execute(() -> pool.applyStanding(known));
         }
-        tell(first.updates().subList(1, first.updates().size()));
-        permit(begun);
+        deliver(first.updates().subList(1, first.updates().size()));
+        applyGrant(started);
     }
 
-    /** A pool's permit, unless another pool may have connections to its group yet. */
-    private void permit(Running to) {
-        GroupSide.Numbered permit =
-                to.side() == null ? null : permits.get(to.pool().plan().group());
-        if (permit != null
+    /** Passes the group's grant to a pool, unless a retiring pool may still have connections to the group. */
+    private void applyGrant(Running to) {
+        GroupSide.Numbered grant =
+                to.groupSide() == null ? null : grants.get(to.pool().plan().group());
+        if (grant != null
                 && retiring.stream()
-                        .noneMatch(old ->
-                                old.side() != null && old.pool().plan().group().equals(permit.group()))) {
-            to.pool().loop().execute(() -> to.side().permit(permit));
+                        .noneMatch(old -> old.groupSide() != null
+                                && old.pool().plan().group().equals(grant.group()))) {
+            to.pool().loop().execute(() -> to.groupSide().permit(grant));
         }
     }
 
     @Override
-    public void account(Consumer<GroupSide.Account> by) {
-        accounts = by;
+    public void setConnectionReports(Consumer<GroupSide.Account> listener) {
+        connectionReports = listener;
     }
 
     @Override
-    public void permit(GroupSide.Numbered permit) {
-        front.execute(() -> {
-            permits.put(permit.group(), permit);
+    public void onGrant(GroupSide.Numbered grant) {
+        frontLoop.execute(() -> {
+            grants.put(grant.group(), grant);
             running.values().stream()
-                    .filter(each -> permit.group().equals(each.pool().plan().group()))
-                    .forEach(this::permit);
-            leftAlone(permit);
+                    .filter(each -> grant.group().equals(each.pool().plan().group()))
+                    .forEach(this::applyGrant);
+            reportUnused(grant);
         });
     }
 
-    /** A permit that no pool goes by any more: somebody has to say that nothing is open, or what was granted stays so. */
-    private void leftAlone(GroupSide.Numbered permit) {
+    /** Reports no open connections for a grant that no pool uses any more; otherwise its connections stay allocated. */
+    private void reportUnused(GroupSide.Numbered grant) {
         if (Stream.concat(running.values().stream(), retiring.stream())
-                .noneMatch(each -> each.side() != null
-                        && permit.group().equals(each.pool().plan().group()))) {
-            accounts.accept(new GroupSide.Account(permit.group(), permit.number(), 0, Map.of()));
+                .noneMatch(each -> each.groupSide() != null
+                        && grant.group().equals(each.pool().plan().group()))) {
+            connectionReports.accept(new GroupSide.Account(grant.group(), grant.number(), 0, Map.of()));
         }
     }
 
-    /** The way from a pool's loop to a lender. */
-    private Share.OperatorState desk(String key, Kind kind) {
-        Lender lender = lenders[kind.ordinal()];
-        return new Share.OperatorState() {
+    /** Passes messages from a pool's loop to a lender. */
+    private Share.Port lenderPort(String key, Resource resource) {
+        Lender lender = lenders[resource.ordinal()];
+        return new Share.Port() {
             @Override
-            public void ask(long units) {
-                front.execute(() -> lender.ask(key, units));
+            public void request(long units) {
+                frontLoop.execute(() -> lender.request(key, units));
             }
 
             @Override
-            public void back(long units) {
-                front.execute(() -> lender.back(key, units));
+            public void giveBack(long units) {
+                frontLoop.execute(() -> lender.giveBack(key, units));
             }
         };
     }
 
-    private void reserve(Running of, PoolConfig plan) {
-        for (Kind kind : Kind.values()) {
-            long units = of(plan.guaranteed(), kind);
-            Share share = of.budgets().of(kind.ordinal());
-            of.pool().loop().execute(() -> share.guarantee(units));
-            lenders[kind.ordinal()].reserve(of.key(), units, new Lender.Port() {
+    private void reserve(Running pool, PoolConfig plan) {
+        for (Resource resource : Resource.values()) {
+            long units = amount(plan.guaranteed(), resource);
+            Share share = pool.budgets().share(resource.ordinal());
+            pool.pool().loop().execute(() -> share.setGuarantee(units));
+            lenders[resource.ordinal()].reserve(pool.key(), units, new Lender.Port() {
                 @Override
-                public void hand(long handed) {
-                    of.pool().loop().execute(() -> share.handed(handed));
+                public void grant(long granted) {
+                    pool.pool().loop().execute(() -> share.granted(granted));
                 }
 
                 @Override
                 public void recall(long wanted) {
-                    of.pool().loop().execute(() -> {
-                        if (share.recalled(wanted) > 0 && kind == Kind.CONNECTIONS) {
-                            of.pool().shrink();
+                    pool.pool().loop().execute(() -> {
+                        if (share.recall(wanted) > 0 && resource == Resource.CONNECTIONS) {
+                            pool.pool().shrink();
                         }
                     });
                 }
@@ -265,64 +290,64 @@
         }
     }
 
-    /** A pool that is in the file no more, or differently: what it took ends there, and nothing new comes. */
+    /** Retires a pool that was removed or replaced: it finishes its requests and gets no new ones. */
     private void retire(Running old) {
         retiring.add(old);
-        // It sends no more than repeats of what it has: its servers are free for who comes after it.
-        tell(claims.leave(old.key()));
+        // It only retries requests it has, so its servers may be claimed by another pool.
+        deliver(claims.leave(old.key()));
         old.pool().loop().execute(() -> {
-            if (old.side() != null) {
-                // The next pool of its group begins when nothing of this one is open there any more.
-                old.side().close();
+            if (old.groupSide() != null) {
+                // The group's next pool starts once this one has no connections there.
+                old.groupSide().close();
             }
             old.pool().retire(() -> {
-                if (old.side() == null) {
-                    front.execute(() -> gone(old));
+                if (old.groupSide() == null) {
+                    frontLoop.execute(() -> remove(old));
                 } else {
-                    old.side().onEmpty(() -> front.execute(() -> gone(old)));
+                    old.groupSide().onEmpty(() -> frontLoop.execute(() -> remove(old)));
                 }
             });
         });
     }
 
-    private void gone(Running old) {
+    private void remove(Running old) {
         retiring.removeIf(each -> each == old);
-        byKey.remove(old.key());
+        runningByKey.remove(old.key());
         for (Lender lender : lenders) {
-            lender.leave(old.key());
+            lender.remove(old.key());
         }
         if (!running.containsKey(old.pool().name())) {
-            ended.accept(old.pool().name());
-            if (console != null) {
-                console.counts().forget(old.pool().name());
+            onPoolRemoved.accept(old.pool().name());
+            if (operatorState != null) {
+                operatorState.counts().forget(old.pool().name());
             }
         }
-        if (old.own() != null) {
-            old.own().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        if (old.ownLoop() != null) {
+            old.ownLoop().shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
         System.out.println("pool " + old.pool().name() + " has ended");
-        running.values().forEach(this::permit);
-        permits.values().forEach(this::leftAlone);
+        running.values().forEach(this::applyGrant);
+        grants.values().forEach(this::reportUnused);
     }
 
-    private void admit(String key, ServerListUpdate roll, ListKind kind) {
-        Running of = byKey.get(key);
-        if (of == null) {
+    private void admitList(String key, ServerListUpdate roll, ListKind kind) {
+        Running pool = runningByKey.get(key);
+        if (pool == null) {
             return;
         }
-        if (retiring.stream().anyMatch(each -> each == of)) {
-            of.pool().loop().execute(() -> of.pool().apply(roll, kind));
+        if (retiring.stream().anyMatch(each -> each == pool)) {
+            pool.pool().loop().execute(() -> pool.pool().applyList(roll, kind));
         } else {
             AddressOwners.Admission outcome = claims.admit(key, roll, kind);
             outcome.conflicts().forEach(System.out::println);
-            tell(outcome.updates());
+            deliver(outcome.updates());
         }
     }
 
-    private void tell(List<AddressOwners.PoolUpdate> told) {
-        for (AddressOwners.PoolUpdate one : told) {
-            Running to = byKey.get(one.pool());
-            to.pool().loop().execute(() -> to.pool().apply(one.update(), one.kind()));
+    private void deliver(List<AddressOwners.PoolUpdate> lists) {
+        for (AddressOwners.PoolUpdate one : lists) {
+            Running to = runningByKey.get(one.pool());
+            to.pool().loop().execute(() -> to.pool().applyList(one.update(), one.kind()));
         }
     }
 
@@ -350,7 +375,7 @@
         if (pool == null) {
             throw new RequestRejectedException(HttpResponseStatus.NOT_FOUND, "no route leads from here");
         }
-        // What goes on is the path that was routed: an absolute target's host goes as Host.
+        // The path that was routed is forwarded; the host of an absolute target becomes the Host header.
         head.setUri(reading.target());
         return new ServerCallbacks.Destination(running.get(pool).pool(), reading.authority());
     }
@@ -360,48 +385,48 @@
         return running.values().stream().allMatch(each -> each.pool().ready());
     }
 
-    /** In every pool that knows the id, the retiring ones too. */
+    /** Applies to every pool that knows the ID, retiring ones included. */
     @Override
     public CompletableFuture<Boolean> withhold(String id, boolean out) {
         return CompletableFuture.supplyAsync(
                         () -> {
                             CompletableFuture<Boolean> any = CompletableFuture.completedFuture(false);
-                            for (Running each : List.copyOf(byKey.values())) {
+                            for (Running each : List.copyOf(runningByKey.values())) {
                                 any = any.thenCombine(each.pool().withholdLater(id, out), (one, other) -> one || other);
                             }
                             return any;
                         },
-                        front)
+                        frontLoop)
                 .thenCompose(any -> any);
     }
 
     @Override
-    public void watch(Consumer<Witness.Account> by) {
-        watcher = by;
+    public void setZoneReports(Consumer<Witness.Account> listener) {
+        zoneReports = listener;
     }
 
-    /** A pool that is retiring goes by the plan it has to its end. */
+    /** A retiring pool keeps the plan it has. */
     @Override
-    public void agree(Standing standing) {
-        front.execute(() -> {
-            if (agreed == null || !agreed.plan().isNewerThan(standing.plan())) {
-                agreed = standing;
+    public void applyStanding(Standing next) {
+        frontLoop.execute(() -> {
+            if (standing == null || !standing.plan().isNewerThan(next.plan())) {
+                standing = next;
                 running.values()
                         .forEach(each ->
-                                each.pool().loop().execute(() -> each.pool().agree(standing)));
+                                each.pool().loop().execute(() -> each.pool().applyStanding(next)));
             }
         });
     }
 
-    /** Pools with a loop of their own have given what they could when the other process was first seen. */
+    /** Pools with a loop of their own handed units over when the other process was first seen. */
     @Override
-    public void leave() {
+    public void handOver() {
         if (recorder != null) {
             recorder.close();
         }
         running.values().stream()
-                .filter(each -> each.own() == null)
-                .forEach(each -> each.pool().leave());
+                .filter(each -> each.ownLoop() == null)
+                .forEach(each -> each.pool().handOver());
     }
 
     @Override
@@ -409,7 +434,7 @@
         if (next == null) {
             throw new IllegalArgumentException("the process was started with an operator's file");
         }
-        front.execute(() -> apply(next));
+        frontLoop.execute(() -> applyConfig(next));
     }
 
     @Override
@@ -419,14 +444,14 @@
         }
         for (Running each : running.values()) {
             each.pool().close();
-            if (each.own() != null) {
-                each.own().shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+            if (each.ownLoop() != null) {
+                each.ownLoop().shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
             }
         }
         for (Running each : List.copyOf(retiring)) {
             each.pool().close();
-            if (each.own() != null) {
-                each.own().shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+            if (each.ownLoop() != null) {
+                each.ownLoop().shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
             }
         }
     }
--- a/src/main/java/rushpin/node/Services.java
+++ b/src/main/java/rushpin/node/Services.java
@@ -8,51 +8,54 @@
 import rushpin.net.ServerCallbacks;
 import rushpin.net.RequestRejectedException;
 
-/** The pools of a process as the process sees them: one by the platform's settings, or those of an operator's file. */
+/** The pools of a process: one configured by the platform's settings, or those of an operator's file. */
 interface Services {
-    /** Begins to serve; returns when each pool has its first list. */
+    /** Starts all pools; returns when each has its first server list. */
     void start() throws Exception;
 
-    /** The pool a request belongs to; called on the listening side's loop. */
+    /** Returns the pool that serves a request; called on the front loop. */
     ServerCallbacks.Destination route(HttpRequest head) throws RequestRejectedException;
 
-    /** Whether every pool has heard its list, or has waited for it long enough. */
+    /** Returns whether every pool has received a server list, or has timed out waiting for it. */
     boolean ready();
 
-    /** Goes over to new settings, checked whole; {@code operator} is null where there is no such file. */
+    /** Applies new settings, validated as a whole; {@code operator} is null without an operator's file. */
     void reload(Config changed, OperatorConfig operator);
 
     /**
-     * Takes an app server out, or puts it back. Completes with false if none of that id was ever listed, and
-     * exceptionally if it could not be written down, or there is no desk to keep it at; nothing has changed then.
+     * Disables or enables an app server. Completes with false if no server of that ID was ever listed, and
+     * exceptionally if the change could not be stored or there is no console; nothing has changed then.
      */
     CompletableFuture<Boolean> withhold(String id, boolean out);
 
-    /** A plan of the fleet is in force, or may be no more; called on any thread, and told to each pool as one message. */
-    default void agree(Standing standing) {
-        // Only where there are zones to divide.
+    /** Passes the fleet's plan, and whether it is stale, to each pool as one message; called on any thread. */
+    default void applyStanding(Standing standing) {
+        // Only needed in a fleet with zones.
     }
 
-    /** Has what its pools see of zones told, on any thread; before the start. */
-    default void watch(Consumer<Witness.Account> by) {
-        // Only where there are zones to divide.
+    /** Sets the listener for what pools see of zones, called on any thread; call before the start. */
+    default void setZoneReports(Consumer<Witness.Account> listener) {
+        // Only needed in a fleet with zones.
     }
 
-    /** Has what its pools have open to groups of servers told, on any thread; before the start. */
-    default void account(Consumer<GroupSide.Account> by) {
-        // Only where there are groups.
+    /** Sets the listener for pools' connections to groups of servers, called on any thread; call before the start. */
+    default void setConnectionReports(Consumer<GroupSide.Account> listener) {
+        // Only needed in a fleet with groups of servers.
     }
 
-    /** What may be open to a group; called on any thread, and told to its pool as one message. */
-    default void permit(GroupSide.Numbered permit) {
-        // Only where there are groups.
+    /** Passes the connection grant of a group to its pool as one message; called on any thread. */
+    default void onGrant(GroupSide.Numbered grant) {
+        // Only needed in a fleet with groups of servers.
     }
 
-    /** The process ends with all answered: what it holds may be another process's; on the listening side's loop. */
-    default void leave() {
-        // Only where processes act as one node.
+    /**
+     * Transfers held units to another process of the node when this one ends with all requests answered; on the front
+     * loop.
+     */
+    default void handOver() {
+        // Only needed where several processes act as one node.
     }
 
-    /** Ends all that is not on the listening side's loop. */
+    /** Closes what does not run on the front loop. */
     void close();
 }
--- a/src/main/java/rushpin/node/UseStore.java
+++ b/src/main/java/rushpin/node/UseStore.java
@@ -30,50 +30,52 @@
 import rushpin.quota.UseRecord.Origin;
 
 /**
- * A pool's record of use in the state folder: a locked file of this process, written at each entry, so that what was
- * stored in it is the kernel's when the process is killed. At a start, and each second, the files of this node and pool
- * that nobody holds are taken over, once. Owned by the pool's loop.
+ * A pool's record of quota use in the state folder: a locked file of this process. Each entry is written to the kernel
+ * at once, so it survives a kill of the process. At the start, and each second, unlocked files of this node and pool
+ * are taken over, each exactly once. Owned by the pool's loop.
  *
- * <p>Trouble with the folder costs a line, never the service: use is kept in memory, and the whole of it is stored as soon
- * as the folder can be used again. The file is written and not mapped: a store into a mapping whose disk fails ends in an
- * {@link InternalError} that the virtual machine raises somewhere later, where nothing can catch it for sure.
+ * <p>A failure of the folder is logged and does not stop the service: use is kept in memory, and stored completely once
+ * the folder is usable again. The file is written rather than mapped, because a store into a mapping whose disk fails
+ * ends in an {@link InternalError} that the JVM raises later, where it cannot be caught reliably.
  */
 final class UseStore implements UseBook.Port, AutoCloseable {
-    /** A mebibyte holds some 26,000 entries; beyond that the file is written anew, in a millisecond or two. */
-    static final int SIZE = 1 << 20;
+    /** File size in bytes: about 26,000 entries. A full file is rewritten, which takes 1 to 2 ms. */
+    static final int FILE_SIZE = 1 << 20;
 
-    private static final int MOST = (SIZE - UseRecord.HEADER) / UseRecord.ENTRY, MOST_CUSTOMERS = 8_192;
-    /** The counter forgets names after a minute at the latest: older use is nobody's concern. */
-    private static final long MOST_AGE_MS = 60_000;
+    private static final int MAX_ENTRIES = (FILE_SIZE - UseRecord.HEADER) / UseRecord.ENTRY;
+    private static final int MAX_CUSTOMERS = 8_192;
+    /** Older use is ignored, because the counter forgets names after a minute at the latest. */
+    private static final long MAX_AGE_MS = 60_000;
 
-    private static final long NANOS_A_MS = 1_000_000, NANOS_A_SECOND = 1_000_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final long NANOS_PER_SECOND = 1_000_000_000;
     private static final String SUFFIX = ".use";
 
-    /** What is asked of the file system. */
+    /** The operations used on the file system. */
     interface Disk {
-        /** Makes a folder where it is missing. */
+        /** Creates a folder if it is missing. */
         void makeFolder(Path folder) throws IOException;
 
-        /** The files of a folder. */
+        /** Lists the files of a folder. */
         List<Path> list(Path folder) throws IOException;
 
         /** Opens a file. */
         FileChannel open(Path file, OpenOption... how) throws IOException;
 
-        /** All bytes of a file. */
-        byte[] read(FileChannel of) throws IOException;
+        /** Reads all bytes of a file. */
+        byte[] read(FileChannel channel) throws IOException;
 
         /** Writes all bytes at an offset. */
         void write(FileChannel to, byte[] bytes, int at) throws IOException;
 
-        /** Renames a file, in place of another if there is one. */
+        /** Renames a file, replacing the target if it exists. */
         void move(Path from, Path to) throws IOException;
 
-        /** Deletes a file, if it is there. */
+        /** Deletes a file if it exists. */
         void delete(Path file) throws IOException;
     }
 
-    /** The file system itself. */
+    /** The operating system's file system. */
     static class SystemDisk implements Disk {
         @Override
         public void makeFolder(Path folder) throws IOException {
@@ -93,10 +95,10 @@
         }
 
         @Override
-        public byte[] read(FileChannel of) throws IOException {
-            ByteBuffer all = ByteBuffer.allocate((int) of.size());
-            while (all.hasRemaining() && of.read(all, all.position()) > 0) {
-                // Read on to the end.
+        public byte[] read(FileChannel channel) throws IOException {
+            ByteBuffer all = ByteBuffer.allocate((int) channel.size());
+            while (all.hasRemaining() && channel.read(all, all.position()) > 0) {
+                // Reads until the end of the file.
             }
             return all.array();
         }
@@ -120,38 +122,45 @@
         }
     }
 
-    /** What is amiss, the worse the later; a line says it when it becomes worse, and one when all is well again. */
-    private enum Trouble {
-        NONE,
+    /** The state of the folder, in order of severity; logged when it gets worse, and when it is healthy again. */
+    private enum Health {
+        HEALTHY,
         OTHERS_NOT_TAKEN_OVER,
         NOT_KEPT
     }
 
     private final Path folder;
-    private final String node, pool;
-    /** Nanoseconds of a clock that nobody sets, the same for all processes of the machine. */
+    private final String node;
+    private final String pool;
+    /** Nanoseconds of a monotonic clock that all processes of the machine share. */
     private final LongSupplier nanos;
 
-    private final long startMs, startNanos;
+    private final long startMs;
+    private final long startNanos;
     private final Consumer<String> log;
     private final Disk disk;
-    private final UseBook book = new UseBook(MOST, MOST_CUSTOMERS, List.of(), UseBook.NOT_STORED, this);
-    /** Files that this one has taken over and that could not be deleted yet, with their begins. */
-    private final Map<Path, Long> leftOver = new LinkedHashMap<>();
-    /** Files that are another's, each of which has cost its line. */
-    private final Set<Path> leftAlone = new HashSet<>();
+    private final UseBook book = new UseBook(MAX_ENTRIES, MAX_CUSTOMERS, List.of(), UseBook.NOT_STORED, this);
+    /** Files that were taken over and could not be deleted yet, with their creation times. */
+    private final Map<Path, Long> undeleted = new LinkedHashMap<>();
+    /** Files that are not this pool's, each of which has been logged. */
+    private final Set<Path> ignored = new HashSet<>();
 
     private Path file;
     private FileChannel channel;
-    private long begun, lastBegin;
-    private Exception fault;
-    private Trouble said = Trouble.NONE;
+    /** Creation time in the header of {@link #file}, which identifies the record; Unix milliseconds. */
+    private long createdMs;
+
+    private long lastCreatedMs;
+    /** The last failure since {@link #adopt} was called; null for none. */
+    private Exception failure;
+
+    private Health reportedHealth = Health.HEALTHY;
     private boolean closed;
 
     private UseStore(
             Path folder, String node, String pool, long nowMs, Consumer<String> log, Disk disk, LongSupplier nanos) {
         this.folder = folder;
-        // In the form in which records have the names.
+        // Records hold names cut to their field; compare in that form.
         Origin origin = new Origin(node, pool, nowMs);
         this.node = origin.node();
         this.pool = origin.pool();
@@ -160,53 +169,57 @@
         startNanos = nanos.getAsLong();
         this.log = log;
         this.disk = disk;
-        lastBegin = nowMs - 1;
+        lastCreatedMs = nowMs - 1;
     }
 
-    /** What a start finds. */
+    /**
+     * The result of opening a store.
+     *
+     * @param untold use taken over that was not reported to the counter
+     */
     record Opened(UseStore store, List<Balance> untold) {}
 
-    /** Opens the folder; one that cannot be used costs a line, and is tried again with each {@link #adopt}. */
+    /** Opens the folder; if it cannot be used, that is logged and retried with each {@link #adopt}. */
     static Opened open(Path folder, String node, String pool, long nowMs, Consumer<String> log) {
         return open(folder, node, pool, nowMs, log, new SystemDisk(), System::nanoTime);
     }
 
-    /** As above, on a given disk, with ages by a given clock. */
+    /** Like {@link #open(Path, String, String, long, Consumer)}, with the given file system and monotonic clock. */
     static Opened open(
             Path folder, String node, String pool, long nowMs, Consumer<String> log, Disk disk, LongSupplier nanos) {
         UseStore store = new UseStore(folder, node, pool, nowMs, log, disk, nanos);
         return new Opened(store, store.adopt(nowMs));
     }
 
-    /** Records of this node and pool that nobody holds any more, held while they are taken over. */
-    private static final class Found implements AutoCloseable {
+    /** Records of this node and pool that no process holds a lock on, locked while they are taken over. */
+    private static final class AbandonedRecords implements AutoCloseable {
         private final List<Path> paths = new ArrayList<>();
         private final List<FileChannel> held = new ArrayList<>();
         private final List<Contents> contents = new ArrayList<>();
         private final Set<Long> absorbed = new HashSet<>();
 
-        List<Long> begins() {
+        List<Long> creationTimes() {
             return contents.stream().map(one -> one.origin().begun()).toList();
         }
 
-        /** What none of the others has taken over before, and the counter still knows the names of. */
-        List<Balance> balances(long nowMs, int nowSteady, long nowNoted) {
+        /** Returns use that no other record has absorbed and that is recent enough for the counter. */
+        List<Balance> balances(long nowMs, int nowSteadySeconds, long now) {
             List<Balance> balances = new ArrayList<>();
             for (Contents one : contents) {
                 if (absorbed.contains(one.origin().begun())) {
                     continue;
                 }
                 for (Balance b : one.balances()) {
-                    long age = one.origin().age(b.at(), nowMs, nowSteady);
-                    if (age <= MOST_AGE_MS) {
-                        balances.add(new Balance(b.customer(), b.plan(), b.units(), nowNoted - age));
+                    long age = one.origin().age(b.at(), nowMs, nowSteadySeconds);
+                    if (age <= MAX_AGE_MS) {
+                        balances.add(new Balance(b.customer(), b.plan(), b.units(), now - age));
                     }
                 }
             }
             return balances;
         }
 
-        /** The files, each with its begin. */
+        /** Returns the files with their creation times. */
         Map<Path, Long> files() {
             Map<Path, Long> files = new LinkedHashMap<>();
             for (int i = 0; i < paths.size(); i++) {
@@ -215,80 +228,84 @@
             return files;
         }
 
-        /** What cannot be closed must not keep what was taken over from being told. */
+        /** Ignores failures, so that use which was taken over is still returned. */
         @Override
         public void close() {
-            for (FileChannel each : held) {
+            for (FileChannel channel : held) {
                 try {
-                    each.close();
+                    channel.close();
                 } catch (IOException e) {
-                    // The kernel lets go of it with the process at the latest.
+                    // The kernel releases the lock when the process ends.
                 }
             }
         }
     }
 
-    private Found find() throws IOException {
-        Found found = new Found();
+    private AbandonedRecords findAbandoned() throws IOException {
+        AbandonedRecords abandoned = new AbandonedRecords();
         try {
             List<Path> all = disk.list(folder);
-            leftAlone.retainAll(all);
-            for (Path each : all) {
-                if (each.toString().endsWith(SUFFIX) && !each.equals(file) && !leftOver.containsKey(each)) {
-                    look(each, found);
+            ignored.retainAll(all);
+            for (Path path : all) {
+                if (path.toString().endsWith(SUFFIX) && !path.equals(file) && !undeleted.containsKey(path)) {
+                    inspect(path, abandoned);
                 }
             }
-            return found;
+            return abandoned;
         } catch (IOException | RuntimeException e) {
-            found.close();
+            abandoned.close();
             throw e;
         }
     }
 
     /**
-     * Takes over what processes have left that have ended, as the old one does in a hand-over, and stores what could not
+     * Takes over records of processes that have ended, such as the old one after a hand-over, and stores what could not
      * be stored before; to be called each second.
+     *
+     * @return use taken over that was not reported to the counter
      */
     List<Balance> adopt(long nowMs) {
         if (closed) {
             return List.of();
         }
-        fault = null;
+        failure = null;
         List<Balance> untold = List.of();
         try {
             disk.makeFolder(folder);
-            deleteLeftOver();
+            deleteUndeleted();
             untold = takeOver(nowMs);
         } catch (IOException | RuntimeException e) {
-            fault = e;
+            failure = e;
         }
         book.catchUp(nowMs);
-        tellTrouble();
+        reportHealth();
         return untold;
     }
 
-    /** Times are noted by a clock that begins with the wall's and is not set with it: use that is not told ages by it. */
+    /**
+     * Converts to a clock that starts at wall time and is then monotonic, so that the age of use ignores clock steps.
+     */
     @Override
     public long time(long wall) {
-        return startMs + (nanos.getAsLong() - startNanos) / NANOS_A_MS;
+        return startMs + (nanos.getAsLong() - startNanos) / NANOS_PER_MS;
     }
 
-    private int steady() {
-        return (int) (nanos.getAsLong() / NANOS_A_SECOND);
+    private int steadySeconds() {
+        return (int) (nanos.getAsLong() / NANOS_PER_SECOND);
     }
 
     private List<Balance> takeOver(long nowMs) throws IOException {
-        try (Found found = find()) {
-            if (found.contents.isEmpty()) {
+        try (AbandonedRecords abandoned = findAbandoned()) {
+            if (abandoned.contents.isEmpty()) {
                 return List.of();
             }
-            List<Balance> untold = found.balances(nowMs, steady(), time(nowMs));
-            if (!book.absorb(found.begins(), untold, nowMs)) {
+            List<Balance> untold = abandoned.balances(nowMs, steadySeconds(), time(nowMs));
+            if (!book.absorb(abandoned.creationTimes(), untold, nowMs)) {
                 return List.of();
             }
-            // Only now that they are named in a record that is whole: a kill before this leaves both.
-            leftOver.putAll(found.files());
-            deleteLeftOver();
+            // Deletes files only now that a complete record names them as absorbed; a kill before this leaves both.
+            undeleted.putAll(abandoned.files());
+            deleteUndeleted();
             if (!untold.isEmpty()) {
                 log.accept("untold use of " + untold.size() + " customers taken over from before this start");
             }
@@ -296,169 +313,171 @@
         }
     }
 
-    /** Each is named in the present record, and in those that follow it, for as long as it is there. */
-    private void deleteLeftOver() {
-        Iterator<Path> paths = leftOver.keySet().iterator();
+    /** Retries deletions; every undeleted file stays named as absorbed in the present record and its successors. */
+    private void deleteUndeleted() {
+        Iterator<Path> paths = undeleted.keySet().iterator();
         while (paths.hasNext()) {
             try {
                 disk.delete(paths.next());
                 paths.remove();
             } catch (IOException | RuntimeException e) {
-                fault = e;
+                failure = e;
             }
         }
     }
 
-    private void tellTrouble() {
-        Trouble now = book.isBehind() ? Trouble.NOT_KEPT : fault != null ? Trouble.OTHERS_NOT_TAKEN_OVER : Trouble.NONE;
-        if (now == Trouble.NONE && said != Trouble.NONE) {
-            said = now;
+    private void reportHealth() {
+        Health now =
+                book.isBehind() ? Health.NOT_KEPT : failure != null ? Health.OTHERS_NOT_TAKEN_OVER : Health.HEALTHY;
+        if (now == Health.HEALTHY && reportedHealth != Health.HEALTHY) {
+            reportedHealth = now;
             log.accept("the state folder " + folder + " can be used again: use is kept over a hard kill");
-        } else if (now.compareTo(said) > 0) {
-            said = now;
+        } else if (now.compareTo(reportedHealth) > 0) {
+            reportedHealth = now;
             log.accept(
-                    now == Trouble.NOT_KEPT
+                    now == Health.NOT_KEPT
                             ? "use is not kept over a hard kill: the state folder " + folder + " cannot be used: "
-                                    + fault
-                            : "the state folder " + folder + " cannot be looked through: " + fault);
+                                    + failure
+                            : "the state folder " + folder + " cannot be looked through: " + failure);
         }
     }
 
     private static List<Entry> entries(List<Long> absorbed, long nowMs, List<Entry> open) {
         List<Entry> all = new ArrayList<>();
-        absorbed.forEach(begin -> all.add(new Entry(Kind.ABSORBED, 0, begin, 0, nowMs)));
+        absorbed.forEach(created -> all.add(new Entry(Kind.ABSORBED, 0, created, 0, nowMs)));
         all.addAll(open);
         return all;
     }
 
-    private void look(Path each, Found found) throws IOException {
-        FileChannel opened = disk.open(each, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        boolean mine = false;
+    private void inspect(Path path, AbandonedRecords abandoned) throws IOException {
+        FileChannel opened = disk.open(path, StandardOpenOption.READ, StandardOpenOption.WRITE);
+        boolean accepted = false;
         try {
-            if (opened.size() > SIZE) {
-                leaveAlone(each, " is larger than a record of use");
+            if (opened.size() > FILE_SIZE) {
+                ignore(path, " is larger than a record of use");
                 return;
             }
             FileLock lock = lock(opened);
             Contents contents = UseRecord.read(disk.read(opened));
             if (contents.origin() == null) {
                 if (lock != null) {
-                    log.accept(each + " is no record of use of this version, or its head is torn: set aside");
-                    aside(each);
+                    log.accept(path + " is no record of use of this version, or its head is torn: set aside");
+                    quarantine(path);
                 }
                 return;
             }
-            found.absorbed.addAll(contents.absorbed());
+            abandoned.absorbed.addAll(contents.absorbed());
             if (lock == null) {
                 return;
             }
             if (!contents.origin().node().equals(node)
                     || !contents.origin().pool().equals(pool)) {
                 if (!contents.origin().node().equals(node)) {
-                    leaveAlone(each, " is node " + contents.origin().node() + "'s record, this is " + node);
+                    ignore(path, " is node " + contents.origin().node() + "'s record, this is " + node);
                 }
                 return;
             }
             if (contents.damaged()) {
-                log.accept(each + " is damaged before its end: nothing of it is counted, set aside");
-                aside(each);
+                log.accept(path + " is damaged before its end: nothing of it is counted, set aside");
+                quarantine(path);
                 return;
             }
-            found.contents.add(contents);
-            found.paths.add(each);
-            found.held.add(opened);
-            mine = true;
+            abandoned.contents.add(contents);
+            abandoned.paths.add(path);
+            abandoned.held.add(opened);
+            accepted = true;
         } finally {
-            if (!mine) {
+            if (!accepted) {
                 opened.close();
             }
         }
     }
 
-    private void leaveAlone(Path each, String why) {
-        if (leftAlone.add(each)) {
-            log.accept(each + why + ": left alone");
+    private void ignore(Path path, String why) {
+        if (ignored.add(path)) {
+            log.accept(path + why + ": left alone");
         }
     }
 
-    private static FileLock lock(FileChannel of) throws IOException {
+    private static FileLock lock(FileChannel channel) throws IOException {
         try {
-            return of.tryLock();
+            return channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Another pool or store of this very process has it.
+            // Another pool or store of this process holds the lock.
             return null;
         }
     }
 
-    private void aside(Path each) throws IOException {
-        disk.move(each, each.resolveSibling(each.getFileName() + ".bad"));
+    private void quarantine(Path path) throws IOException {
+        disk.move(path, path.resolveSibling(path.getFileName() + ".bad"));
     }
 
-    /** Begins a file with its first entries and gives it its name when these are whole. */
-    private void create(long begin, List<Entry> first) throws IOException {
-        byte[] image = new byte[SIZE];
+    /** Writes a new file with its first entries, and renames it to its final name once they are complete. */
+    private void create(long newCreatedMs, List<Entry> first) throws IOException {
+        byte[] image = new byte[FILE_SIZE];
         RecordBuffer to = RecordBuffer.of(image);
-        UseRecord.header(to, new Origin(node, pool, begin, steady()));
-        for (int place = 0; place < first.size(); place++) {
-            UseRecord.entry(to, place, first.get(place));
+        UseRecord.header(to, new Origin(node, pool, newCreatedMs, steadySeconds()));
+        for (int index = 0; index < first.size(); index++) {
+            UseRecord.entry(to, index, first.get(index));
         }
-        // One draft at most, also where none can be deleted.
-        Path draft = path(startMs, ".draft"), whole = path(begin, SUFFIX);
-        FileChannel made = disk.open(
+        // A fixed name, so that there is one draft at most even if none can be deleted.
+        Path draft = recordPath(startMs, ".draft");
+        Path target = recordPath(newCreatedMs, SUFFIX);
+        FileChannel created = disk.open(
                 draft,
                 StandardOpenOption.CREATE,
                 StandardOpenOption.TRUNCATE_EXISTING,
                 StandardOpenOption.READ,
                 StandardOpenOption.WRITE);
         try {
-            if (lock(made) == null) {
-                throw new IOException(draft + " is held by another");
+            if (lock(created) == null) {
+                throw new IOException(draft + " is locked by another process");
             }
-            // Written to its end, not only sized: a full disk is to fail here and not at some entry.
-            disk.write(made, image, 0);
-            disk.move(draft, whole);
+            // Writes the whole size, so that a full disk fails here and not at a later entry.
+            disk.write(created, image, 0);
+            disk.move(draft, target);
         } catch (IOException | RuntimeException e) {
-            discard(made, draft);
-            // A rename that failed may have been done all the same: nobody may take it for an ended process's.
-            leftOver.put(whole, begin);
-            deleteLeftOver();
+            discard(created, draft);
+            // A rename that failed may have been done: the file must not be mistaken for one of an ended process.
+            undeleted.put(target, newCreatedMs);
+            deleteUndeleted();
             throw e;
         }
-        file = whole;
-        channel = made;
-        begun = begin;
+        file = target;
+        channel = created;
+        createdMs = newCreatedMs;
     }
 
-    private Path path(long begin, String suffix) {
-        return folder.resolve((pool.isEmpty() ? "pool" : pool) + "-" + begin + "-"
+    private Path recordPath(long created, String suffix) {
+        return folder.resolve((pool.isEmpty() ? "pool" : pool) + "-" + created + "-"
                 + ProcessHandle.current().pid() + suffix);
     }
 
-    private void discard(FileChannel made, Path draft) {
+    private void discard(FileChannel created, Path draft) {
         try {
-            made.close();
+            created.close();
             disk.delete(draft);
         } catch (IOException | RuntimeException e) {
-            // It is written over by the next try.
+            // The next attempt overwrites it.
         }
     }
 
-    /** Where the module's use is written down. */
+    /** Returns the book in which the module's use is stored. */
     UseBook book() {
         return book;
     }
 
     @Override
-    public boolean write(int place, Entry entry) {
+    public boolean write(int index, Entry entry) {
         if (closed) {
             return false;
         }
         try {
-            disk.write(channel, UseRecord.entry(place, entry), UseRecord.offset(place));
+            disk.write(channel, UseRecord.entry(index, entry), UseRecord.offset(index));
             return true;
         } catch (IOException | RuntimeException e) {
-            fault = e;
-            said = Trouble.NOT_KEPT;
+            failure = e;
+            reportedHealth = Health.NOT_KEPT;
             log.accept("use is not kept over a hard kill: " + file + " cannot be written: " + e);
             return false;
         }
@@ -471,24 +490,24 @@
         }
         Path old = file;
         FileChannel before = channel;
-        long oldBegun = begun;
-        lastBegin = Math.max(lastBegin + 1, nowMs);
-        List<Long> begins = new ArrayList<>(absorbed);
-        begins.addAll(leftOver.values());
+        long oldCreatedMs = createdMs;
+        lastCreatedMs = Math.max(lastCreatedMs + 1, nowMs);
+        List<Long> creationTimes = new ArrayList<>(absorbed);
+        creationTimes.addAll(undeleted.values());
         if (old != null) {
-            begins.add(oldBegun);
+            creationTimes.add(oldCreatedMs);
         }
-        List<Entry> first = entries(begins, nowMs, open);
+        List<Entry> first = entries(creationTimes, nowMs, open);
         try {
-            create(lastBegin, first);
+            create(lastCreatedMs, first);
         } catch (IOException | RuntimeException e) {
-            fault = e;
+            failure = e;
             return UseBook.NOT_STORED;
         }
         if (old != null) {
-            leftOver.put(old, oldBegun);
-            deleteLeftOver();
-            letGo(before);
+            undeleted.put(old, oldCreatedMs);
+            deleteUndeleted();
+            close(before);
         }
         return first.size();
     }
@@ -498,20 +517,20 @@
         log.accept(text);
     }
 
-    private void letGo(FileChannel of) {
+    private void close(FileChannel old) {
         try {
-            of.close();
+            old.close();
         } catch (IOException e) {
             log.accept("a record of use cannot be closed: " + e);
         }
     }
 
-    /** Lets go of the file; who starts next takes it over. */
+    /** Releases the file, which the next process takes over. */
     @Override
     public void close() {
         closed = true;
         if (channel != null) {
-            letGo(channel);
+            close(channel);
         }
     }
 }
