--- a/src/main/java/rushpin/node/WarmUp.java
+++ b/src/main/java/rushpin/node/WarmUp.java
@@ -53,28 +53,34 @@
 import rushpin.net.ErrorLog;
 
 /**
- * What a node does before it serves: a second node of the same settings, with a module of its own, answers made-up
- * requests over sockets that are files of this process, so that the JVM compiles what every request passes before
- * the first client waits for it. On a part of a core that takes seconds, in which a node that serves already is
- * late by half a second, takes its own lateness for its servers', and turns most of its clients away, who come
- * again at once. No peer hears of it.
+ * Warms the JVM up before a node serves. A second node of the same settings, with its own decision module, answers
+ * synthetic requests over Unix domain sockets of this process, so that the code of the request path is compiled before
+ * the first client waits for it. No other process takes part.
  *
- * <p>It covers each start: the first one, a planned restart, one after a crash. It could hurt where the other nodes
- * can't bear the load for its span, so it is bounded in time, and where it can't be held the node serves without.
+ * <p>With less than a CPU core, compilation takes seconds. A node that serves meanwhile answers up to half a second
+ * late, attributes its own delay to its servers and refuses most of its clients, which retry at once.
+ *
+ * <p>It runs at every start, including restarts after a crash. During that time the other nodes carry the load, so it
+ * is bounded in time; where it cannot run, the node serves without.
  */
 public final class WarmUp implements AutoCloseable {
-    private static final int SERVERS = 8, CLIENTS = 10, CUSTOMERS = 499;
+    private static final int SERVER_COUNT = 8;
+    private static final int CLIENT_CONNECTIONS = 10;
+    private static final int CUSTOMER_COUNT = 499;
     /**
-     * The descriptors of the second node: 16 of clients and as many to app servers, whose other ends this process holds too. With all that the
-     * process may have a slow machine's rehearsal met its limit.
+     * Sockets of the second node: 16 of clients and as many to app servers, whose other ends this process holds too.
+     * When it could use all sockets of the process, the warm-up reached the descriptor limit on a slow machine.
      */
-    private static final int DESCRIPTORS = 64;
-    /** One answer in so many is a refusal unseen, or an error: further attempts are rehearsed too. */
-    private static final int REFUSED = 17, FAILED = 41;
-    /** A first digit that is cut off again, so that leading zeros stand there. */
-    private static final long FIRST_CUSTOMER = 1L << 60;
-    /** The module's controllers come once a second: a fast machine waits for them. */
-    private static final long INTERVALS = TimeUnit.MILLISECONDS.toNanos(1_300);
+    private static final int MAX_SOCKETS = 64;
+    /** One answer in this many is a refusal that proves the request never ran, so that retries are warmed up too. */
+    private static final int REFUSE_EVERY = 17;
+    /** One answer in this many is a server error. */
+    private static final int FAIL_EVERY = 41;
+
+    /** Added to customer numbers; its hexadecimal digit is cut off again, which keeps leading zeros. */
+    private static final long CUSTOMER_BASE = 1L << 60;
+    /** Minimum duration, because the module's controllers run once a second. */
+    private static final long MIN_DURATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_300);
 
     private static final byte[] BODY = "x".repeat(300).getBytes(StandardCharsets.US_ASCII);
 
@@ -82,57 +88,63 @@
     private final EventLoop loop = group.next();
     private final CompletableFuture<Void> done = new CompletableFuture<>();
     private final List<Path> files = new ArrayList<>();
-    private final long begun = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     private final Config config;
     private final int requests;
     private final Path folder;
-    private int sent, answered, served, taken;
+    private int sent;
+    private int answered;
+    private int served;
+    /** Attempts that the fake app servers received. */
+    private int attempts;
 
     private WarmUp(Config config, int requests, Path parent) throws IOException {
         this.config = config;
         this.requests = requests;
-        // A name by chance would cost the start a search for the system's source of it.
+        // A random name would make the start wait for a secure random source.
         folder = Files.createDirectory(
                 parent.resolve("rehearsal-" + ProcessHandle.current().pid()));
     }
 
     /**
-     * Holds one of so many requests, shorter if it takes longer than {@code span} milliseconds; returns how many
-     * were served.
+     * Runs a warm-up of the given number of requests, or until the timeout; returns how many were served.
+     *
+     * @param timeoutMs milliseconds
+     * @param parent the folder in which the sockets are created and removed again
      */
-    public static int run(Config config, int requests, long span, Path parent) {
+    public static int run(Config config, int requests, long timeoutMs, Path parent) {
         try (WarmUp warmUp = new WarmUp(config, requests, parent)) {
-            return rehearsal.play(span);
+            return warmUp.run(timeoutMs);
         } catch (Exception e) {
             ErrorLog.report("no rehearsal", e);
             return 0;
         }
     }
 
-    private SocketAddress file(String name) {
+    private SocketAddress socketAddress(String name) {
         files.add(folder.resolve(name));
         return UnixDomainSocketAddress.of(folder.resolve(name));
     }
 
     /**
-     * Where such sockets are refused that is known at once: a second node that is made in vain took a quarter of a
-     * second on a part of a core, at each start, of all nodes at the same time.
+     * Fails early where Unix domain sockets are not available: building a second node in vain took 250 ms on part of a
+     * CPU core, at each start and on all nodes at the same time.
      */
-    private void tryOut() throws IOException {
-        SocketAddress address = file("try");
+    private void checkUnixSockets() throws IOException {
+        SocketAddress address = socketAddress("try");
         try (ServerSocketChannel listening =
                 ServerSocketChannel.open(StandardProtocolFamily.UNIX).bind(address)) {
             SocketChannel.open(address).close();
         }
     }
 
-    private int play(long span) throws Exception {
-        tryOut();
+    private int run(long timeoutMs) throws Exception {
+        checkUnixSockets();
         List<Member> members = new ArrayList<>();
-        for (int i = 0; i < SERVERS; i++) {
-            SocketAddress address = file("s" + i);
+        for (int i = 0; i < SERVER_COUNT; i++) {
+            SocketAddress address = socketAddress("s" + i);
             Transport.listening(loop, address)
-                    .childHandler(handlers(() -> new ChannelHandler[] {new HttpServerCodec(), new StandIn()}))
+                    .childHandler(handlers(() -> new ChannelHandler[] {new HttpServerCodec(), new FakePeer()}))
                     .bind(address)
                     .sync();
             long started = i > 0 ? 0 : new Clock().now();
@@ -148,44 +160,44 @@
                     address));
         }
         SocketAddress peer = members.get(0).address();
-        Config mine = new Config(
+        Config nodeConfig = new Config(
                 "rehearsal",
-                file("n"),
+                socketAddress("n"),
                 peer,
                 config.counter() == null ? null : peer,
                 config.seed(),
-                Math.min(DESCRIPTORS, config.sockets()),
+                Math.min(MAX_SOCKETS, config.sockets()),
                 config.memory(),
                 new ServerListUpdate(1, true, members),
                 config.connectTimeout(),
                 config.keepAlive(),
                 config.names(),
-                unceiled(config.settings()));
-        try (EdgeNode node = new EdgeNode(mine)) {
+                withoutCeilings(config.settings()));
+        try (EdgeNode node = new EdgeNode(nodeConfig)) {
             node.start();
-            for (int i = 0; i < CLIENTS; i++) {
+            for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
                 AnswerDecoder decoder = new AnswerDecoder();
                 Transport.connecting(loop, node.address())
-                        .handler(handlers(() -> new ChannelHandler[] {decoder, new Client()}))
+                        .handler(handlers(() -> new ChannelHandler[] {decoder, new FakeClient()}))
                         .connect(node.address())
-                        .addListener(made -> {
-                            if (!made.isSuccess()) {
-                                done.completeExceptionally(made.cause());
+                        .addListener(connected -> {
+                            if (!connected.isSuccess()) {
+                                done.completeExceptionally(connected.cause());
                             }
                         });
             }
             try {
-                done.get(span, TimeUnit.MILLISECONDS);
+                done.get(timeoutMs, TimeUnit.MILLISECONDS);
             } catch (TimeoutException e) {
-                // So much of it must do.
+                // The warm-up ends incomplete.
             }
         }
         return loop.submit(() -> served).get();
     }
 
-    /** A ceiling starts with nothing and would turn away all that is asked at once. */
-    private static Settings unceiled(Settings of) {
-        List<Plan> plans = of.plans().stream()
+    /** Removes ceilings, which start empty and would refuse all requests. */
+    private static Settings withoutCeilings(Settings settings) {
+        List<Plan> plans = settings.plans().stream()
                 .map(plan -> new Plan(
                         plan.rate(),
                         plan.burst(),
@@ -198,28 +210,28 @@
                         0))
                 .toList();
         return new Settings(
-                of.me(),
-                of.siblings(),
-                of.zone(),
-                of.tick(),
-                of.sizesAreWeights(),
-                of.reports(),
-                of.classes(),
+                settings.me(),
+                settings.siblings(),
+                settings.zone(),
+                settings.tick(),
+                settings.sizesAreWeights(),
+                settings.reports(),
+                settings.classes(),
                 plans,
-                of.limits(),
-                of.counter(),
-                of.rules());
+                settings.limits(),
+                settings.counter(),
+                settings.rules());
     }
 
-    private interface Handlers {
+    private interface HandlerFactory {
         ChannelHandler[] make();
     }
 
-    private static ChannelInitializer<Channel> handlers(Handlers of) {
+    private static ChannelInitializer<Channel> handlers(HandlerFactory factory) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(of.make());
+                channel.pipeline().addLast(factory.make());
             }
         };
     }
@@ -233,14 +245,14 @@
         Files.delete(folder);
     }
 
-    /** An app server, the counter and discovery in one. */
-    private final class StandIn extends SimpleChannelInboundHandler<HttpObject> {
+    /** A fake app server, counter and discovery in one. */
+    private final class FakePeer extends SimpleChannelInboundHandler<HttpObject> {
         private HttpRequest head;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (part instanceof HttpRequest begun) {
-                head = begun;
+            if (part instanceof HttpRequest request) {
+                head = request;
             }
             if (part instanceof LastHttpContent) {
                 if (head.uri().startsWith("/catalog")) {
@@ -251,12 +263,12 @@
                 } else if (head.uri().startsWith("/tally")) {
                     answer(context, HttpResponseStatus.OK, new byte[] {'1'});
                 } else {
-                    taken++;
+                    attempts++;
                     answer(
                             context,
-                            taken % REFUSED == 0
+                            attempts % REFUSE_EVERY == 0
                                     ? HttpResponseStatus.SERVICE_UNAVAILABLE
-                                    : taken % FAILED == 0
+                                    : attempts % FAIL_EVERY == 0
                                             ? HttpResponseStatus.INTERNAL_SERVER_ERROR
                                             : HttpResponseStatus.OK,
                             BODY);
@@ -264,7 +276,7 @@
             }
         }
 
-        /** The node goes first, with connections open: their ends are no news. */
+        /** Ignores connection errors: the node closes first, with connections open. */
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
@@ -281,47 +293,48 @@
         }
     }
 
-    /** Asks again as soon as it is answered. */
-    private final class Client extends AnswerHandler {
-        Client() {
+    /** A fake client that sends its next request as soon as it is answered. */
+    private final class FakeClient extends AnswerHandler {
+        FakeClient() {
             super(ServerPool.MOST_BODY);
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            ask(context.channel());
+            send(context.channel());
         }
 
-        private void ask(Channel channel) {
-            int n = sent++;
-            RequestClass spec = config.settings()
+        private void send(Channel channel) {
+            int number = sent++;
+            RequestClass requestClass = config.settings()
                     .classes()
-                    .get(n % config.settings().classes().size());
-            boolean safe = spec.repeat() == Repeat.SAFE;
+                    .get(number % config.settings().classes().size());
+            boolean safe = requestClass.repeat() == Repeat.SAFE;
             StringBuilder text = new StringBuilder(safe ? "GET" : "POST")
                     .append(" /api?slot=")
-                    .append(n)
+                    .append(number)
                     .append(" HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: r")
-                    .append(n)
+                    .append(number)
                     .append("\r\nX-Qos: ")
                     .append(config.names()
                             .classes()
-                            .get(n % config.names().classes().size()))
+                            .get(number % config.names().classes().size()))
                     .append("\r\nX-Plan: ")
                     .append(config.names()
                             .plans()
-                            .get(n / 2 % config.names().plans().size()))
+                            .get(number / 2 % config.names().plans().size()))
                     .append("\r\nCookie: customer=")
                     .append("0"
-                            + Long.toHexString(FIRST_CUSTOMER + n % CUSTOMERS).substring(1))
+                            + Long.toHexString(CUSTOMER_BASE + number % CUSTOMER_COUNT)
+                                    .substring(1))
                     .append("\r\nX-Expires-In-Ms: ")
-                    .append(spec.deadline() / 1_000_000)
+                    .append(requestClass.deadline() / 1_000_000)
                     .append("\r\nX-Quota: units=1,spread=")
                     .append(config.settings().siblings())
                     .append(",first=0\r\n");
             if (!safe) {
                 text.append("Idempotency-Key: k")
-                        .append(n)
+                        .append(number)
                         .append("\r\nContent-Length: ")
                         .append(BODY.length)
                         .append("\r\n");
@@ -339,7 +352,7 @@
         @Override
         protected void answered(HttpResponse answer, ByteBuf body) {
             served += answer.status().equals(HttpResponseStatus.OK) ? 1 : 0;
-            if (++answered >= requests && System.nanoTime() - begun > INTERVALS) {
+            if (++answered >= requests && System.nanoTime() - startNanos > MIN_DURATION_NANOS) {
                 done.complete(null);
             }
         }
@@ -347,7 +360,7 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             if (!done.isDone()) {
-                ask(context.channel());
+                send(context.channel());
             }
         }
 
--- a/src/test/java/rushpin/budget/ConnectionBudgetTest.java
+++ b/src/test/java/rushpin/budget/ConnectionBudgetTest.java
@@ -13,119 +13,129 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Connections within a number, and turns among tenants. */
+/** The maximum of connections, the limits of tenants, and the order in which they are served. */
 class ConnectionBudgetTest {
-    /** A flood waits in its own line, behind its own part; who asks for a little is served at once. */
+    /** A flood by one tenant waits in its own queue, within its limit; another tenant is served at once. */
     @Test
-    void aFloodFillsNoOtherTenantsLine() {
-        ConnectionBudget<String> ration = new ConnectionBudget<>();
-        ration.set(6, Map.of("quiet", 2, "loud", 4));
-        List<String> begun = new ArrayList<>();
+    void aFloodDoesNotFillAnotherTenantsQueue() {
+        ConnectionBudget<String> budget = new ConnectionBudget<>();
+        budget.set(6, Map.of("quiet", 2, "loud", 4));
+        List<String> started = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            ration.enqueue("loud", "loud");
-            ration.serve((what, tenant) -> ration.takeConnection() && begun.add(what));
+            budget.enqueue("loud", "loud");
+            budget.serve((waiter, tenant) -> budget.takeConnection() && started.add(waiter));
         }
-        assertEquals(List.of("loud", "loud", "loud", "loud"), begun);
-        assertEquals(4 * ConnectionBudget.MAX_WAITING_PER_CONNECTION, ration.waiting());
-        assertTrue(ration.enqueue("quiet", "quiet"));
-        ration.serve((what, tenant) -> ration.takeConnection() && begun.add(what));
-        assertEquals("quiet", begun.get(4));
-        assertEquals(new ConnectionBudget.Use(4 + 4 * ConnectionBudget.MAX_WAITING_PER_CONNECTION + 1, 4), ration.uses().get("loud"));
+        assertEquals(List.of("loud", "loud", "loud", "loud"), started);
+        assertEquals(4 * ConnectionBudget.MAX_WAITING_PER_CONNECTION, budget.waiting());
+        assertTrue(budget.enqueue("quiet", "quiet"));
+        budget.serve((waiter, tenant) -> budget.takeConnection() && started.add(waiter));
+        assertEquals("quiet", started.get(4));
+        assertEquals(
+                new ConnectionBudget.Use(4 + 4 * ConnectionBudget.MAX_WAITING_PER_CONNECTION + 1, 4),
+                budget.uses().get("loud"));
     }
 
-    /** Before anything is known of parts, and with nothing to open, what is wanted is told all the same. */
+    /** Demand is reported before limits are set and while no connection is allowed. */
     @Test
-    void whatCanNotBeHadIsTold() {
-        ConnectionBudget<String> ration = new ConnectionBudget<>();
-        assertFalse(ration.enqueue("quiet", "x"));
-        assertEquals(Map.of("quiet", new ConnectionBudget.Use(1, 0)), ration.uses());
-        assertEquals(Map.of(), ration.uses());
+    void demandIsReportedWithoutAnyConnections() {
+        ConnectionBudget<String> budget = new ConnectionBudget<>();
+        assertFalse(budget.enqueue("quiet", "x"));
+        assertEquals(Map.of("quiet", new ConnectionBudget.Use(1, 0)), budget.uses());
+        assertEquals(Map.of(), budget.uses());
     }
 
-    /** Whatever comes in whatever order: never over the number, no tenant over its part, each that waits begins or leaves once. */
+    /**
+     * Random operations: never more connections than the maximum, no tenant over its limit, and each waiting request
+     * starts or leaves exactly once.
+     */
     @Test
-    void neverOver() {
+    void limitsHoldForRandomOperations() {
         for (long seed = 0; seed < 300; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            ConnectionBudget<Integer> ration = new ConnectionBudget<>();
-            Map<String, Integer> parts = new TreeMap<>(), carried = new TreeMap<>();
-            Deque<String> carries = new ArrayDeque<>();
+            ConnectionBudget<Integer> budget = new ConnectionBudget<>();
+            Map<String, Integer> limits = new TreeMap<>();
+            Map<String, Integer> inUseByTenant = new TreeMap<>();
+            Deque<String> inUse = new ArrayDeque<>();
             List<Integer> waiting = new ArrayList<>();
-            Map<Integer, String> of = new TreeMap<>();
-            int open = 0, leaving = 0, idle = 0, next = 0, most = 0;
-            String at = "seed " + seed;
+            Map<Integer, String> tenantOf = new TreeMap<>();
+            int open = 0;
+            int closing = 0;
+            int idle = 0;
+            int next = 0;
+            int maxConnections = 0;
+            String context = "seed " + seed;
             for (int step = 0; step < 400; step++) {
                 switch (random.nextInt(6)) {
                     case 0 -> {
-                        most = random.nextInt(8);
-                        parts.clear();
-                        parts.put("a", random.nextInt(5));
-                        parts.put("b", random.nextInt(5));
-                        ration.set(most, parts);
-                        while (ration.mustShrink() && idle > 0) {
+                        maxConnections = random.nextInt(8);
+                        limits.clear();
+                        limits.put("a", random.nextInt(5));
+                        limits.put("b", random.nextInt(5));
+                        budget.set(maxConnections, limits);
+                        while (budget.mustShrink() && idle > 0) {
                             idle--;
-                            leaving++;
-                            ration.startClosing();
+                            closing++;
+                            budget.startClosing();
                         }
                     }
                     case 1, 2 -> {
                         String tenant = "abc".substring(random.nextInt(3)).substring(0, 1);
-                        if (ration.enqueue(tenant, next)) {
+                        if (budget.enqueue(tenant, next)) {
                             waiting.add(next);
-                            of.put(next, tenant);
+                            tenantOf.put(next, tenant);
                         }
                         next++;
                     }
                     case 3 -> {
-                        if (!carries.isEmpty()) {
-                            String tenant = carries.poll();
-                            carried.merge(tenant, -1, Integer::sum);
-                            ration.release(tenant);
-                            if (ration.mustShrink()) {
-                                leaving++;
-                                ration.startClosing();
+                        if (!inUse.isEmpty()) {
+                            String tenant = inUse.poll();
+                            inUseByTenant.merge(tenant, -1, Integer::sum);
+                            budget.release(tenant);
+                            if (budget.mustShrink()) {
+                                closing++;
+                                budget.startClosing();
                             } else {
                                 idle++;
                             }
                         }
                     }
                     case 4 -> {
-                        if (leaving > 0) {
-                            leaving--;
+                        if (closing > 0) {
+                            closing--;
                             open--;
-                            ration.removeConnection(true);
+                            budget.removeConnection(true);
                         }
                     }
                     default -> {
                         if (!waiting.isEmpty()) {
                             Integer one = waiting.remove(random.nextInt(waiting.size()));
-                            ration.cancel(one);
+                            budget.cancel(one);
                         }
                     }
                 }
-                int[] now = {open, idle};
-                ration.serve((what, tenant) -> {
-                    boolean may = now[1] > 0;
-                    if (may) {
-                        now[1]--;
+                int[] openAndIdle = {open, idle};
+                budget.serve((waiter, tenant) -> {
+                    boolean allowed = openAndIdle[1] > 0;
+                    if (allowed) {
+                        openAndIdle[1]--;
                     } else {
-                        may = ration.takeConnection();
-                        now[0] += may ? 1 : 0;
+                        allowed = budget.takeConnection();
+                        openAndIdle[0] += allowed ? 1 : 0;
                     }
-                    if (may) {
-                        assertTrue(waiting.remove(what), at);
-                        carries.add(tenant);
-                        int has = carried.merge(tenant, 1, Integer::sum);
-                        assertTrue(!parts.containsKey(tenant) || has <= parts.getOrDefault(tenant, 0), at);
+                    if (allowed) {
+                        assertTrue(waiting.remove(waiter), context);
+                        inUse.add(tenant);
+                        int count = inUseByTenant.merge(tenant, 1, Integer::sum);
+                        assertTrue(!limits.containsKey(tenant) || count <= limits.getOrDefault(tenant, 0), context);
                     }
-                    return may;
+                    return allowed;
                 });
-                assertTrue(now[0] <= Math.max(most, open), at);
-                open = now[0];
-                idle = now[1];
-                assertEquals(open, ration.open(), at);
-                assertEquals(waiting.size(), ration.waiting(), at);
-                assertEquals(open, leaving + idle + carries.size(), at);
+                assertTrue(openAndIdle[0] <= Math.max(maxConnections, open), context);
+                open = openAndIdle[0];
+                idle = openAndIdle[1];
+                assertEquals(open, budget.open(), context);
+                assertEquals(waiting.size(), budget.waiting(), context);
+                assertEquals(open, closing + idle + inUse.size(), context);
             }
         }
     }
--- a/src/test/java/rushpin/budget/LenderPropertiesTest.java
+++ b/src/test/java/rushpin/budget/LenderPropertiesTest.java
@@ -12,27 +12,28 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Shares and their lender with messages that take their time, as between threads. */
+/** Shares and their lender with delayed messages, as between threads. */
 class LenderPropertiesTest {
-    /** A pool's share and the two lines of messages between it and the lender. */
+    /** A pool's share and the two message queues between it and the lender. */
     private static final class Borrower {
         final String name;
-        final ArrayDeque<Runnable> toLender = new ArrayDeque<>(), toShare = new ArrayDeque<>();
+        final ArrayDeque<Runnable> toLender = new ArrayDeque<>();
+        final ArrayDeque<Runnable> toShare = new ArrayDeque<>();
         final Share share;
         long guaranteed;
 
         Borrower(String name, Lender lender, long guaranteed) {
             this.name = name;
             this.guaranteed = guaranteed;
-            share = new Share(guaranteed, new Share.OperatorState() {
+            share = new Share(guaranteed, new Share.Port() {
                 @Override
-                public void ask(long units) {
-                    toLender.add(() -> lender.ask(name, units));
+                public void request(long units) {
+                    toLender.add(() -> lender.request(name, units));
                 }
 
                 @Override
-                public void back(long units) {
-                    toLender.add(() -> lender.back(name, units));
+                public void giveBack(long units) {
+                    toLender.add(() -> lender.giveBack(name, units));
                 }
             });
             reserve(lender, guaranteed);
@@ -40,22 +41,22 @@
 
         void reserve(Lender lender, long units) {
             guaranteed = units;
-            toShare.add(() -> share.guarantee(units));
+            toShare.add(() -> share.setGuarantee(units));
             lender.reserve(name, units, new Lender.Port() {
                 @Override
-                public void hand(long handed) {
-                    toShare.add(() -> share.handed(handed));
+                public void grant(long granted) {
+                    toShare.add(() -> share.granted(granted));
                 }
 
                 @Override
                 public void recall(long wanted) {
-                    toShare.add(() -> share.recalled(wanted));
+                    toShare.add(() -> share.recall(wanted));
                 }
             });
         }
 
-        void deliver(ArrayDeque<Runnable> line) {
-            Runnable next = line.poll();
+        void deliver(ArrayDeque<Runnable> messages) {
+            Runnable next = messages.poll();
             if (next != null) {
                 next.run();
             }
@@ -66,18 +67,18 @@
         boolean more = true;
         while (more) {
             more = false;
-            for (Borrower one : all) {
-                while (!one.toLender.isEmpty() || !one.toShare.isEmpty()) {
+            for (Borrower borrower : all) {
+                while (!borrower.toLender.isEmpty() || !borrower.toShare.isEmpty()) {
                     more = true;
-                    one.deliver(one.toLender);
-                    one.deliver(one.toShare);
+                    borrower.deliver(borrower.toLender);
+                    borrower.deliver(borrower.toShare);
                 }
             }
         }
     }
 
     @Property
-    void useNeverExceedsTheTotalAndAGuaranteeIsAlwaysServed(
+    void useNeverExceedsTheTotalAndGuaranteesAreAlwaysServed(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 5) int pools,
             @ForAll @IntRange(min = 0, max = 40) int rest) {
@@ -94,68 +95,71 @@
         }
         deliverAll(all);
         for (int step = 0; step < 400; step++) {
-            Borrower one = all.get(random.nextInt(pools));
+            Borrower borrower = all.get(random.nextInt(pools));
             switch (random.nextInt(6)) {
                 case 0, 1 -> {
                     long units = random.nextLong(1, 4);
-                    boolean due = one.share.used() + units <= one.guaranteed;
-                    boolean got = one.share.take(units);
-                    assertTrue(got || !due, "seed " + seed + ": a guaranteed unit was not served at step " + step);
+                    boolean guaranteedUnit = borrower.share.used() + units <= borrower.guaranteed;
+                    boolean acquired = borrower.share.tryAcquire(units);
+                    assertTrue(
+                            acquired || !guaranteedUnit,
+                            "seed " + seed + ": a guaranteed unit was not served at step " + step);
                 }
                 case 2 -> {
-                    if (one.share.used() > 0) {
-                        one.share.give(random.nextLong(1, one.share.used() + 1));
+                    if (borrower.share.used() > 0) {
+                        borrower.share.release(random.nextLong(1, borrower.share.used() + 1));
                     }
                 }
-                case 3 -> one.deliver(one.toLender);
-                case 4 -> one.deliver(one.toShare);
-                default -> one.share.sweep();
+                case 3 -> borrower.deliver(borrower.toLender);
+                case 4 -> borrower.deliver(borrower.toShare);
+                default -> borrower.share.returnSpare();
             }
             long used = all.stream().mapToLong(each -> each.share.used()).sum();
             assertTrue(used <= total, "seed " + seed + ": " + used + " of " + total + " in use at step " + step);
-            assertTrue(lender.handedOut() <= total, "seed " + seed + ": handed out " + lender.handedOut());
+            assertTrue(lender.granted() <= total, "seed " + seed + ": granted " + lender.granted());
         }
-        // When all is given back and swept, one pool alone can have the whole rest.
-        all.forEach(each -> each.share.give(each.share.used()));
+        // After everything is released and given back, one pool alone can borrow the whole rest.
+        all.forEach(each -> each.share.release(each.share.used()));
         for (int i = 0; i < 50; i++) {
             deliverAll(all);
-            all.forEach(each -> each.share.sweep());
+            all.forEach(each -> each.share.returnSpare());
         }
         Borrower first = all.get(0);
-        long most = first.guaranteed + rest;
-        for (int i = 0; i < 200 && first.share.used() < most; i++) {
-            first.share.take(1);
+        long max = first.guaranteed + rest;
+        for (int i = 0; i < 200 && first.share.used() < max; i++) {
+            first.share.tryAcquire(1);
             deliverAll(all);
         }
         assertTrue(
                 first.share.used() >= first.guaranteed + rest / 2,
-                "seed " + seed + ": only " + first.share.used() + " of " + most
-                        + " came to the one pool that wants some");
+                "seed " + seed + ": only " + first.share.used() + " of " + max
+                        + " units were granted to the only pool that requests some");
     }
 
     @Test
-    void lentUnitsComeBackToWhoHasFewer() {
+    void lentUnitsAreRecalledForAPoolWithASmallerLoan() {
         Lender lender = new Lender(20);
-        Borrower rich = new Borrower("rich", lender, 5), poor = new Borrower("poor", lender, 5);
-        List<Borrower> all = List.of(rich, poor);
+        Borrower borrowing = new Borrower("borrowing", lender, 5);
+        Borrower requesting = new Borrower("requesting", lender, 5);
+        List<Borrower> all = List.of(borrowing, requesting);
         deliverAll(all);
         for (int i = 0; i < 40; i++) {
-            rich.share.take(1);
+            borrowing.share.tryAcquire(1);
             deliverAll(all);
         }
-        assertEquals(15, rich.share.used(), "its own and the whole rest");
+        assertEquals(15, borrowing.share.used(), "its guarantee and the whole rest");
         for (int i = 0; i < 5; i++) {
-            assertTrue(poor.share.take(1), "the guarantee was never lent");
+            assertTrue(requesting.share.tryAcquire(1), "the guarantee was never lent");
         }
         deliverAll(all);
-        boolean beyond = poor.share.take(1);
+        boolean beyond = requesting.share.tryAcquire(1);
         deliverAll(all);
         assertEquals(false, beyond);
-        assertTrue(rich.share.owed() > 0, "a part of the loan is called back");
-        rich.share.give(6);
+        assertTrue(borrowing.share.owed() > 0, "a part of the loan is recalled");
+        borrowing.share.release(6);
         deliverAll(all);
-        assertTrue(poor.share.take(1), "and goes to who wants it");
-        assertEquals(9, rich.share.used());
+        assertTrue(requesting.share.tryAcquire(1), "recalled units are lent to the requesting pool");
+        assertEquals(9, borrowing.share.used());
     }
 
     @Test
@@ -164,46 +168,46 @@
         Borrower old = new Borrower("old", lender, 2);
         deliverAll(List.of(old));
         for (int i = 0; i < 20; i++) {
-            old.share.take(1);
+            old.share.tryAcquire(1);
             deliverAll(List.of(old));
         }
         assertEquals(10, old.share.used());
-        Borrower fresh = new Borrower("fresh", lender, 6);
-        List<Borrower> all = List.of(old, fresh);
+        Borrower added = new Borrower("added", lender, 6);
+        List<Borrower> all = List.of(old, added);
         deliverAll(all);
-        assertEquals(0, fresh.share.held());
-        old.share.give(3);
+        assertEquals(0, added.share.held());
+        old.share.release(3);
         deliverAll(all);
-        assertEquals(3, fresh.share.held());
-        old.share.give(5);
+        assertEquals(3, added.share.held());
+        old.share.release(5);
         deliverAll(all);
-        assertEquals(6, fresh.share.held());
-        lender.leave("fresh");
+        assertEquals(6, added.share.held());
+        lender.remove("added");
         for (int i = 0; i < 20; i++) {
-            old.share.take(1);
+            old.share.tryAcquire(1);
             deliverAll(List.of(old));
         }
-        assertEquals(10, old.share.used(), "what a pool had that has ended can be lent again");
+        assertEquals(10, old.share.used(), "units of a removed pool can be lent again");
     }
 
     @Test
-    void aSmallerTotalIsReachedAsUnitsComeBack() {
+    void aReducedTotalIsReachedAsUnitsAreGivenBack() {
         Lender lender = new Lender(10);
-        Borrower one = new Borrower("one", lender, 2);
-        List<Borrower> all = List.of(one);
+        Borrower borrower = new Borrower("one", lender, 2);
+        List<Borrower> all = List.of(borrower);
         deliverAll(all);
         for (int i = 0; i < 20; i++) {
-            one.share.take(1);
+            borrower.share.tryAcquire(1);
             deliverAll(all);
         }
         lender.resize(4);
         deliverAll(all);
-        one.share.give(10);
+        borrower.share.release(10);
         deliverAll(all);
         for (int i = 0; i < 20; i++) {
-            one.share.take(1);
+            borrower.share.tryAcquire(1);
             deliverAll(all);
         }
-        assertEquals(4, one.share.used());
+        assertEquals(4, borrower.share.used());
     }
 }
--- a/src/test/java/rushpin/lifecycle/LifecycleTest.java
+++ b/src/test/java/rushpin/lifecycle/LifecycleTest.java
@@ -12,170 +12,171 @@
 import org.junit.jupiter.api.Test;
 import rushpin.lifecycle.Lifecycle.State;
 
-/** A process from its start to its end, in simulated time. */
+/** The life of a process from start to end, in simulated time. */
 class LifecycleTest {
     private static final Lifecycle.Bounds BOUNDS = new Lifecycle.Bounds(600, 60_000);
 
-    /** A process whose connections end as they please. */
-    private static final class Process implements Lifecycle.Port {
-        final List<String> did = new ArrayList<>();
-        final List<Long> wakes = new ArrayList<>();
+    /** A process with connections that the test opens and closes. */
+    private static final class FakeProcess implements Lifecycle.Port {
+        final List<String> actions = new ArrayList<>();
+        final List<Long> wakeUps = new ArrayList<>();
         final Lifecycle lifecycle;
         long now = 1_000;
         int open;
-        /** Connections that nobody has accepted yet. */
-        int waiting;
+        /** Connections in the backlog, not accepted yet. */
+        int backlog;
 
-        Process(boolean shared) {
+        FakeProcess(boolean shared) {
             lifecycle = new Lifecycle(BOUNDS, shared, this, now);
         }
 
         @Override
         public void closeAfterAnswers() {
-            did.add("close after answers");
+            actions.add("close after answers");
         }
 
         @Override
         public void stopAccepting(boolean idleToo) {
-            did.add(idleToo ? "stop" : "stop accepting");
-            open += waiting;
-            waiting = 0;
+            actions.add(idleToo ? "stop" : "stop accepting");
+            open += backlog;
+            backlog = 0;
         }
 
         @Override
-        public void wake(long span) {
-            wakes.add(now + span);
+        public void wakeAfter(long delay) {
+            wakeUps.add(now + delay);
         }
 
         @Override
-        public void end(int cut) {
-            did.add("end " + cut);
+        public void stopped(int cutConnections) {
+            actions.add("end " + cutConnections);
         }
 
-        void pass(long until) {
-            while (wakes.stream().anyMatch(at -> at <= until)) {
-                long next = wakes.stream().min(Long::compare).orElseThrow();
-                wakes.remove(next);
+        void advanceTo(long until) {
+            while (wakeUps.stream().anyMatch(at -> at <= until)) {
+                long next = wakeUps.stream().min(Long::compare).orElseThrow();
+                wakeUps.remove(next);
                 now = Math.max(now, next);
-                lifecycle.time(now, open);
+                lifecycle.onTimer(now, open);
             }
             now = until;
         }
 
-        void ended() {
+        void closeConnection() {
             open--;
-            lifecycle.connections(now, open);
+            lifecycle.onConnections(now, open);
         }
     }
 
     @Test
-    void aDrainGoesOnAcceptingForItsGraceAndEndsWithTheLastConnection() {
-        Process p = new Process(false);
-        p.lifecycle.rehearses(p.now);
-        assertFalse(p.lifecycle.isReady());
-        p.lifecycle.serves(p.now);
-        assertTrue(p.lifecycle.isReady());
-        p.open = 2;
-        p.lifecycle.terminate(p.now, p.open);
-        assertEquals(State.DRAINING, p.lifecycle.state());
-        assertFalse(p.lifecycle.isReady());
-        p.ended();
-        p.pass(1_599);
-        assertEquals(List.of("close after answers"), p.did);
-        p.pass(1_600);
-        assertEquals(List.of("close after answers", "stop"), p.did);
-        p.ended();
-        assertEquals("end 0", p.did.get(2));
-        assertEquals(State.STOPPED, p.lifecycle.state());
+    void aDrainAcceptsForItsGracePeriodAndEndsWithTheLastConnection() {
+        FakeProcess process = new FakeProcess(false);
+        process.lifecycle.warmingUp(process.now);
+        assertFalse(process.lifecycle.isReady());
+        process.lifecycle.serving(process.now);
+        assertTrue(process.lifecycle.isReady());
+        process.open = 2;
+        process.lifecycle.terminate(process.now, process.open);
+        assertEquals(State.DRAINING, process.lifecycle.state());
+        assertFalse(process.lifecycle.isReady());
+        process.closeConnection();
+        process.advanceTo(1_599);
+        assertEquals(List.of("close after answers"), process.actions);
+        process.advanceTo(1_600);
+        assertEquals(List.of("close after answers", "stop"), process.actions);
+        process.closeConnection();
+        assertEquals("end 0", process.actions.get(2));
+        assertEquals(State.STOPPED, process.lifecycle.state());
     }
 
-    /** Counted before it was taken, its request would end with the process. */
+    /** If the count were read before the backlog was accepted, the process would end with that connection's request. */
     @Test
-    void whatIsTakenWithTheLastLookIsWaitedFor() {
-        Process p = new Process(false);
-        p.lifecycle.serves(p.now);
-        p.waiting = 1;
-        p.lifecycle.terminate(p.now, p.open);
-        p.pass(2_000);
-        assertEquals(List.of("close after answers", "stop"), p.did);
-        p.ended();
-        assertEquals("end 0", p.did.get(2));
+    void connectionsAcceptedFromTheBacklogAreWaitedFor() {
+        FakeProcess process = new FakeProcess(false);
+        process.lifecycle.serving(process.now);
+        process.backlog = 1;
+        process.lifecycle.terminate(process.now, process.open);
+        process.advanceTo(2_000);
+        assertEquals(List.of("close after answers", "stop"), process.actions);
+        process.closeConnection();
+        assertEquals("end 0", process.actions.get(2));
     }
 
     @Test
-    void whoHandsOverStopsAcceptingAtOnce() {
-        Process p = new Process(true);
-        p.lifecycle.serves(p.now);
-        p.open = 1;
-        p.lifecycle.terminate(p.now, p.open);
-        assertEquals(State.HANDING_OVER, p.lifecycle.state());
-        assertEquals(List.of("close after answers", "stop accepting"), p.did);
-        p.pass(1_600);
-        assertEquals("stop", p.did.get(2), "idle connections are closed after the grace");
-        p.ended();
-        assertEquals("end 0", p.did.get(3));
+    void aHandOverStopsAcceptingAtOnce() {
+        FakeProcess process = new FakeProcess(true);
+        process.lifecycle.serving(process.now);
+        process.open = 1;
+        process.lifecycle.terminate(process.now, process.open);
+        assertEquals(State.HANDING_OVER, process.lifecycle.state());
+        assertEquals(List.of("close after answers", "stop accepting"), process.actions);
+        process.advanceTo(1_600);
+        assertEquals("stop", process.actions.get(2), "idle connections are closed after the grace");
+        process.closeConnection();
+        assertEquals("end 0", process.actions.get(3));
     }
 
     @Test
-    void theWordToEndBeforeItServesEndsItAtOnce() {
-        for (boolean rehearsing : new boolean[] {false, true}) {
-            Process p = new Process(false);
-            if (rehearsing) {
-                p.lifecycle.rehearses(p.now);
+    void terminationBeforeServingEndsTheProcessAtOnce() {
+        for (boolean warmingUp : new boolean[] {false, true}) {
+            FakeProcess process = new FakeProcess(false);
+            if (warmingUp) {
+                process.lifecycle.warmingUp(process.now);
             }
-            p.lifecycle.terminate(p.now, 0);
-            assertEquals(List.of("end 0"), p.did);
-            p.lifecycle.serves(p.now);
-            assertEquals(State.STOPPED, p.lifecycle.state(), "what has ended does not serve");
+            process.lifecycle.terminate(process.now, 0);
+            assertEquals(List.of("end 0"), process.actions);
+            process.lifecycle.serving(process.now);
+            assertEquals(State.STOPPED, process.lifecycle.state(), "a stopped process does not serve");
         }
     }
 
     @Test
-    void aDrainThatHangsIsCut() {
-        Process p = new Process(false);
-        p.lifecycle.serves(p.now);
-        p.open = 3;
-        p.lifecycle.terminate(p.now, p.open);
-        p.pass(60_999);
-        assertEquals(State.DRAINING, p.lifecycle.state());
-        p.pass(61_000);
-        assertEquals("end 3", p.did.get(2));
+    void aDrainIsCutAtItsMaximum() {
+        FakeProcess process = new FakeProcess(false);
+        process.lifecycle.serving(process.now);
+        process.open = 3;
+        process.lifecycle.terminate(process.now, process.open);
+        process.advanceTo(60_999);
+        assertEquals(State.DRAINING, process.lifecycle.state());
+        process.advanceTo(61_000);
+        assertEquals("end 3", process.actions.get(2));
     }
 
     @Property
-    void itEndsOnceAndInTimeWhateverComesInWhateverOrder(@ForAll long seed, @ForAll boolean shared) {
+    void itEndsOnceAndInTimeForRandomEvents(@ForAll long seed, @ForAll boolean shared) {
         SplittableRandom random = new SplittableRandom(seed);
-        Process p = new Process(shared);
-        long told = 0;
-        State last = p.lifecycle.state();
+        FakeProcess process = new FakeProcess(shared);
+        long terminatedAt = 0;
+        State last = process.lifecycle.state();
         for (int step = 0; step < 60; step++) {
             switch (random.nextInt(6)) {
-                case 0 -> p.lifecycle.rehearses(p.now);
-                case 1 -> p.lifecycle.serves(p.now);
+                case 0 -> process.lifecycle.warmingUp(process.now);
+                case 1 -> process.lifecycle.serving(process.now);
                 case 2 -> {
-                    if (p.lifecycle.isReady()) {
-                        p.open++;
+                    if (process.lifecycle.isReady()) {
+                        process.open++;
                     }
                 }
                 case 3 -> {
-                    if (p.open > 0) {
-                        p.ended();
+                    if (process.open > 0) {
+                        process.closeConnection();
                     }
                 }
-                case 4 -> p.pass(p.now + random.nextLong(2_000));
+                case 4 -> process.advanceTo(process.now + random.nextLong(2_000));
                 default -> {
-                    told = told == 0 ? p.now : told;
-                    p.lifecycle.terminate(p.now, p.open);
+                    terminatedAt = terminatedAt == 0 ? process.now : terminatedAt;
+                    process.lifecycle.terminate(process.now, process.open);
                 }
             }
-            assertTrue(p.lifecycle.state().compareTo(last) >= 0, "seed " + seed + ": back from " + last);
-            last = p.lifecycle.state();
+            assertTrue(process.lifecycle.state().compareTo(last) >= 0, "seed " + seed + ": back from " + last);
+            last = process.lifecycle.state();
         }
-        if (told > 0) {
-            p.pass(Math.max(p.now, told + BOUNDS.drain()));
-            assertEquals(State.STOPPED, p.lifecycle.state(), "seed " + seed);
+        if (terminatedAt > 0) {
+            process.advanceTo(Math.max(process.now, terminatedAt + BOUNDS.maxDrain()));
+            assertEquals(State.STOPPED, process.lifecycle.state(), "seed " + seed);
         }
-        long ends = p.did.stream().filter(what -> what.startsWith("end")).count();
-        assertEquals(told > 0 ? 1 : 0, ends, "seed " + seed + ": " + p.did);
+        long ends =
+                process.actions.stream().filter(what -> what.startsWith("end")).count();
+        assertEquals(terminatedAt > 0 ? 1 : 0, ends, "seed " + seed + ": " + process.actions);
     }
 }
--- a/src/test/java/rushpin/node/BesideTest.java
+++ b/src/test/java/rushpin/node/BesideTest.java
@@ -16,29 +16,29 @@
 import rushpin.config.Config;
 import rushpin.config.OperatorFile;
 
-/** Two nodes at one address, each with a queue of its own: what waits there when its node goes is not lost. */
+/** Nodes that share an address have a backlog each: connections in the backlog of a node that drains are not lost. */
 class ProcessRegistryTest extends Stage {
     @Test
-    void whatWaitsInTheQueueIsTakenBeforeTheSocketGoes() throws Exception {
+    void connectionsInTheBacklogAreAcceptedBeforeTheSocketCloses() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
         EdgeNode node = new EdgeNode(
                 config, OperatorFile.parse(Daemon.operator("listener = \"reuseport\"\n"), Path.of("."), config));
         toClose.add(node);
         node.start();
-        InetSocketAddress at = (InetSocketAddress) node.address();
-        // The loop does nothing until all of them wait, and the word to go is the first thing that it hears then.
-        CountDownLatch waiting = new CountDownLatch(1);
+        InetSocketAddress address = (InetSocketAddress) node.address();
+        // Blocks the loop until all clients wait in the backlog; the drain is the first task that runs then.
+        CountDownLatch connected = new CountDownLatch(1);
         node.loop().execute(() -> {
             try {
-                waiting.await(60, TimeUnit.SECONDS);
+                connected.await(60, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            Socket client = new Socket(at.getAddress(), at.getPort());
+            Socket client = new Socket(address.getAddress(), address.getPort());
             client.setSoTimeout(60_000);
             toClose.add(client);
             Map<String, String> headers = headers("t-" + i, "order", "20000");
@@ -46,10 +46,10 @@
             clients.add(client);
         }
         CompletableFuture<Integer> drained = node.drain();
-        waiting.countDown();
+        connected.countDown();
         for (Socket client : clients) {
             Peer.Message answer = Peer.read(client);
-            assertNotNull(answer, "reset with the socket that it waited at");
+            assertNotNull(answer, "the connection was reset with the listening socket");
             assertEquals("close", answer.headers().get("connection"));
         }
         assertEquals(0, drained.get(60, TimeUnit.SECONDS));
--- a/src/test/java/rushpin/node/ClockTest.java
+++ b/src/test/java/rushpin/node/ClockTest.java
@@ -12,31 +12,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rushpin.config.Config;
 
-/** The machine's clock is set while a node runs. */
+/** The wall clock is set while a node runs. */
 class ClockTest extends Stage {
     private static final long HOUR_MS = 3_600_000;
-    private final AtomicLong set = new AtomicLong();
-    private final Clock clock = new Clock(() -> System.currentTimeMillis() + set.get());
+    private final AtomicLong clockStepMs = new AtomicLong();
+    private final Clock clock = new Clock(() -> System.currentTimeMillis() + clockStepMs.get());
 
     @Test
-    void timeGoesOnAndTheJumpIsKnown() {
+    void timeIsMonotonicAndTheJumpIsReported() {
         assertEquals(0, clock.ahead());
         long before = clock.now();
-        set.set(HOUR_MS);
+        clockStepMs.set(HOUR_MS);
         long passed = clock.now() - before;
         assertTrue(passed >= 0 && passed < TimeUnit.MINUTES.toNanos(30), "now does not jump: " + passed);
         assertEquals(HOUR_MS, clock.ahead() / 1e6, 10_000);
-        set.set(-HOUR_MS);
+        clockStepMs.set(-HOUR_MS);
         assertEquals(-HOUR_MS, clock.ahead() / 1e6, 10_000);
-        set.set(50);
-        assertEquals(0, clock.ahead(), "less than that is how coarse the wall's clock is");
+        clockStepMs.set(50);
+        assertEquals(0, clock.ahead(), "smaller differences are the wall clock's granularity");
     }
 
-    /** A process that stands still between its two readings would take that for a clock that was set. */
+    /** Without repeated readings, a stall between reading the two clocks would look like a clock that was set. */
     @ParameterizedTest
     @ValueSource(longs = {1_000, 10_000, HOUR_MS})
-    void aStallWhileTheClocksAreReadIsNoJump(long stallMs) {
-        AtomicLong real = new AtomicLong(HOUR_MS), stall = new AtomicLong();
+    void aStallBetweenTheTwoReadingsIsNoJump(long stallMs) {
+        AtomicLong real = new AtomicLong(HOUR_MS);
+        AtomicLong stall = new AtomicLong();
         Clock stalled = new Clock(
                 () -> {
                     long read = real.get();
@@ -50,31 +51,32 @@
         assertEquals(HOUR_MS + stallMs, stalled.wallMs());
     }
 
-    /** What is in flight neither expires nor lives on; a server that starts after the jump has its share in time. */
+    /** A request in flight across the jump is answered, and so are requests sent after it. */
     @ParameterizedTest
     @ValueSource(longs = {HOUR_MS, -HOUR_MS})
-    void aNodeServesOverAJump(long jump) throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>();
+    void aNodeServesAcrossAJump(long jump) throws Exception {
+        CompletableFuture<Void> release = new CompletableFuture<>();
         Peer server = peer(m -> {
             if (m.headers().get("x-trace-id").equals("held")) {
-                go.join();
+                release.join();
             }
             m.answer(Peer.ok("", "x"));
         });
         EdgeNode node = new EdgeNode(Config.parse(config(member("s-0", server.address(), "Ready", 0))), null, clock);
         toClose.add(node);
         node.start();
-        Socket held = client(node), other = client(node);
+        Socket held = client(node);
+        Socket other = client(node);
         order(held, "held");
         server.next();
-        set.set(jump);
+        clockStepMs.set(jump);
         for (int i = 0; i < 20; i++) {
             assertEquals("200", ask(other, "t-" + i));
         }
-        // The look at the clock comes once a second.
+        // The wall clock is read once a second.
         TimeUnit.MILLISECONDS.sleep(1_200);
         assertEquals("200", ask(other, "after"));
-        go.complete(null);
+        release.complete(null);
         assertEquals("200", status(Peer.read(held)));
     }
 }
--- a/src/test/java/rushpin/node/ConsoleTest.java
+++ b/src/test/java/rushpin/node/ConsoleTest.java
@@ -22,7 +22,7 @@
 import rushpin.config.Config;
 import rushpin.config.OperatorFile;
 
-/** Operators' calls over a real socket, to a node with scripted app servers. */
+/** Console calls over a real socket to a node with scripted app servers. */
 class ConsoleTest extends Stage {
     @TempDir
     Path folder;
@@ -31,20 +31,20 @@
     private Console console;
 
     private void serve(String config) throws Exception {
-        OperatorState desk = OperatorState.in(folder);
-        console = new Console(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), desk, () -> node);
+        OperatorState state = OperatorState.in(folder);
+        console = new Console(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), state, () -> node);
         toClose.add(console);
-        assertTrue(call("READY").startsWith("error"), "nothing serves yet");
+        assertTrue(call("READY").startsWith("error"), "no node serves yet");
         assertTrue(call("DISABLE s-0").startsWith("error"));
-        EdgeNode made = new EdgeNode(Config.parse(config), null, desk);
-        toClose.add(made);
-        made.start();
-        node = made;
+        EdgeNode started = new EdgeNode(Config.parse(config), null, state);
+        toClose.add(started);
+        started.start();
+        node = started;
     }
 
-    private Socket dial() throws IOException {
-        InetSocketAddress at = (InetSocketAddress) console.address();
-        Socket socket = new Socket(at.getAddress(), at.getPort());
+    private Socket connect() throws IOException {
+        InetSocketAddress address = (InetSocketAddress) console.address();
+        Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(60_000);
         toClose.add(socket);
         return socket;
@@ -54,7 +54,7 @@
         return call(((InetSocketAddress) console.address()).getPort(), line);
     }
 
-    /** Waits for a figure: the pool's own are written a few times a second. */
+    /** Waits for a metric; a pool updates its own a few times a second. */
     private void await(String line) throws IOException, InterruptedException {
         String last = "";
         for (int i = 0; i < 600; i++) {
@@ -64,12 +64,13 @@
             }
             Thread.sleep(50);
         }
-        throw new AssertionError("never " + line + ", but " + last);
+        throw new AssertionError("expected " + line + " but got " + last);
     }
 
     @Test
-    void whoIsTakenOutGetsNothingUntilItIsPutBack() throws Exception {
-        AtomicInteger first = new AtomicInteger(), second = new AtomicInteger();
+    void aDisabledServerGetsNoRequestsUntilItIsEnabled() throws Exception {
+        AtomicInteger first = new AtomicInteger();
+        AtomicInteger second = new AtomicInteger();
         Peer a = peer(m -> {
             first.incrementAndGet();
             m.answer(Peer.ok("", "a"));
@@ -80,10 +81,10 @@
         });
         serve(config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0)));
         assertEquals("done\n", call("READY"));
-        assertTrue(call("DISABLE s-9").startsWith("error"), "an id never listed is owed a no");
+        assertTrue(call("DISABLE s-9").startsWith("error"), "an ID that was never listed is an error");
         assertTrue(call("ENABLE s-9").startsWith("error"));
         assertEquals("done\n", call("DISABLE s-0"));
-        assertEquals("done\n", call("DISABLE s-0"), "calls out may be repeated");
+        assertEquals("done\n", call("DISABLE s-0"), "DISABLE may be repeated");
         await("node.pool_size:2|g");
         await("node.pool_ejected:1|g");
         int before = first.get();
@@ -91,21 +92,20 @@
         for (int i = 0; i < 40; i++) {
             assertEquals("200", ask(client, "out-" + i));
         }
-        assertEquals(before, first.get(), "nothing new goes to a server that is out");
-        assertEquals("done\n", call("ENABLE s-0"), "one call back ends the ban");
+        assertEquals(before, first.get(), "no new request goes to a disabled server");
+        assertEquals("done\n", call("ENABLE s-0"), "one ENABLE revokes every DISABLE");
         await("node.pool_ejected:0|g");
-        // Which of two idle servers an answer comes from sooner is learnt, so this may take long where one machine runs
-        // much.
+        // The node prefers the server it has found faster, so this may take long on a busy machine.
         long end = System.nanoTime() + 30_000_000_000L;
         for (int i = 0; first.get() == before; i++) {
             assertTrue(
-                    System.nanoTime() < end, "a server that is back must be used again, not so in " + i + " requests");
+                    System.nanoTime() < end, "an enabled server must be used again, but was not in " + i + " requests");
             assertEquals("200", ask(client, "back-" + i));
         }
     }
 
     @Test
-    void figuresCountWhatClientsAndServersSaw() throws Exception {
+    void metricsCountWhatClientsAndServersSaw() throws Exception {
         AtomicInteger tries = new AtomicInteger();
         Peer server = peer(m -> {
             tries.incrementAndGet();
@@ -116,7 +116,9 @@
         });
         serve(config(member("s-0", server.address(), "Ready", 0)));
         Socket client = client(node);
-        int served = 0, refused = 0, failed = 0;
+        int served = 0;
+        int refused = 0;
+        int failed = 0;
         for (int i = 0; i < 30; i++) {
             switch (ask(client, (i % 5 == 4 ? "bad-" : "good-") + i)) {
                 case "200" -> served++;
@@ -134,11 +136,11 @@
     }
 
     @Test
-    void whatIsOpenIsActive() throws Exception {
-        CountDownLatch may = new CountDownLatch(1);
+    void openRequestsAreActive() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
         Peer server = peer(m -> {
             try {
-                may.await(60, TimeUnit.SECONDS);
+                release.await(60, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -148,7 +150,7 @@
         Socket client = client(node);
         order(client, "held");
         await("node.active:1|g");
-        may.countDown();
+        release.countDown();
         assertEquals("200", status(Peer.read(client)));
         await("node.active:0|g");
         order(client, "left");
@@ -156,28 +158,28 @@
         await("node.active:0|g");
     }
 
-    /** Callers that say nothing, half a line, too much, or noise keep nobody else from an answer. */
+    /** Callers that send nothing, half a line, too much or invalid calls do not keep others from an answer. */
     @Test
-    void rudeCallersKeepNobodyOut() throws Exception {
+    void misbehavingCallersDoNotBlockOthers() throws Exception {
         serve(config());
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            silent.add(dial());
+            silent.add(connect());
         }
         silent.get(39).getOutputStream().write("STA".getBytes(StandardCharsets.UTF_8));
         assertTrue(call("STATS").endsWith("end\n"));
-        assertEquals(-1, silent.get(0).getInputStream().read(), "beyond the bound the oldest goes");
+        assertEquals(-1, silent.get(0).getInputStream().read(), "beyond the limit the oldest connection is closed");
         assertTrue(call("x".repeat(5_000)).startsWith("error"));
         assertTrue(call("").startsWith("error"));
         assertTrue(call("DISABLE").startsWith("error"));
         assertTrue(call("DISABLE a b").startsWith("error"));
         assertTrue(call("ready").startsWith("error"));
-        assertEquals(-1, silent.get(39).getInputStream().read(), "half a line is let go in the end");
+        assertEquals(-1, silent.get(39).getInputStream().read(), "a connection with half a line is closed in the end");
     }
 
-    /** With an operator's file, and a pool on a loop of its own: figures stand behind the pool's name. */
+    /** With an operator's file, and a pool on its own loop, metrics have the pool's name as prefix. */
     @Test
-    void poolsOfAnOperatorsFileHearOfItToo() throws Exception {
+    void poolsOfAnOperatorsFileFollowConsoleCalls() throws Exception {
         AtomicInteger first = new AtomicInteger();
         Peer a = peer(m -> {
             first.incrementAndGet();
@@ -186,8 +188,8 @@
         Peer b = peer(m -> m.answer(Peer.ok("", "b")));
         Config config =
                 Config.parse(config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0)));
-        OperatorState desk = OperatorState.in(folder);
-        console = new Console(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), desk, () -> node);
+        OperatorState state = OperatorState.in(folder);
+        console = new Console(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), state, () -> node);
         toClose.add(console);
         node = new EdgeNode(
                 config,
@@ -196,7 +198,7 @@
                                 + "[[route]]\npool = \"a\"\n",
                         Path.of("."),
                         config),
-                desk);
+                state);
         toClose.add(node);
         node.start();
         assertTrue(call("DISABLE s-9").startsWith("error"));
@@ -214,9 +216,9 @@
         await("node.pool_size:2|g");
     }
 
-    /** A file of somebody else's must not put a server back, and a folder that is gone must stop nothing. */
+    /** An invalid file must not enable a server, and a deleted folder must not stop the service. */
     @Test
-    void aSpoiltFolderPutsNobodyBackAndStopsNothing() throws Exception {
+    void anUnusableFolderEnablesNoServerAndStopsNothing() throws Exception {
         AtomicInteger first = new AtomicInteger();
         Peer a = peer(m -> {
             first.incrementAndGet();
@@ -233,19 +235,19 @@
             }
         }
         Files.delete(folder);
-        // Longer than it takes to look there a few times; the module's own time goes on with each of them.
+        // Long enough for the folder to be read a few times.
         Socket client = client(node);
         for (int i = 0; i < 30; i++) {
             assertEquals("200", ask(client, "t-" + i));
             Thread.sleep(40);
         }
-        assertEquals(before, first.get(), "what cannot be read changes nothing");
-        assertTrue(call("DISABLE s-1").startsWith("error"), "it could not be written down");
+        assertEquals(before, first.get(), "a folder that cannot be read changes nothing");
+        assertTrue(call("DISABLE s-1").startsWith("error"), "the change could not be stored");
     }
 
-    /** Two nodes of one folder: what one is told binds the other, and the next that starts. */
+    /** Processes that share a folder: a call to one binds the others, and one that starts later. */
     @Test
-    void whoIsOutIsOutForAllProcessesOfTheNode() throws Exception {
+    void aServerIsDisabledForAllProcessesOfTheNode() throws Exception {
         Peer a = peer(m -> m.answer(Peer.ok("", "a")));
         Peer b = peer(m -> m.answer(Peer.ok("", "b")));
         String config = config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0));
@@ -256,7 +258,7 @@
         serve(config);
         assertEquals("done\n", call("DISABLE s-1"));
         for (int i = 0; !other.counts().lines().contains("pool_ejected:1|g"); i++) {
-            assertTrue(i < 600, "the other process never heard of it");
+            assertTrue(i < 600, "the other process never applied it");
             Thread.sleep(50);
         }
         OperatorState next = OperatorState.in(folder);
@@ -264,12 +266,12 @@
         toClose.add(after);
         after.start();
         for (int i = 0; !next.counts().lines().contains("pool_ejected:1|g"); i++) {
-            assertTrue(i < 600, "a process that starts must know who is out");
+            assertTrue(i < 600, "a process that starts must know the disabled servers");
             Thread.sleep(50);
         }
         assertFalse(call("ENABLE s-1").startsWith("error"));
         for (int i = 0; !other.counts().lines().contains("pool_ejected:0|g"); i++) {
-            assertTrue(i < 600, "the other process never heard of it");
+            assertTrue(i < 600, "the other process never applied it");
             Thread.sleep(50);
         }
     }
--- a/src/test/java/rushpin/node/EdgeNodeTest.java
+++ b/src/test/java/rushpin/node/EdgeNodeTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Timeout;
 import rushpin.config.Config;
 
-/** An edge node between scripted peers on loopback sockets; each test waits for events, never for a time. */
+/** An edge node between scripted peers on loopback sockets; tests wait for events, not for fixed times. */
 @Timeout(120)
 class EdgeNodeTest extends Stage {
     @Test
-    void passesARequestOnAndItsAnswerBackOverOneConnection() throws Exception {
+    void forwardsRequestsAndAnswersOverOneConnection() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("X-Units-Charged: 3\r\n", "done")));
         Socket client = client(node(server));
         for (String id : List.of("t-1", "t-2")) {
@@ -40,14 +40,14 @@
         assertTrue(server.ended.isEmpty(), "the second request must not need a second connection");
     }
 
-    /** A null channel in the connect's listener once failed every first request on a connection. */
+    /** Regression: a null channel in the connect listener failed the first request on every connection. */
     @Test
     void theFirstRequestOnANewConnectionIsServed() throws Exception {
         assertEquals("200", ask(client(node(peer(m -> m.answer(Peer.ok("", "x"))))), "t-1"));
     }
 
     @Test
-    void whatIsNoRequestIsTurnedAwayAtOnce() throws Exception {
+    void invalidRequestsAreRefusedAtOnce() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         EdgeNode node = node(server);
         Map<String, String> bad = new TreeMap<>(Map.of(
@@ -91,24 +91,24 @@
             write(client, one.getKey(), good, "");
             assertEquals(one.getValue(), status(Peer.read(client)), one.getKey());
         }
-        assertTrue(server.seen.isEmpty(), "none of these may reach an app server");
+        assertTrue(server.seen.isEmpty(), "no invalid request may reach an app server");
     }
 
     @Test
-    void aSecondRequestOfAnOpenIdIsTurnedAwayAndTheFirstIsServed() throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(after(go));
+    void aDuplicateOfAnOpenRequestIsRefusedAndTheFirstIsServed() throws Exception {
+        CompletableFuture<Void> release = new CompletableFuture<>();
+        Peer server = peer(after(release));
         EdgeNode node = node(server);
         Socket first = client(node);
         order(first, "t-1");
         server.next();
         assertEquals("409", ask(client(node), "t-1"));
-        go.complete(null);
+        release.complete(null);
         assertEquals("200", status(Peer.read(first)));
     }
 
     @Test
-    void aTurnedAwayAttemptGoesElsewhereUnseen() throws Exception {
+    void aRefusedAttemptIsRetriedElsewhere() throws Exception {
         Peer full = peer(m -> m.answer("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
         Peer gone = peer(m -> {});
         gone.close();
@@ -119,9 +119,9 @@
         }
     }
 
-    /** An unsafe request that may have run is failed, not refused: a refusal invites the client to repeat it. */
+    /** An unsafe request that may have run is failed, not refused, because a refusal invites the client to retry. */
     @Test
-    void anUnsafeRequestIsSentOnceMoreOnlyIfItNeverRan() throws Exception {
+    void anUnsafeRequestThatMayHaveRunIsNotRetried() throws Exception {
         for (String answer : List.of(
                 "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
@@ -138,13 +138,13 @@
             write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
             assertEquals("502", status(Peer.read(client)), answer);
             server.next();
-            assertTrue(server.seen.isEmpty(), "it must have been sent once: " + answer);
+            assertTrue(server.seen.isEmpty(), "the request must have been sent only once: " + answer);
         }
     }
 
-    /** A server that says nothing: the answer comes before the client's time is up, and the attempt ends. */
+    /** If a server does not answer, the client gets an answer before its deadline, and the attempt ends. */
     @Test
-    void silenceIsAnsweredAndItsConnectionClosed() throws Exception {
+    void aSilentServerTimesOutAndItsConnectionIsClosed() throws Exception {
         Peer server = peer(m -> {});
         Socket client = client(node(server));
         write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
@@ -153,9 +153,9 @@
         assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
     }
 
-    /** Silent connections once could take every place for good. */
+    /** Regression: silent connections could occupy all sockets for good. */
     @Test
-    void silentClientsGiveWayToNewOnes() throws Exception {
+    void silentClientsAreClosedForNewOnes() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         EdgeNode node = start(
                 config(member("s-0", server.address(), "Ready", 0)).replace("\"sockets\": 1024", "\"sockets\": 16"));
@@ -166,20 +166,20 @@
     }
 
     @Test
-    void aDrainAnswersWhatWasTakenAndClosesTheRest() throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(after(go));
+    void aDrainAnswersAcceptedRequestsAndClosesConnections() throws Exception {
+        CompletableFuture<Void> release = new CompletableFuture<>();
+        Peer server = peer(after(release));
         EdgeNode node = node(server);
         Socket busy = client(node);
         order(busy, "t-1");
         server.next();
         CompletableFuture<Integer> drained = node.drain();
-        // Connections go on coming for a while after SIGTERM, and what they bring is owed an answer.
+        // New connections arrive for a while after SIGTERM, and their requests must be answered.
         Socket late = client(node);
         order(late, "t-2");
         server.next();
         assertFalse(drained.isDone());
-        go.complete(null);
+        release.complete(null);
         for (Socket client : List.of(busy, late)) {
             Peer.Message answer = Peer.read(client);
             assertEquals("200", status(answer));
@@ -187,7 +187,7 @@
             assertNull(Peer.read(client));
         }
         drained.get(60, TimeUnit.SECONDS);
-        // The kernel lets go of a listening socket only when the selector next runs: until then it may connect.
+        // The kernel closes a listening socket when the selector next runs; until then connects may succeed.
         assertThrows(IOException.class, () -> {
             while (true) {
                 client(node).close();
@@ -196,15 +196,15 @@
     }
 
     @Test
-    void aWatchThatEndsGoesOnAfterItsLastRevision() throws Exception {
+    void aWatchThatEndsIsResumedAfterItsLastRevision() throws Exception {
         Peer moved = peer(m -> m.answer(Peer.ok("", "new")));
         Peer old = peer(m -> m.answer(Peer.ok("", "old")));
         String line = "{\"revision\":8,\"complete\":false,\"members\":["
                 + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000) + "]}\n";
-        CompletableFuture<Void> go = new CompletableFuture<>();
+        CompletableFuture<Void> release = new CompletableFuture<>();
         discovery = peer(m -> {
             if (m.first().contains("after=5")) {
-                go.join();
+                release.join();
                 m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                         + "\r\n" + line + "\r\n0\r\n\r\n");
             }
@@ -213,23 +213,23 @@
         Socket client = client(node);
         order(client, "t-1");
         assertEquals("old", Peer.read(client).body());
-        go.complete(null);
+        release.complete(null);
         Peer.Message watch = discovery.next();
         assertTrue(watch.first().contains("watch=1&after=5"));
         while (watch.first().contains("after=5")) {
-            // One that is slow to answer gets others beside it.
+            // A slow watch is duplicated.
             watch = discovery.next();
         }
         assertTrue(watch.first().contains("watch=1&after=8"));
-        // The server has restarted elsewhere: its connection at the old address goes, the new one is used.
+        // The server restarted at another address: connections to the old one are closed, the new one is used.
         assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
         order(client, "t-2");
         assertEquals("new", Peer.read(client).body());
     }
 
-    /** What the agent holds counts as told from a process's first moment, whatever the saved list says. */
+    /** Drains that discovery knows of bind from the start of a process, whatever the saved list contains. */
     @Test
-    void nothingIsSentByTheSavedListBeforeTheAgentSpoke() throws Exception {
+    void nothingIsSentByTheSavedListBeforeDiscoveryAnswers() throws Exception {
         Peer gone = peer(m -> m.answer(Peer.ok("", "old")));
         Peer there = peer(m -> m.answer(Peer.ok("", "new")));
         String line =
@@ -237,10 +237,10 @@
                         + "," + member("s-1", there.address(), "Ready", 0) + "]}\n";
         boolean timely = false;
         for (int i = 0; !timely; i++) {
-            // The node's patience is 250 ms: a play in which this side took longer tells nothing.
-            CompletableFuture<Void> go = new CompletableFuture<>();
+            // The node waits 250 ms for discovery: a round in which the test took longer is repeated.
+            CompletableFuture<Void> release = new CompletableFuture<>();
             discovery = peer(m -> {
-                go.join();
+                release.join();
                 m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                         + "\r\n" + line + "\r\n");
             });
@@ -249,30 +249,30 @@
             EdgeNode node = node(gone);
             Socket client = client(node);
             order(client, "t-" + i);
-            // Whoever sends at once has done so when a second client has been answered.
+            // A node that did not wait would have sent the request by the time a second client is answered.
             Socket probe = client(node);
             write(probe, "GET /_health", java.util.Map.of("Host", "app.svc"), "");
             boolean waits = status(Peer.read(probe)).equals("503");
-            go.complete(null);
+            release.complete(null);
             timely = waits && System.nanoTime() - began < 200_000_000L;
             String body = Peer.read(client).body();
             if (timely) {
                 assertEquals("new", body);
-                assertTrue(gone.seen.isEmpty(), "sent to a server whose drain the agent held");
+                assertTrue(gone.seen.isEmpty(), "sent to a server that drains according to discovery");
             }
             node.close();
         }
     }
 
-    /** Reached under an old id, a new app server would get work after its own drain was told. */
+    /** If an address kept its old ID, the new app server there would get requests after its own drain. */
     @Test
-    void anAddressBelongsToTheAppServerThatStartedThereLast() throws Exception {
+    void anAddressBelongsToTheServerThatStartedThereLast() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
-        List<CompletableFuture<Void>> go = List.of(new CompletableFuture<>(), new CompletableFuture<>());
+        List<CompletableFuture<Void>> release = List.of(new CompletableFuture<>(), new CompletableFuture<>());
         discovery = peer(m -> {
             StringBuilder head = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (int i = 0; i < 2; i++) {
-                go.get(i).join();
+                release.get(i).join();
                 String line = "{\"revision\":" + (8 + i) + ",\"complete\":false,\"members\":["
                         + member(
                                 "s-1",
@@ -288,32 +288,32 @@
         for (int i = 0; i < 2; i++) {
             assertEquals("200", ask(client(node), "t-" + i));
             server.next();
-            go.get(i).complete(null);
-            assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "its connections are of no more use");
+            release.get(i).complete(null);
+            assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "its connections must be closed");
         }
         Socket client = client(node);
         write(client, "POST /api", headers("t-2", "order", "1500"), "");
         Peer.Message refusal = Peer.read(client);
         assertEquals("429", status(refusal));
         double after = Double.parseDouble(refusal.headers().get("retry-after"));
-        assertTrue(after > 0 && after <= 0.5, "it must say when to come back, no later than a client heeds");
+        assertTrue(after > 0 && after <= 0.5, "Retry-After must be present and short enough for the client to follow");
         assertTrue(server.seen.isEmpty());
     }
 
-    /** The body of an error once was read as a list, because a close does not stop what was read already. */
+    /** Regression: an error's body was read as a server list, because closing does not discard data already read. */
     @Test
-    void anErrorOfDiscoveryIsNoList() throws Exception {
+    void anErrorBodyOfDiscoveryIsNotAServerList() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         String list = "{\"revision\":9,\"complete\":true,\"members\":[]}\n";
         discovery = peer(m -> m.answer("HTTP/1.1 404 No\r\nContent-Length: " + list.length() + "\r\n\r\n" + list));
         EdgeNode node = node(server);
         discovery.next();
-        assertTrue(discovery.next().first().contains("after=5"), "the revision of an error's body was taken");
+        assertTrue(discovery.next().first().contains("after=5"), "the revision in an error's body was applied");
         assertEquals("200", ask(client(node), "t-1"));
     }
 
     @Test
-    void aMalformedConfigurationNamesItsKey() throws Exception {
+    void anInvalidConfigurationNamesItsKey() throws Exception {
         String good = config();
         Map<String, String> broken = new TreeMap<>(Map.of(
                 good.replace("\"listen\"", "\"listenx\""),
@@ -329,10 +329,10 @@
                 "{",
                 "the configuration is not JSON"));
         for (Map.Entry<String, String> one : broken.entrySet()) {
-            String said = assertThrows(Config.Invalid.class, () -> Config.parse(one.getKey()))
+            String message = assertThrows(Config.Invalid.class, () -> Config.parse(one.getKey()))
                     .getMessage();
-            assertTrue(said.startsWith(one.getValue()), said);
-            assertFalse(said.contains("\n"), said);
+            assertTrue(message.startsWith(one.getValue()), message);
+            assertFalse(message.contains("\n"), message);
         }
     }
 }
--- a/src/test/java/rushpin/node/PoolsOnOneLoopTest.java
+++ b/src/test/java/rushpin/node/PoolsOnOneLoopTest.java
@@ -1,6 +1,6 @@
 package rushpin.node;
 
-/** The same with all pools on the listening side's loop, as on one core. */
+/** Runs {@link PoolsTest} with all pools on the front loop, as on a single core. */
 class PoolsOnOneLoopTest extends PoolsTest {
     @Override
     String loop() {
--- a/src/test/java/rushpin/node/PoolsTest.java
+++ b/src/test/java/rushpin/node/PoolsTest.java
@@ -23,19 +23,19 @@
 import rushpin.config.Config;
 import rushpin.config.OperatorFile;
 
-/** Several services in one node, each on an event loop of its own; {@link PoolsOnOneLoopTest} plays all of it on one. */
+/** Several pools in one node, each on its own event loop; {@link PoolsOnOneLoopTest} runs the same on one loop. */
 @Timeout(120)
 class PoolsTest extends Stage {
     @TempDir
     Path folder;
 
-    private final StringBuilder file = new StringBuilder();
+    private final StringBuilder operatorFile = new StringBuilder();
 
     String loop() {
         return "own";
     }
 
-    /** Adds a pool with a discovery that says nothing new, and a route by its host. */
+    /** Adds a pool with a discovery that reports no changes, and a route by its host; returns the discovery. */
     private Peer pool(String name, String keys, Peer... servers) throws Exception {
         String[] members = new String[servers.length];
         for (int i = 0; i < members.length; i++) {
@@ -45,9 +45,10 @@
     }
 
     private Peer poolOf(String name, String keys, String... members) throws Exception {
-        Peer own = peer(m -> m.answer(UNCHANGED));
-        settings(name, own, members);
-        file.append("[[pool]]\nname = \"")
+        Peer ownDiscovery = peer(m -> m.answer(UNCHANGED));
+        settings(name, ownDiscovery, members);
+        operatorFile
+                .append("[[pool]]\nname = \"")
                 .append(name)
                 .append("\"\nsettings = \"")
                 .append(name)
@@ -57,24 +58,26 @@
                 .append(keys)
                 .append('\n');
         route(name, "host = \"" + name + ".example\"");
-        return own;
+        return ownDiscovery;
     }
 
-    private void settings(String name, Peer own, String... members) throws IOException {
-        Files.writeString(folder.resolve(name + ".json"), config(members).replace(discovery.address(), own.address()));
+    private void settings(String name, Peer ownDiscovery, String... members) throws IOException {
+        Files.writeString(
+                folder.resolve(name + ".json"), config(members).replace(discovery.address(), ownDiscovery.address()));
     }
 
     private void route(String pool, String keys) {
-        file.append("[[route]]\npool = \"")
+        operatorFile
+                .append("[[route]]\npool = \"")
                 .append(pool)
                 .append("\"\n")
                 .append(keys)
                 .append("\n\n");
     }
 
-    private EdgeNode startPools() throws Exception {
+    private EdgeNode startNode() throws Exception {
         Config config = Config.parse(config());
-        EdgeNode node = new EdgeNode(config, OperatorFile.parse(file.toString(), folder, config));
+        EdgeNode node = new EdgeNode(config, OperatorFile.parse(operatorFile.toString(), folder, config));
         toClose.add(node);
         node.start();
         return node;
@@ -82,7 +85,7 @@
 
     private void reload(EdgeNode node) throws Exception {
         Config config = Config.parse(config());
-        node.reload(config, OperatorFile.parse(file.toString(), folder, config));
+        node.reload(config, OperatorFile.parse(operatorFile.toString(), folder, config));
     }
 
     private static void order(Socket to, String pool, String id) throws IOException {
@@ -102,8 +105,11 @@
     }
 
     @Test
-    void aRequestGoesByHostPathMethodClassAndHeaderAndAsItCame() throws Exception {
-        Peer a = named("a"), b = named("b"), c = named("c"), d = named("d");
+    void requestsAreRoutedByHostPathMethodClassAndHeaderAndForwardedUnchanged() throws Exception {
+        Peer a = named("a");
+        Peer b = named("b");
+        Peer c = named("c");
+        Peer d = named("d");
         pool("a", "", a);
         pool("b", "", b);
         pool("c", "", c);
@@ -114,7 +120,7 @@
                 "d",
                 "host = \"*.example\"\nprefix = \"/b\"\nmethod = \"GET\"\nclass = \"lookup\"\n[route.headers]\n"
                         + "X-Yard = \"east\"");
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         Socket client = client(node);
         Map<String, String> get = headers("t-1", "lookup", "20000");
         Map<String, String> post = headers("t-2", "order", "20000");
@@ -133,17 +139,18 @@
         write(client, "GET http://A.example/b/c?x", get, "");
         assertEquals("a", Peer.read(client).body());
         Peer.Message sent = a.next();
-        assertEquals("GET /b/c?x HTTP/1.1", sent.first(), "an absolute target goes on as its path");
+        assertEquals("GET /b/c?x HTTP/1.1", sent.first(), "an absolute target is forwarded as its path");
         assertEquals("A.example", sent.headers().get("host"));
     }
 
     @Test
-    void whatHasTwoReadingsReachesNoServer() throws Exception {
-        Peer a = named("a"), b = named("b");
+    void ambiguousTargetsAndHostsReachNoServer() throws Exception {
+        Peer a = named("a");
+        Peer b = named("b");
         pool("a", "", a);
         pool("b", "", b);
         route("b", "host = \"a.example\"\nprefix = \"/b\"");
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         List<String> targets = List.of(
                 "/b/../a",
                 "/a/%2e%2e/b",
@@ -188,15 +195,16 @@
     }
 
     @Test
-    void noRouteAndNoServerAreAnsweredAtOnce() throws Exception {
+    void requestsWithoutARouteOrAServerAreAnsweredAtOnce() throws Exception {
         pool("a", "", named("a"));
         Peer empty = peer(m -> m.answer(watched("{\"revision\":9,\"complete\":true,\"members\":[]}")));
         settings("none", empty);
-        file.append("[[pool]]\nname = \"none\"\nsettings = \"none.json\"\nloop = \"")
+        operatorFile
+                .append("[[pool]]\nname = \"none\"\nsettings = \"none.json\"\nloop = \"")
                 .append(loop())
                 .append("\"\n\n");
         route("none", "host = \"none.example\"");
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         empty.next();
         assertEquals("404", status(ask(node, "nowhere", "t-1")));
         String status = status(ask(node, "none", "t-2"));
@@ -210,29 +218,30 @@
     }
 
     @Test
-    void poolsWithTheSameServerIdsTraceIdsAndCustomersStayApart() throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>();
+    void poolsWithTheSameServerIdsTraceIdsAndCustomersAreIsolated() throws Exception {
+        CompletableFuture<Void> release = new CompletableFuture<>();
         Peer a = peer(m -> {
-            go.join();
+            release.join();
             m.answer(Peer.ok("", "a"));
         });
         pool("a", "", a);
         pool("b", "", peer(m -> {
-            go.join();
+            release.join();
             m.answer(Peer.ok("", "b"));
         }));
-        EdgeNode node = startPools();
-        Socket one = client(node), two = client(node);
-        shared(one, "a", "same");
-        shared(two, "b", "same");
+        EdgeNode node = startNode();
+        Socket one = client(node);
+        Socket two = client(node);
+        orderCounted(one, "a", "same");
+        orderCounted(two, "b", "same");
         a.next();
         Socket again = client(node);
-        shared(again, "a", "same");
-        assertEquals("409", status(Peer.read(again)), "in one pool an open id is one request");
-        go.complete(null);
+        orderCounted(again, "a", "same");
+        assertEquals("409", status(Peer.read(again)), "within a pool an open request ID is unique");
+        release.complete(null);
         assertEquals("a", Peer.read(one).body());
         assertEquals("b", Peer.read(two).body());
-        // One customer, one counter: each pool counts under names of its own.
+        // The customer and the counter are the same: each pool counts under its own names.
         List<String> spaces = new ArrayList<>();
         while (!spaces.containsAll(List.of("a", "b"))) {
             String counted = counter.next().first();
@@ -241,8 +250,8 @@
         }
     }
 
-    /** As a customer who comes through two nodes, so that the counter is called. */
-    private static void shared(Socket to, String pool, String id) throws IOException {
+    /** Sends a request of a customer spread over two nodes, so that the counter is called. */
+    private static void orderCounted(Socket to, String pool, String id) throws IOException {
         Map<String, String> headers = headers(id, "order", "20000");
         headers.put("Host", pool + ".example");
         headers.put("X-Quota", "units=1,spread=2,first=0");
@@ -250,19 +259,19 @@
     }
 
     @Test
-    void aCeilingThatOnePoolHasUsedUpIsWholeInAnother() throws Exception {
+    void aCeilingUsedUpInOnePoolIsUnusedInAnother() throws Exception {
         pool("a", "", named("a"));
         pool("b", "", named("b"));
         for (String name : List.of("a", "b")) {
-            Path at = folder.resolve(name + ".json");
+            Path settingsFile = folder.resolve(name + ".json");
             Files.writeString(
-                    at,
-                    Files.readString(at)
+                    settingsFile,
+                    Files.readString(settingsFile)
                             .replace("\"hard-rate\": 0", "\"hard-rate\": 4")
                             .replace("\"hard-burst\": 0", "\"hard-burst\": 4"));
         }
-        EdgeNode node = startPools();
-        // A ceiling starts with nothing: the customer's first requests are refused until it has filled.
+        EdgeNode node = startNode();
+        // A ceiling starts empty: the customer's first requests are refused until it has filled.
         int refused = 0;
         String status = status(ask(node, "a", "w"));
         for (int i = 0; !status.equals("200") && i < 2_000; i++) {
@@ -273,16 +282,16 @@
         for (int i = 0; i < 30; i++) {
             refused += status(ask(node, "a", "t-" + i)).equals("200") ? 0 : 1;
         }
-        assertTrue(refused > 10, "the ceiling must bind in pool a: " + refused);
+        assertTrue(refused > 10, "the ceiling must refuse requests in pool a: " + refused);
         String other = status(ask(node, "b", "u"));
         for (int i = 0; !other.equals("200") && i < 2_000; i++) {
             other = status(ask(node, "b", "u-" + i));
         }
-        assertEquals("200", other, "and not in pool b");
+        assertEquals("200", other, "the ceiling must not refuse requests in pool b");
     }
 
     @Test
-    void anAddressBelongsToOnePoolUntilItLetsGo() throws Exception {
+    void anAddressBelongsToOnePoolUntilItIsReleased() throws Exception {
         Peer shared = named("x");
         CompletableFuture<Void> drain = new CompletableFuture<>();
         Peer list = peer(m -> {
@@ -291,27 +300,28 @@
                     + member("s-0", shared.address(), "Terminating", 0) + "]}"));
         });
         settings("a", list, member("s-0", shared.address(), "Ready", 0));
-        file.append("[[pool]]\nname = \"a\"\nsettings = \"a.json\"\nloop = \"")
+        operatorFile
+                .append("[[pool]]\nname = \"a\"\nsettings = \"a.json\"\nloop = \"")
                 .append(loop())
                 .append("\"\n\n");
         route("a", "host = \"a.example\"");
         pool("b", "", shared);
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         assertEquals("200", status(ask(node, "a", "t-1")));
-        assertFalse(status(ask(node, "b", "t-2")).equals("200"), "two pools must not push one server");
+        assertFalse(status(ask(node, "b", "t-2")).equals("200"), "two pools must not use one server");
         drain.complete(null);
         String status = "";
         for (int i = 0; !status.equals("200") && i < 10_000; i++) {
             status = status(ask(node, "b", "t-3-" + i));
         }
-        assertEquals("200", status, "what drains in one pool is free for the other");
+        assertEquals("200", status, "a server that drains in one pool is free for the other");
     }
 
     @Test
-    void requestsOfSeveralPoolsOnOneConnectionAreAnsweredInTheirOrder() throws Exception {
+    void requestsOfSeveralPoolsOnOneConnectionAreAnsweredInOrder() throws Exception {
         pool("a", "", named("a"));
         pool("b", "", named("b"));
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         Socket client = client(node);
         for (int i = 0; i < 50; i++) {
             order(client, i % 3 == 0 ? "a" : "b", "t-" + i);
@@ -324,9 +334,9 @@
     }
 
     @Test
-    void aRequestThatComesInSingleBytesIsReadAndALargeOneTurnedAway() throws Exception {
+    void aRequestInSingleBytesIsReadAndATooLargeOneIsRefused() throws Exception {
         pool("a", "", named("a"));
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         Socket slow = client(node);
         slow.setTcpNoDelay(true);
         Map<String, String> headers = headers("t-1", "order", "20000");
@@ -353,12 +363,12 @@
     }
 
     @Test
-    void aClassThatOnePoolKnowsAndTheOtherDoesNot() throws Exception {
+    void aClassIsKnownOnlyInThePoolThatConfiguresIt() throws Exception {
         pool("a", "", named("a"));
         pool("b", "", named("b"));
-        Path at = folder.resolve("b.json");
-        Files.writeString(at, Files.readString(at).replace("\"order\"", "\"booking\""));
-        EdgeNode node = startPools();
+        Path settingsFile = folder.resolve("b.json");
+        Files.writeString(settingsFile, Files.readString(settingsFile).replace("\"order\"", "\"booking\""));
+        EdgeNode node = startNode();
         assertEquals("200", status(ask(node, "a", "t-1")));
         Peer.Message answer = ask(node, "b", "t-2");
         assertEquals("400", status(answer));
@@ -366,7 +376,7 @@
     }
 
     @Test
-    void aPoolWhoseServersFailHangOrRefuseLeavesTheOtherAlone() throws Exception {
+    void aPoolWhoseServersFailHangOrRefuseDoesNotAffectOthers() throws Exception {
         CompletableFuture<Void> end = new CompletableFuture<>();
         toClose.add(() -> end.complete(null));
         pool("failing", "", peer(m -> m.answer("HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n")));
@@ -375,147 +385,149 @@
         poolOf("refusing", "", member("s-0", "127.0.0.1:" + closed.getLocalPort(), "Ready", 0));
         closed.close();
         pool("well", "", named("well"));
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         List<Socket> open = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             Socket client = client(node);
             order(client, "hanging", "h-" + i);
             open.add(client);
-            // Each comes back, long before its time is up, while the other pool's are out.
+            // Each is answered long before its deadline while the hanging pool's requests are in flight.
             assertFalse(status(ask(node, "failing", "f-" + i)).equals("200"));
             assertFalse(status(ask(node, "refusing", "r-" + i)).equals("200"));
             assertEquals("200", status(ask(node, "well", "w-" + i)));
         }
         end.complete(null);
-        for (Socket one : open) {
-            one.close();
+        for (Socket socket : open) {
+            socket.close();
         }
     }
 
     @Test
-    void lentConnectionsComeBackWhileAllAreInUse() throws Exception {
+    void aGuaranteedConnectionIsAvailableWhileTheRestIsLent() throws Exception {
         CompletableFuture<Void> first = new CompletableFuture<>();
-        List<Peer> greedy = new ArrayList<>();
+        List<Peer> lentServers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            greedy.add(peer(m -> {
+            lentServers.add(peer(m -> {
                 first.join();
                 m.answer(Peer.ok("", "b"));
             }));
         }
-        file.append("[process]\nconnections = 6\nconnects = 6\n\n");
+        operatorFile.append("[process]\nconnections = 6\nconnects = 6\n\n");
         pool("a", "guaranteed = { connections = 1, connects = 2 }\n", named("a"), named("a"), named("a"));
-        pool("b", "guaranteed = { connections = 1, connects = 2 }\n", greedy.toArray(Peer[]::new));
-        EdgeNode node = startPools();
+        pool("b", "guaranteed = { connections = 1, connects = 2 }\n", lentServers.toArray(Peer[]::new));
+        EdgeNode node = startNode();
         List<Socket> open = new ArrayList<>();
-        // Pool b takes its own connection and the whole rest.
+        // Pool b uses its guaranteed connection and the whole rest.
         for (int i = 0, out = 0; out < 5 && i < 200; i++) {
             Socket client = client(node);
             order(client, "b", "b-" + i);
             open.add(client);
-            out = greedy.stream().mapToInt(p -> p.seen.size()).sum();
+            out = lentServers.stream().mapToInt(p -> p.seen.size()).sum();
         }
-        // Pool a has its guaranteed one all the same, however often it is asked for.
+        // Pool a still has its guaranteed connection, for any number of requests.
         for (int i = 0; i < 20; i++) {
             assertEquals("200", status(ask(node, "a", "a-" + i)));
         }
         first.complete(null);
         int served = 0;
-        for (Socket one : open) {
-            Peer.Message answer = Peer.read(one);
+        for (Socket socket : open) {
+            Peer.Message answer = Peer.read(socket);
             served += answer != null && status(answer).equals("200") ? 1 : 0;
         }
-        assertTrue(served >= 1, "what was out in pool b ends there");
+        assertTrue(served >= 1, "requests in flight in pool b must be answered");
     }
 
     @Test
-    void aReloadMovesARouteAndWhatIsOutEndsWhereItBegan() throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>();
+    void aReloadMovesARouteAndRequestsInFlightEndInTheirPool() throws Exception {
+        CompletableFuture<Void> release = new CompletableFuture<>();
         Peer old = peer(m -> {
-            go.join();
+            release.join();
             m.answer(Peer.ok("", "old"));
         });
         Peer removed = pool("a", "", old);
         pool("b", "", named("new"));
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         Socket client = client(node);
         order(client, "a", "t-1");
         old.next();
         removed.next();
-        String whole = file.toString();
-        file.setLength(0);
-        file.append(whole.substring(whole.indexOf("[[pool]]\nname = \"b\"")));
+        String original = operatorFile.toString();
+        operatorFile.setLength(0);
+        operatorFile.append(original.substring(original.indexOf("[[pool]]\nname = \"b\"")));
         route("b", "host = \"a.example\"");
         reload(node);
         String body = "";
         for (int i = 0; !"new".equals(body) && i < 10_000; i++) {
             body = ask(node, "a", "u-" + i).body();
         }
-        assertEquals("new", body, "new requests go by the new file");
-        assertNull(removed.ended.poll(), "a pool with requests out goes on hearing of drains");
-        go.complete(null);
+        assertEquals("new", body, "new requests follow the new file");
+        assertNull(removed.ended.poll(), "a pool with requests in flight still follows its server list");
+        release.complete(null);
         assertEquals("old", Peer.read(client).body());
-        assertNotNull(removed.ended.poll(60, TimeUnit.SECONDS), "with its last request the removed pool ends");
-        assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "and its connections");
-        // The client's connection goes on, now with the other pool.
+        assertNotNull(removed.ended.poll(60, TimeUnit.SECONDS), "the removed pool ends with its last request");
+        assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "its connections must be closed");
+        // The client's connection stays open and is served by the other pool.
         order(client, "a", "t-2");
         assertEquals("new", Peer.read(client).body());
     }
 
     @Test
-    void aRequestThatIsOutInARemovedPoolIsRepeatedThere() throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>();
+    void aFailedAttemptInARemovedPoolIsAnswered() throws Exception {
+        CompletableFuture<Void> release = new CompletableFuture<>();
         Peer first = peer(m -> {
-            go.join();
+            release.join();
             m.socket().close();
         });
         pool("a", "", first, first);
         pool("b", "", named("b"));
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         Socket client = client(node);
         order(client, "a", "t-1");
         first.next();
-        String whole = file.toString();
-        file.setLength(0);
-        file.append(whole.substring(whole.indexOf("[[pool]]\nname = \"b\"")));
+        String original = operatorFile.toString();
+        operatorFile.setLength(0);
+        operatorFile.append(original.substring(original.indexOf("[[pool]]\nname = \"b\"")));
         reload(node);
-        go.complete(null);
+        release.complete(null);
         String status = status(Peer.read(client));
         assertTrue(List.of("429", "502", "503").contains(status), status);
         assertEquals("200", status(ask(node, "b", "t-2")));
     }
 
     @Test
-    void aPoolWhoseSettingsChangeStartsAnewAndOneThatOnlyMovesDoesNot() throws Exception {
+    void aPoolIsReplacedIfItsSettingsChangeAndKeptIfOnlyAddressesDo() throws Exception {
         Peer a = named("a");
         Peer before = pool("a", "", a);
         Peer stays = pool("b", "", named("b"));
-        EdgeNode node = startPools();
+        EdgeNode node = startNode();
         before.next();
         stays.next();
         Peer elsewhere = peer(m -> m.answer(UNCHANGED));
         settings("b", elsewhere, member("s-0", "127.0.0.1:1", "Ready", 0));
-        Path at = folder.resolve("a.json");
-        Files.writeString(at, Files.readString(at).replace("\"units-per-s\": 1000", "\"units-per-s\": 900"));
+        Path settingsFile = folder.resolve("a.json");
+        Files.writeString(
+                settingsFile, Files.readString(settingsFile).replace("\"units-per-s\": 1000", "\"units-per-s\": 900"));
         reload(node);
-        assertNotNull(before.ended.poll(60, TimeUnit.SECONDS), "the old pool a ends");
-        assertTrue(before.next().first().contains("watch=1"), "a new one watches");
-        assertTrue(elsewhere.next().first().contains("watch=1&after=5"), "pool b moved with its list");
-        assertEquals("b", ask(node, "b", "t-1").body(), "and goes on with the servers it knows");
+        assertNotNull(before.ended.poll(60, TimeUnit.SECONDS), "the old pool a must end");
+        assertTrue(before.next().first().contains("watch=1"), "a new pool a must watch");
+        assertTrue(
+                elsewhere.next().first().contains("watch=1&after=5"), "pool b changed its address and kept its list");
+        assertEquals("b", ask(node, "b", "t-1").body(), "pool b keeps the servers it knows");
         assertEquals("a", ask(node, "a", "t-2").body());
     }
 
     @Test
-    void manyReloadsUnderLoadLoseNothing() throws Exception {
+    void manyReloadsUnderLoadLoseNoRequest() throws Exception {
         pool("a", "", named("a"));
         pool("b", "", named("b"));
-        EdgeNode node = startPools();
-        String whole = file.toString();
+        EdgeNode node = startNode();
+        String original = operatorFile.toString();
         Socket client = client(node);
         for (int i = 0; i < 60; i++) {
-            file.setLength(0);
-            file.append(i % 2 == 0 ? whole.replace("\"b\"", "\"c\"") : whole);
+            operatorFile.setLength(0);
+            operatorFile.append(i % 2 == 0 ? original.replace("\"b\"", "\"c\"") : original);
             if (i % 2 == 0) {
-                // The same service under another name: another pool, with the same servers' addresses.
+                // The same service under another name is another pool with the same addresses.
                 reload(node);
             } else {
                 reload(node);
@@ -523,8 +535,7 @@
             }
             order(client, "a", "a-" + i);
             assertEquals("200", status(Peer.read(client)));
-            assertEquals(
-                    "200", status(ask(node, "b", "b-" + i)), "the pool that took the old one's place has its servers");
+            assertEquals("200", status(ask(node, "b", "b-" + i)), "the replacing pool must have the servers");
         }
     }
 }
--- a/src/test/java/rushpin/node/UseStoreTest.java
+++ b/src/test/java/rushpin/node/UseStoreTest.java
@@ -25,17 +25,17 @@
 import rushpin.quota.UseRecord;
 import rushpin.quota.UseRecord.Balance;
 
-/** The state folder: what a killed process leaves, what others leave, and what is no record at all. */
+/** The state folder with records of killed processes, of other nodes, and with invalid files. */
 class UseStoreTest {
     private static final long NOW = 1_700_000_000_000L;
 
     @TempDir
     Path folder;
 
-    private final List<String> said = new ArrayList<>();
+    private final List<String> logged = new ArrayList<>();
 
-    /** What the wall's clock has been set forward by. */
-    private long stepMs;
+    /** How far the wall clock was set forward. */
+    private long wallStepMs;
 
     private long nanos;
 
@@ -44,16 +44,16 @@
     }
 
     private UseStore.Opened open(String node, long now, UseStore.Disk disk) {
-        // A machine that was booted an hour before.
-        nanos = (3_600_000 + now - NOW - stepMs) * 1_000_000;
-        UseStore.Opened opened = UseStore.open(folder, node, "p", now, said::add, disk, () -> nanos);
-        assertNotNull(opened, said.toString());
+        // The machine was booted an hour before.
+        nanos = (3_600_000 + now - NOW - wallStepMs) * 1_000_000;
+        UseStore.Opened opened = UseStore.open(folder, node, "p", now, logged::add, disk, () -> nanos);
+        assertNotNull(opened, logged.toString());
         return opened;
     }
 
-    private static Map<Long, Double> units(UseStore.Opened of) {
+    private static Map<Long, Double> units(UseStore.Opened opened) {
         Map<Long, Double> units = new HashMap<>();
-        for (Balance b : of.untold()) {
+        for (Balance b : opened.untold()) {
             units.merge(b.customer(), b.units(), Double::sum);
         }
         return units;
@@ -65,40 +65,40 @@
         }
     }
 
-    /** As after SIGKILL: the file as the kernel has it, and no lock. */
-    private byte[] leave(UseStore.Opened of) throws IOException {
-        byte[] left = Files.readAllBytes(files().get(0));
-        of.store().close();
-        return left;
+    /** Returns the file as the kernel has it, and releases its lock, as after SIGKILL. */
+    private byte[] killAndRead(UseStore.Opened opened) throws IOException {
+        byte[] content = Files.readAllBytes(files().get(0));
+        opened.store().close();
+        return content;
     }
 
     @Test
-    void whatWasTakenAndNotToldIsTakenOverOnce() throws Exception {
+    void unreportedUseIsTakenOverOnce() throws Exception {
         UseStore.Opened first = open("n1", NOW);
         first.store().book().useChanged(7, 1, 5, NOW);
         first.store().book().reporting(7, 2, NOW);
         first.store().book().reported(7, 2, true, NOW);
-        leave(first);
+        killAndRead(first);
         UseStore.Opened second = open("n1", NOW + 1_000);
         assertEquals(Map.of(7L, 3.0), units(second));
-        assertEquals(1, files().size(), "the old file is gone: " + files());
+        assertEquals(1, files().size(), "the old file must be deleted: " + files());
         second.store().book().reporting(7, 3, NOW + 1_000);
         second.store().book().reported(7, 3, true, NOW + 1_000);
-        leave(second);
+        killAndRead(second);
         UseStore.Opened third = open("n1", NOW + 2_000);
-        assertEquals(Map.of(), units(third), "what was told is not told again");
+        assertEquals(Map.of(), units(third), "reported use must not be reported again");
         third.store().close();
     }
 
     @Test
-    void aKillBetweenTakingOverAndDeletingCountsNothingTwice() throws Exception {
+    void aKillBeforeTheOldFileIsDeletedCountsNothingTwice() throws Exception {
         UseStore.Opened first = open("n1", NOW);
         first.store().book().useChanged(7, 1, 5, NOW);
         Path old = files().get(0);
-        byte[] left = leave(first);
+        byte[] content = killAndRead(first);
         UseStore.Opened second = open("n1", NOW + 1_000);
         second.store().close();
-        Files.write(old, left);
+        Files.write(old, content);
         UseStore.Opened third = open("n1", NOW + 2_000);
         assertEquals(Map.of(7L, 5.0), units(third));
         assertEquals(1, files().size());
@@ -106,11 +106,11 @@
     }
 
     @Test
-    void twoProcessesOnOneFolderEachKeepTheirOwn() throws Exception {
+    void twoProcessesOnOneFolderKeepSeparateRecords() throws Exception {
         UseStore.Opened old = open("n1", NOW);
         old.store().book().useChanged(7, 1, 5, NOW);
         UseStore.Opened next = open("n1", NOW + 1_000);
-        assertEquals(Map.of(), units(next), "what a living process holds is not taken over");
+        assertEquals(Map.of(), units(next), "a locked record must not be taken over");
         next.store().book().useChanged(8, 1, 2, NOW + 1_000);
         old.store().close();
         next.store().close();
@@ -120,107 +120,107 @@
     }
 
     @Test
-    void anothersAndDamagedRecordsCostALineAndCountNothing() throws Exception {
+    void foreignAndDamagedRecordsAreLoggedAndNotCounted() throws Exception {
         UseStore.Opened other = open("n2", NOW);
         other.store().book().useChanged(7, 1, 5, NOW);
-        leave(other);
+        killAndRead(other);
         Files.writeString(folder.resolve("noise.use"), "this is none");
-        byte[] version = new byte[UseStore.SIZE];
+        byte[] version = new byte[UseStore.FILE_SIZE];
         version[7] = 9;
         Files.write(folder.resolve("version.use"), version);
-        UseStore.Opened mine = open("n1", NOW + 1_000);
-        assertEquals(Map.of(), units(mine));
+        UseStore.Opened own = open("n1", NOW + 1_000);
+        assertEquals(Map.of(), units(own));
         assertTrue(
-                said.stream().anyMatch(line -> line.contains("is node n2's record, this is n1: left alone")),
-                said.toString());
+                logged.stream().anyMatch(line -> line.contains("is node n2's record, this is n1: left alone")),
+                logged.toString());
         assertEquals(
                 2,
-                said.stream()
+                logged.stream()
                         .filter(line -> line.contains("no record of use of this version"))
                         .count());
-        mine.store().book().useChanged(7, 1, 5, NOW);
-        mine.store().book().useChanged(8, 1, 5, NOW);
-        mine.store().close();
+        own.store().book().useChanged(7, 1, 5, NOW);
+        own.store().book().useChanged(8, 1, 5, NOW);
+        own.store().close();
         Path file = files().stream()
                 .filter(each -> each.getFileName().toString().contains(Long.toString(NOW + 1_000)))
                 .findFirst()
                 .orElseThrow();
-        byte[] bent = Files.readAllBytes(file);
-        bent[UseRecord.HEADER + 20] ^= 1;
-        Files.write(file, bent);
+        byte[] corrupted = Files.readAllBytes(file);
+        corrupted[UseRecord.HEADER + 20] ^= 1;
+        Files.write(file, corrupted);
         UseStore.Opened again = open("n1", NOW + 2_000);
         assertEquals(Map.of(), units(again));
-        assertTrue(said.stream().anyMatch(line -> line.contains("damaged before its end")), said.toString());
+        assertTrue(logged.stream().anyMatch(line -> line.contains("damaged before its end")), logged.toString());
         again.store().close();
         UseStore.Opened theirs = open("n2", NOW + 2_000);
-        assertEquals(Map.of(7L, 5.0), units(theirs), "the other node still finds its own");
+        assertEquals(Map.of(7L, 5.0), units(theirs), "the other node must still find its record");
         theirs.store().close();
     }
 
     @Test
-    void useThatTheCounterHasForgottenIsNobodysConcern() throws Exception {
+    void useOlderThanTheCounterKeepsIsIgnored() throws Exception {
         UseStore.Opened first = open("n1", NOW);
         first.store().book().useChanged(7, 1, 5, NOW);
-        leave(first);
+        killAndRead(first);
         UseStore.Opened late = open("n1", NOW + 61_000);
         assertEquals(Map.of(), units(late));
         late.store().close();
     }
 
-    /** A step of the wall's clock: what was taken ten seconds before is owed, once, and what is older than a minute is not. */
+    /** After a step of the wall clock, use of ten seconds ago is restored once, and use older than a minute is not. */
     @ParameterizedTest
     @ValueSource(longs = {3_600_000, -3_600_000})
-    void aStepOfTheWallsClockNeitherLosesUseNorRestoresItTwice(long step) throws Exception {
+    void aStepOfTheWallClockNeitherLosesUseNorRestoresItTwice(long step) throws Exception {
         UseStore.Opened first = open("n1", NOW);
         UseStore.Opened beside = open("n1", NOW + 1);
         first.store().book().useChanged(7, 1, 5, NOW);
         first.store().close();
-        stepMs = step;
+        wallStepMs = step;
         nanos += 10_000_000_000L;
         List<Balance> adopted = beside.store().adopt(NOW + 10_001 + step);
-        assertEquals(5, adopted.get(0).units(), "adopted by one that was running");
+        assertEquals(5, adopted.get(0).units(), "taken over by a running process");
         beside.store().book().useChanged(8, 1, 3, NOW + 10_001 + step);
         beside.store().close();
         UseStore.Opened next = open("n1", NOW + 20_000 + step);
-        assertEquals(Map.of(7L, 5.0, 8L, 3.0), units(next), "taken over by one that begins after the step");
+        assertEquals(Map.of(7L, 5.0, 8L, 3.0), units(next), "taken over by a process that starts after the step");
         UseStore.Opened other = open("n1", NOW + 20_001 + step);
         assertEquals(Map.of(), units(other));
         other.store().close();
         next.store().close();
         if (step > 0) {
             UseStore.Opened late = open("n1", NOW + 91_000 + step);
-            assertEquals(Map.of(), units(late), "it has aged by the steady clock");
+            assertEquals(Map.of(), units(late), "use must age by the monotonic clock");
             late.store().close();
         }
     }
 
     @Test
-    void useOfARunningProcessAgesByTheSteadyClock() throws Exception {
+    void useAgesByTheMonotonicClock() throws Exception {
         UseStore.Opened first = open("n1", NOW);
         first.store().book().useChanged(7, 1, 5, NOW);
         nanos += 50_000_000_000L;
-        // The wall's clock was set back: this is no younger by the steady clock than it is.
+        // The wall clock was set back, which must not change the age by the monotonic clock.
         first.store().book().useChanged(8, 1, 5, NOW - 3_600_000);
         first.store().close();
-        stepMs = -3_600_000;
+        wallStepMs = -3_600_000;
         UseStore.Opened next = open("n1", NOW + 70_000 - 3_600_000);
-        assertEquals(Set.of(7L, 8L), units(next).keySet(), "an age below 0 is taken as fresh");
+        assertEquals(Set.of(7L, 8L), units(next).keySet(), "a negative age counts as 0");
         next.store().close();
-        stepMs = 3_600_000;
+        wallStepMs = 3_600_000;
         UseStore.Opened late = open("n1", NOW + 150_000 + 3_600_000);
         assertEquals(Map.of(), units(late));
         late.store().close();
     }
 
-    /** A kill in the middle of a store or of a header: what was whole is counted, once, and nothing stops the start. */
+    /** A kill while an entry or the header is written: complete entries are counted once, and the start succeeds. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aFileCutAtEveryByteOfItsHeaderAndLastEntryGivesWhatWasWhole(boolean zeros) throws Exception {
+    void aFileCutInItsHeaderOrLastEntryYieldsItsCompleteEntries(boolean zeros) throws Exception {
         UseStore.Opened first = open("n1", NOW);
         first.store().book().useChanged(7, 1, 5, NOW);
         first.store().book().useChanged(8, 1, 3, NOW);
         Path name = files().get(0);
-        byte[] whole = Arrays.copyOf(leave(first), UseRecord.HEADER + 2 * UseRecord.ENTRY);
+        byte[] whole = Arrays.copyOf(killAndRead(first), UseRecord.HEADER + 2 * UseRecord.ENTRY);
         for (int cut = 0; cut <= whole.length; cut++) {
             if (cut >= UseRecord.HEADER && cut < UseRecord.HEADER + UseRecord.ENTRY) {
                 continue;
@@ -229,7 +229,7 @@
                 Files.delete(each);
             }
             Files.write(name, Arrays.copyOf(Arrays.copyOf(whole, cut), zeros ? whole.length : cut));
-            // A rewrite that was cut before its rename stands beside it.
+            // A draft of a rewrite that was not renamed.
             Files.write(folder.resolve("p-1-1.draft"), whole);
             UseStore.Opened next = open("n1", NOW + 1_000);
             Map<Long, Double> units = units(next);
@@ -246,7 +246,7 @@
     }
 
     @Test
-    void aNodesNameThatIsLongerThanItsFieldFindsItsOwnAndNoOthers() throws Exception {
+    void aNodeNameLongerThanItsFieldMatchesOnlyItself() throws Exception {
         String name = "é".repeat(40);
         UseStore.Opened first = open(name + "a", NOW);
         first.store().book().useChanged(7, 1, 5, NOW);
@@ -260,15 +260,15 @@
     }
 
     @Test
-    void aFullRecordIsWrittenAnewAndKeepsWhatIsOpen() throws Exception {
+    void aFullRecordIsRewrittenAndKeepsOpenUse() throws Exception {
         UseStore.Opened first = open("n1", NOW);
-        int entries = (UseStore.SIZE - UseRecord.HEADER) / UseRecord.ENTRY;
+        int entries = (UseStore.FILE_SIZE - UseRecord.HEADER) / UseRecord.ENTRY;
         for (int i = 0; i < entries + 100; i++) {
             first.store().book().useChanged(i % 50, 1, 1, NOW);
         }
         assertEquals(1, files().size(), files().toString());
-        assertEquals(UseStore.SIZE, Files.size(files().get(0)));
-        leave(first);
+        assertEquals(UseStore.FILE_SIZE, Files.size(files().get(0)));
+        killAndRead(first);
         UseStore.Opened second = open("n1", NOW + 1_000);
         assertEquals(
                 entries + 100,
@@ -277,55 +277,55 @@
     }
 
     @Test
-    void aFolderThatCannotBeUsedCostsOneLineAndIsTakenUpWhenItCan() throws Exception {
+    void anUnusableFolderIsLoggedOnceAndUsedWhenItWorksAgain() throws Exception {
         Path file = Files.writeString(folder.resolve("file"), "no folder");
-        UseStore.Opened opened = UseStore.open(file, "n1", "p", NOW, said::add);
+        UseStore.Opened opened = UseStore.open(file, "n1", "p", NOW, logged::add);
         opened.store().book().useChanged(7, 1, 5, NOW);
         for (int second = 1; second < 5; second++) {
             assertEquals(List.of(), opened.store().adopt(NOW + second * 1_000));
         }
-        assertEquals(1, said.size(), said.toString());
-        assertTrue(said.get(0).startsWith("use is not kept over a hard kill"), said.get(0));
+        assertEquals(1, logged.size(), logged.toString());
+        assertTrue(logged.get(0).startsWith("use is not kept over a hard kill"), logged.get(0));
         Files.delete(file);
         assertEquals(List.of(), opened.store().adopt(NOW + 5_000));
-        assertEquals(2, said.size(), said.toString());
-        assertTrue(said.get(1).endsWith("can be used again: use is kept over a hard kill"), said.get(1));
+        assertEquals(2, logged.size(), logged.toString());
+        assertTrue(logged.get(1).endsWith("can be used again: use is kept over a hard kill"), logged.get(1));
         opened.store().close();
-        UseStore.Opened next = UseStore.open(file, "n1", "p", NOW + 6_000, said::add);
-        assertEquals(Map.of(7L, 5.0), units(next), "what was taken meanwhile is owed");
+        UseStore.Opened next = UseStore.open(file, "n1", "p", NOW + 6_000, logged::add);
+        assertEquals(Map.of(7L, 5.0), units(next), "use taken meanwhile must be restored");
         next.store().close();
     }
 
-    /** The file system, of which steps fail while their names are named. */
+    /** A file system whose operations fail while their names are in {@link #failing}. */
     private static final class FailingDisk extends UseStore.SystemDisk {
         final Set<String> failing = new HashSet<>();
-        /** Names of files that alone fail; empty for all. */
-        String only = "";
+        /** Limits failures to files whose names contain this; empty for all. */
+        String nameFilter = "";
 
-        boolean renamesThenFails;
+        boolean failAfterRename;
 
-        private void step(String name, Path of) throws IOException {
-            if (failing.contains(name) && of.toString().contains(only)) {
+        private void failIfSet(String name, Path path) throws IOException {
+            if (failing.contains(name) && path.toString().contains(nameFilter)) {
                 throw new IOException(name + " fails");
             }
         }
 
         @Override
         public List<Path> list(Path folder) throws IOException {
-            step("list", folder);
+            failIfSet("list", folder);
             return super.list(folder);
         }
 
         @Override
         public FileChannel open(Path file, OpenOption... how) throws IOException {
-            step("open", file);
+            failIfSet("open", file);
             return super.open(file, how);
         }
 
         @Override
-        public byte[] read(FileChannel of) throws IOException {
-            step("read", Path.of(only));
-            return super.read(of);
+        public byte[] read(FileChannel channel) throws IOException {
+            failIfSet("read", Path.of(nameFilter));
+            return super.read(channel);
         }
 
         @Override
@@ -339,17 +339,17 @@
 
         @Override
         public void move(Path from, Path to) throws IOException {
-            if (renamesThenFails) {
+            if (failAfterRename) {
                 super.move(from, to);
                 throw new IOException("move fails late");
             }
-            step("move", from);
+            failIfSet("move", from);
             super.move(from, to);
         }
 
         @Override
         public void delete(Path file) throws IOException {
-            step("delete", file);
+            failIfSet("delete", file);
             super.delete(file);
         }
     }
@@ -360,7 +360,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"write", "write open", "write move", "write list", "write delete"})
-    void aDiskThatFailsForAWhileCostsTwoLinesAndNoUse(String steps) throws Exception {
+    void aDiskThatFailsForAWhileIsLoggedAndLosesNoUse(String steps) throws Exception {
         FailingDisk disk = new FailingDisk();
         UseStore.Opened first = open(NOW, disk);
         first.store().book().useChanged(7, 1, 5, NOW);
@@ -373,16 +373,18 @@
         }
         assertEquals(
                 1,
-                said.stream().filter(line -> line.startsWith("use is not kept")).count(),
-                said.toString());
+                logged.stream()
+                        .filter(line -> line.startsWith("use is not kept"))
+                        .count(),
+                logged.toString());
         disk.failing.clear();
         assertEquals(List.of(), first.store().adopt(NOW + 4_000));
         assertEquals(
                 1,
-                said.stream()
+                logged.stream()
                         .filter(line -> line.endsWith("use is kept over a hard kill"))
                         .count(),
-                said.toString());
+                logged.toString());
         first.store().book().useChanged(9, 1, 1, NOW);
         first.store().close();
         UseStore.Opened second = open(NOW + 5_000, disk);
@@ -391,9 +393,12 @@
         second.store().close();
     }
 
-    /** A store into a mapping of such a file is SIGBUS, and an error that ends the loop later. */
+    /**
+     * Another process truncates the record. With a mapped file, a store would raise SIGBUS and an error that ends the
+     * event loop later.
+     */
     @Test
-    void aFileThatWasCutBeneathItsProcessHurtsNothing() throws Exception {
+    void aFileTruncatedByAnotherProcessLosesNoUse() throws Exception {
         UseStore.Opened first = open("n1", NOW);
         Path file = files().get(0);
         for (int i = 0; i < 3; i++) {
@@ -410,40 +415,40 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"delete", "read", "open", "move", "write", "list"})
-    void takingOverThatFailsHalfWayNeitherLosesNorDoubles(String step) throws Exception {
+    void aFailedTakeOverNeitherLosesNorDoublesUse(String step) throws Exception {
         FailingDisk disk = new FailingDisk();
         UseStore.Opened first = open(NOW, disk);
         UseStore.Opened next = open(NOW + 1_000, disk);
         first.store().book().useChanged(7, 1, 5, NOW);
         first.store().close();
         disk.failing.add(step);
-        Map<Long, Double> told = new HashMap<>();
+        Map<Long, Double> restored = new HashMap<>();
         for (int second = 2; second < 5; second++) {
-            next.store().adopt(NOW + second * 1_000).forEach(b -> told.merge(b.customer(), b.units(), Double::sum));
+            next.store().adopt(NOW + second * 1_000).forEach(b -> restored.merge(b.customer(), b.units(), Double::sum));
         }
         disk.failing.clear();
-        next.store().adopt(NOW + 5_000).forEach(b -> told.merge(b.customer(), b.units(), Double::sum));
-        assertEquals(Map.of(7L, 5.0), told, said.toString());
+        next.store().adopt(NOW + 5_000).forEach(b -> restored.merge(b.customer(), b.units(), Double::sum));
+        assertEquals(Map.of(7L, 5.0), restored, logged.toString());
         assertEquals(1, files().size(), files().toString());
         next.store().close();
         UseStore.Opened last = open(NOW + 6_000, disk);
-        assertEquals(Map.of(7L, 5.0), units(last), "it was told to nobody yet");
+        assertEquals(Map.of(7L, 5.0), units(last), "the use was not reported yet");
         last.store().close();
     }
 
     @Test
-    void aFileThatCannotBeDeletedIsNotCountedAgainHoweverOftenTheRecordIsRenewed() throws Exception {
+    void anUndeletableFileIsCountedOnceOverManyRewrites() throws Exception {
         FailingDisk disk = new FailingDisk();
         UseStore.Opened first = open(NOW, disk);
         first.store().book().useChanged(7, 1, 5, NOW);
         first.store().close();
         disk.failing.add("delete");
-        disk.only = "-" + NOW + "-";
+        disk.nameFilter = "-" + NOW + "-";
         UseStore.Opened second = open(NOW + 1_000, disk);
         assertEquals(Map.of(7L, 5.0), units(second));
         second.store().book().reporting(7, 5, NOW + 1_000);
         second.store().book().reported(7, 5, true, NOW + 1_000);
-        for (int i = 0; i < 2 * UseStore.SIZE / UseRecord.ENTRY; i++) {
+        for (int i = 0; i < 2 * UseStore.FILE_SIZE / UseRecord.ENTRY; i++) {
             second.store().book().useChanged(8, 1, i % 2 == 0 ? 1 : -1, NOW + 1_000);
         }
         second.store().close();
@@ -455,7 +460,7 @@
     }
 
     @Test
-    void aRenameThatIsDoneAndReportedAsFailedCountsNothingTwice() throws Exception {
+    void aRenameThatSucceedsButIsReportedAsFailedCountsNothingTwice() throws Exception {
         FailingDisk disk = new FailingDisk();
         UseStore.Opened first = open(NOW, disk);
         first.store().book().useChanged(7, 1, 5, NOW);
@@ -463,11 +468,11 @@
         first.store().book().useChanged(7, 1, 5, NOW);
         disk.failing.clear();
         disk.failing.add("delete");
-        disk.renamesThenFails = true;
+        disk.failAfterRename = true;
         assertEquals(List.of(), first.store().adopt(NOW + 1_000));
         assertEquals(List.of(), first.store().adopt(NOW + 2_000));
         disk.failing.clear();
-        disk.renamesThenFails = false;
+        disk.failAfterRename = false;
         assertEquals(List.of(), first.store().adopt(NOW + 3_000));
         assertEquals(1, files().size(), files().toString());
         first.store().close();
@@ -477,12 +482,12 @@
     }
 
     @Test
-    void anothersRecordCostsOneLineNotOneEachSecond() throws Exception {
+    void aForeignRecordIsLoggedOnce() throws Exception {
         open("n2", NOW).store().close();
-        UseStore.Opened mine = open("n1", NOW + 1_000);
-        mine.store().adopt(NOW + 2_000);
-        mine.store().adopt(NOW + 3_000);
-        assertEquals(1, said.size(), said.toString());
-        mine.store().close();
+        UseStore.Opened own = open("n1", NOW + 1_000);
+        own.store().adopt(NOW + 2_000);
+        own.store().adopt(NOW + 3_000);
+        assertEquals(1, logged.size(), logged.toString());
+        own.store().close();
     }
 }
--- a/src/test/java/rushpin/node/WarmUpTest.java
+++ b/src/test/java/rushpin/node/WarmUpTest.java
@@ -16,39 +16,41 @@
 import org.junit.jupiter.api.io.TempDir;
 import rushpin.config.Config;
 
-/** What a node does before it serves, and that nobody but itself hears of it. */
+/** The warm-up of a node, which must not contact other processes. */
 class WarmUpTest extends Stage {
     @TempDir
     Path folder;
 
-    private long left() throws Exception {
+    private long fileCount() throws Exception {
         try (Stream<Path> files = Files.list(folder)) {
             return files.count();
         }
     }
 
     @Test
-    void requestsPassTheWholeNodeAndNoPeerHearsOfThem() throws Exception {
+    void requestsPassTheWholeNodeAndReachNoPeer() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "real")));
         Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
         assertTrue(WarmUp.run(config, 200, 60_000, folder) > 100);
         assertNull(server.seen.poll());
         assertNull(counter.seen.poll());
         assertNull(discovery.seen.poll());
-        assertEquals(0, left(), "it must leave no file");
+        assertEquals(0, fileCount(), "the warm-up must leave no file");
     }
 
     @Test
-    void itEndsWithItsTimeAndWithoutAFolderItIsLeftOut() throws Exception {
+    void itEndsAtItsTimeoutAndIsSkippedWithoutAFolder() throws Exception {
         Config config = Config.parse(config());
         WarmUp.run(config, Integer.MAX_VALUE, 1, folder);
-        assertEquals(0, left());
+        assertEquals(0, fileCount());
         assertEquals(0, WarmUp.run(config, 1, 60_000, folder.resolve("none")));
     }
 
-    /** A node that serves unrehearsed turned most of its first clients away: the first answer comes after it. */
+    /**
+     * A node that served without warm-up refused most of its first clients, so the warm-up must end before it listens.
+     */
     @Test
-    void theProgramRehearsesBeforeItServes() throws Exception {
+    void theProgramWarmsUpBeforeItServes() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "real")));
         Path file = folder.resolve("config.json");
         Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
@@ -63,15 +65,15 @@
         builder.environment().put("TMPDIR", folder.toString());
         Process process = builder.start();
         toClose.add(process::destroyForcibly);
-        BufferedReader said =
+        BufferedReader output =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        String line = said.readLine();
+        String line = output.readLine();
         while (line != null && !line.startsWith("rehearsed with")) {
-            assertTrue(!line.startsWith("serving on"), "it serves unrehearsed");
-            line = said.readLine();
+            assertTrue(!line.startsWith("serving on"), "the node serves before the warm-up ended");
+            line = output.readLine();
         }
         assertTrue(Integer.parseInt(line.split(" ")[2]) > 0, line);
-        line = said.readLine();
+        line = output.readLine();
         assertTrue(line.startsWith("serving on"), line);
         try (Socket client = new Socket("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)))) {
             client.setSoTimeout(60_000);
@@ -80,6 +82,6 @@
         process.destroy();
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
-        assertEquals(1, left(), "only the configuration is left");
+        assertEquals(1, fileCount(), "only the configuration must be left");
     }
 }
