--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -59,7 +59,7 @@
     /** Maximum size of one read. */
     private static final int READ_BUFFER_BYTES = 8 * 1024;
     /** How many bytes of pipelined requests a connection may hold undecoded. */
-    private static final int MAX_PIPELINED_BYTES = ServerPool.MOST_BODY;
+    private static final int MAX_PIPELINED_BYTES = ServerPool.MAX_BODY_BYTES;
     /** How much of a body is buffered, so that it can be sent again; the rest of a longer body is streamed. */
     private static final int MAX_BUFFERED_BODY = 256 * 1024;
     /** How much of a body is buffered before it may be streamed where the budget has no room for more. */
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -41,7 +41,7 @@
 /** Connections to app servers, one request on each at a time, and the attempts on them with their outcomes. */
 public final class ServerPool {
     /** The largest body, in bytes. */
-    public static final int MOST_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final long MS = 1_000_000L, SWEEP = 1_000 * MS;
     /** A second copy or noise may come right behind an answer: for so long nothing new is written there. */
@@ -464,7 +464,7 @@
         /** Sends it now or when there is a connection for it; false if there will be none. */
         boolean waits() {
             endsAfter(patience);
-            turn = Turn.of(ServerPool.this, this);
+            turn = QueuedAttempt.of(ServerPool.this, this);
             waiting = true;
             waiting = gate.send(turn) && by == null;
             return waiting || by != null;
@@ -572,16 +572,16 @@
     }
 
     /** An attempt in a group's line; only where there is a group. */
-    private final class Turn implements GroupGate.Sending {
+    private final class QueuedAttempt implements GroupGate.Sending {
         private final Attempt of;
 
-        private Turn(Attempt of) {
+        private QueuedAttempt(Attempt of) {
             this.of = of;
         }
 
         /** Made here, and known there by its interface alone: without a group neither is loaded. */
         static GroupGate.Sending of(ServerPool pool, Attempt attempt) {
-            return pool.new Turn(attempt);
+            return pool.new QueuedAttempt(attempt);
         }
 
         @Override
@@ -643,7 +643,7 @@
         private long readAt, lookedAt;
 
         Connection(AnswerDecoder decoder) {
-            super(MOST_BODY, BodyStream.MAX_LENGTH);
+            super(MAX_BODY_BYTES, BodyStream.MAX_LENGTH);
             this.decoder = decoder;
         }
 
--- a/src/main/java/rushpin/node/WarmUp.java
+++ b/src/main/java/rushpin/node/WarmUp.java
@@ -296,7 +296,7 @@
     /** A fake client that sends its next request as soon as it is answered. */
     private final class FakeClient extends AnswerHandler {
         FakeClient() {
-            super(ServerPool.MOST_BODY);
+            super(ServerPool.MAX_BODY_BYTES);
         }
 
         @Override
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -140,7 +140,7 @@
                 "rushpin.pooling.",
                 "rushpin.budget.ConnectionBudget",
                 "GroupGate",
-                "ServerPool$Turn",
+                "ServerPool$QueuedAttempt",
                 "GroupSide",
                 "rushpin.config.GroupTableReader",
                 "rushpin.config.GroupConfig")) {
