--- a/src/main/java/rushpin/net/GroupGate.java
+++ b/src/main/java/rushpin/net/GroupGate.java
@@ -123,19 +123,19 @@
     }
 
     /** From now on this holds; what is beyond it ends at once if it is idle, else with the request that it carries. */
-    public void permit(Permit next) {
+    public void setGrant(Permit next) {
         permit = next;
         look();
     }
 
     /** The operator says that an end may take longer than was said; what was said stays where it is more. */
-    public void atLeast(long halfOpenNow, long longestNow) {
+    public void raiseTimeouts(long halfOpenNow, long longestNow) {
         halfOpen = Math.max(halfOpen, halfOpenNow);
         longest = Math.max(longest, longestNow);
     }
 
     /** Tells each time that what was open beyond a permit, or beyond a lease, has ended at the other side too. */
-    public void onDown(Runnable then) {
+    public void onWithinGrant(Runnable then) {
         down = then;
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** What is in use. */
-    public ConnectionBudget<?> use() {
+    public ConnectionBudget<?> usage() {
         return ration;
     }
 
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -252,7 +252,7 @@
      * word of ours they end a connection, no request is waited for beyond {@code longest} after a lease, and {@code tenants}
      * tells whose a request is.
      */
-    public GroupGate keepTo(long halfOpen, long longest, Function<Request, String> tenants) {
+    public GroupGate joinGroup(long halfOpen, long longest, Function<Request, String> tenants) {
         // With the sweep's step, an idle one is gone before its server would end it.
         idleLimit = Math.min(idleLimit, halfOpen * 3 / 4 - SWEEP);
         gate = new GroupGate(loop, halfOpen, longest, REST, tenants, this::shrink);
--- a/src/main/java/rushpin/node/GroupSide.java
+++ b/src/main/java/rushpin/node/GroupSide.java
@@ -61,8 +61,8 @@
         this.plans = plans;
         this.accounts = accounts;
         last = new Numbered(group.name(), 0, Permit.NONE);
-        gate = servers.keepTo(group.halfOpen(), group.longest(), this::tenant);
-        gate.onDown(this::tell);
+        gate = servers.joinGroup(group.halfOpen(), group.longest(), this::tenant);
+        gate.onWithinGrant(this::tell);
         change(group);
         beat = loop.scheduleAtFixedRate(this::tell, BEAT_S, BEAT_S, TimeUnit.SECONDS);
     }
@@ -70,7 +70,7 @@
     /** Goes over to other tenants; requests that are out count for whom they began. */
     void change(GroupConfig next) {
         group = next;
-        gate.atLeast(group.halfOpen(), group.longest());
+        gate.raiseTimeouts(group.halfOpen(), group.longest());
         byPlan = new String[plans.size()];
         for (int i = 0; i < byPlan.length; i++) {
             String plan = plans.get(i);
@@ -93,7 +93,7 @@
     void permit(Numbered next) {
         Permit before = last.permit(), now = next.permit();
         last = next;
-        gate.permit(now);
+        gate.setGrant(now);
         if (now.most() != before.most()
                 || now.own() != before.own()
                 || !now.tenants().equals(before.tenants())) {
@@ -103,7 +103,7 @@
                             .map(each -> each.getKey() + ":" + each.getValue())
                             .collect(Collectors.joining(","));
             System.out.println("fleet permit group=" + group.name() + " most=" + now.most() + " own=" + now.own()
-                    + " open=" + gate.use().open() + " tenants=" + (parts.isEmpty() ? "-" : parts) + " at="
+                    + " open=" + gate.usage().open() + " tenants=" + (parts.isEmpty() ? "-" : parts) + " at="
                     + System.nanoTime());
         }
         tell();
@@ -111,14 +111,14 @@
 
     private void tell() {
         accounts.accept(new Account(
-                group.name(), last.number(), gate.use().open(), gate.use().uses()));
+                group.name(), last.number(), gate.usage().open(), gate.usage().uses()));
     }
 
     /** Opens nothing any more, and tells nothing more. */
     void close() {
         beat.cancel(false);
-        gate.onDown(() -> {});
-        gate.permit(Permit.NONE);
+        gate.onWithinGrant(() -> {});
+        gate.setGrant(Permit.NONE);
     }
 
     /** Tells, once, when nothing is open at the other side any more. */
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -101,7 +101,7 @@
                 null);
         call(() -> {
             servers = new ServerPool(new Ends(), loop, upstream, new Slots());
-            gate = servers.keepTo(LONG, longest, request -> request.plan() == 0 ? "a" : "b");
+            gate = servers.joinGroup(LONG, longest, request -> request.plan() == 0 ? "a" : "b");
             servers.update(new ServerListUpdate(1, true, members), true);
             return null;
         });
@@ -123,7 +123,7 @@
     private void permit(int most, long lease, int own, Map<String, Integer> tenants) throws Exception {
         long now = System.nanoTime();
         call(() -> {
-            gate.permit(new Permit(most, own, now + lease, now + LONG, tenants));
+            gate.setGrant(new Permit(most, own, now + lease, now + LONG, tenants));
             return null;
         });
     }
@@ -147,7 +147,7 @@
 
     /** The lines of the loop's count, until it is as expected. */
     private void awaitOpen(int expected) throws Exception {
-        while (call(() -> gate.use().open()) != expected) {
+        while (call(() -> gate.usage().open()) != expected) {
             Thread.onSpinWait();
         }
     }
@@ -166,8 +166,8 @@
         send("b0", 1, "s0", LONG);
         send("b1", 1, "s1", LONG);
         // Both of a's and one of b's; b1 waits for a connection, a's others for their part.
-        assertEquals(3, call(() -> gate.use().open()));
-        assertEquals(3, call(() -> gate.use().waiting()));
+        assertEquals(3, call(() -> gate.usage().open()));
+        assertEquals(3, call(() -> gate.usage().waiting()));
         send("hasty", 0, "s0", 20 * MS);
         assertEquals("hasty NOT_SENT", ended.take());
         for (int i = 0; i < 2 * ConnectionBudget.MAX_WAITING_PER_CONNECTION - 2; i++) {
@@ -195,11 +195,11 @@
         permit(0, LONG, 0, Map.of());
         ChannelHandlerContext closing = unheard.take();
         assertTrue(closing != first, idle);
-        assertEquals(2, call(() -> gate.use().open()));
+        assertEquals(2, call(() -> gate.usage().open()));
         permit(2, LONG, 0, Map.of("a", 2));
         send("three", 0, "s1", LONG);
         // The one that carries a request is open, and the other side has not ended the idle one: there is no room.
-        assertEquals(1, call(() -> gate.use().waiting()));
+        assertEquals(1, call(() -> gate.usage().waiting()));
         assertEquals(2, mostOpen.get());
         deaf = false;
         open.decrementAndGet();
@@ -269,7 +269,7 @@
         begin();
         long now = System.nanoTime(), forget = now + 3_000 * MS;
         call(() -> {
-            gate.permit(new Permit(1, 1, now, forget, Map.of("a", 1)));
+            gate.setGrant(new Permit(1, 1, now, forget, Map.of("a", 1)));
             return null;
         });
         send("one", 0, "s0", LONG);
