--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -64,10 +64,10 @@
         void attemptEnded(OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body);
 
         /** An attempt has a long answer, which goes through from now on; {@code length} bytes, or -1. */
-        void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length);
+        void answerStarted(OpenRequest of, long took, String server, double units, BodyStream passage, long length);
 
         /** For how much longer the client of a request waits, nanoseconds. */
-        long left(OpenRequest of);
+        long remainingNanos(OpenRequest of);
 
         /** What an attempt has written of a body is gone: there can be no further one. */
         void bodyGone(OpenRequest of);
@@ -78,12 +78,12 @@
         }
 
         /** Runs a task, {@code isOver} or not yet written, once what had arrived has been read; see {@link ReadBarrier}. */
-        default void whenRead(BooleanSupplier isOver, Runnable task) {
+        default void runAfterPendingReads(BooleanSupplier isOver, Runnable task) {
             task.run();
         }
 
         /** Whether something that has arrived has to be read before anything is written. */
-        default boolean mustRead() {
+        default boolean hasPendingReads() {
             return false;
         }
     }
@@ -362,13 +362,13 @@
 
     /** The client's end, or the server's drain, may wait unread behind the news that the connection is up. */
     private void writeOnceRead(Connection made, Attempt attempt) {
-        if (!node.mustRead()) {
+        if (!node.hasPendingReads()) {
             made.write(attempt);
             return;
         }
         attempt.on = made;
         made.attempt = attempt;
-        node.whenRead(() -> attempt.over, () -> writeLater(made, attempt));
+        node.runAfterPendingReads(() -> attempt.over, () -> writeLater(made, attempt));
     }
 
     private void writeLater(Connection made, Attempt attempt) {
@@ -520,7 +520,7 @@
             over = true;
             expiry.cancel(false);
             on.attempt = null;
-            node.answerBegins(of, System.nanoTime() - begunAt, server, units, passage, length);
+            node.answerStarted(of, System.nanoTime() - begunAt, server, units, passage, length);
         }
 
         /** The request's last byte was written: the app server begins. */
@@ -706,7 +706,7 @@
                     if (whole) {
                         // From its last byte on its client waits for just so long.
                         if (!next.over) {
-                            next.endsAfter(Math.max(0, node.left(of)));
+                            next.endsAfter(Math.max(0, node.remainingNanos(of)));
                         }
                         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                                 .addListener(done -> wrote(next, done.isSuccess()));
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -802,7 +802,7 @@
     }
 
     @Override
-    public long left(OpenRequest request) {
+    public long remainingNanos(OpenRequest request) {
         return request.deadlineNanos() - now();
     }
 
@@ -813,7 +813,7 @@
 
     /** Ends the attempt for the module: the app server has processed the request, so it must not be sent again. */
     @Override
-    public void answerBegins(
+    public void answerStarted(
             OpenRequest request, long took, String server, double units, BodyStream passage, long length) {
         request.endAttempt();
         recordAttempt(request, Outcome.OK, took, server, units);
@@ -919,12 +919,12 @@
     }
 
     @Override
-    public boolean mustRead() {
+    public boolean hasPendingReads() {
         return readBarrier.isClosed();
     }
 
     @Override
-    public void whenRead(BooleanSupplier isOver, Runnable task) {
+    public void runAfterPendingReads(BooleanSupplier isOver, Runnable task) {
         readBarrier.pass(isOver, task);
     }
 
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -323,12 +323,12 @@
         }
 
         @Override
-        public void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
+        public void answerStarted(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
             throw new AssertionError("no long answers here");
         }
 
         @Override
-        public long left(OpenRequest of) {
+        public long remainingNanos(OpenRequest of) {
             return LONG;
         }
 
--- a/src/test/java/rushpin/net/ServerConnectTest.java
+++ b/src/test/java/rushpin/net/ServerConnectTest.java
@@ -180,12 +180,12 @@
         }
 
         @Override
-        public void answerBegins(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
+        public void answerStarted(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
             throw new AssertionError("no answer is long here");
         }
 
         @Override
-        public long left(OpenRequest of) {
+        public long remainingNanos(OpenRequest of) {
             return LONG;
         }
 
