--- a/src/main/java/rushpin/budget/ConnectionBudget.java
+++ b/src/main/java/rushpin/budget/ConnectionBudget.java
@@ -80,7 +80,7 @@
     }
 
     /** Adds a connection; returns false if the maximum is reached. */
-    public boolean takeConnection() {
+    public boolean acquireConnection() {
         boolean allowed = open < maxConnections;
         open += allowed ? 1 : 0;
         return allowed;
--- a/src/main/java/rushpin/net/GroupGate.java
+++ b/src/main/java/rushpin/net/GroupGate.java
@@ -221,17 +221,17 @@
     }
 
     /** The last look before a connect. */
-    boolean takeConnection() {
+    boolean acquireConnection() {
         int most = permit.at(System.nanoTime());
         if (most != ration.maxConnections()) {
             // A lease has ended, and its timer is yet to come.
             look();
         }
-        return ration.takeConnection();
+        return ration.acquireConnection();
     }
 
     /** What was taken was not used. */
-    void giveConnection() {
+    void releaseConnection() {
         ration.removeConnection(false);
     }
 
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -91,16 +91,16 @@
     /** How many connections the pool may hold and make at a time; called on its loop. */
     public interface Slots {
         /** One connection more; false if there is no room. */
-        boolean takeConnection();
+        boolean acquireConnection();
 
         /** A connection has ended. */
-        void giveConnection();
+        void releaseConnection();
 
         /** One more connection begins to be made; false if too many are. */
-        boolean takeConnect();
+        boolean acquireConnect();
 
         /** A connection is made, or could not be. */
-        void giveConnect();
+        void releaseConnect();
 
         /** Whether connections are wanted back: none that gets free is kept. */
         boolean mustShrink();
@@ -290,21 +290,21 @@
 
     /** Takes a connection and a connect, both or neither. */
     private boolean mayConnect(Endpoint to) {
-        if (!slots.takeConnect()) {
+        if (!slots.acquireConnect()) {
             return false;
         }
         // Under a permit what gives way counts until its other side has ended it.
-        boolean may = takeConnection() || gate == null && makeRoom(to) && takeConnection();
+        boolean may = acquireConnection() || gate == null && makeRoom(to) && acquireConnection();
         if (!may) {
-            slots.giveConnect();
+            slots.releaseConnect();
         }
         return may;
     }
 
-    private boolean takeConnection() {
-        boolean may = held < most && slots.takeConnection();
-        if (may && gate != null && !gate.takeConnection()) {
-            slots.giveConnection();
+    private boolean acquireConnection() {
+        boolean may = held < most && slots.acquireConnection();
+        if (may && gate != null && !gate.acquireConnection()) {
+            slots.releaseConnection();
             return false;
         }
         held += may ? 1 : 0;
@@ -329,7 +329,7 @@
 
         @Override
         public void opened(Channel channel) {
-            slots.giveConnect();
+            slots.releaseConnect();
             opened = channel;
             if (endpoint.retired) {
                 close(channel);
@@ -343,7 +343,7 @@
 
         @Override
         public void failed(Throwable cause) {
-            slots.giveConnect();
+            slots.releaseConnect();
             failure = cause;
             attempt.end(Outcome.CONNECT_FAILED, 0, null);
         }
@@ -351,7 +351,7 @@
         @Override
         public void ended() {
             held--;
-            slots.giveConnection();
+            slots.releaseConnection();
             if (gate != null) {
                 // Only here: a connection that is kept would keep its first request.
                 attempt.carried();
--- a/src/main/java/rushpin/node/Budgets.java
+++ b/src/main/java/rushpin/node/Budgets.java
@@ -89,22 +89,22 @@
     }
 
     @Override
-    public boolean takeConnection() {
+    public boolean acquireConnection() {
         return connections.tryAcquire(1);
     }
 
     @Override
-    public void giveConnection() {
+    public void releaseConnection() {
         connections.release(1);
     }
 
     @Override
-    public boolean takeConnect() {
+    public boolean acquireConnect() {
         return connects.tryAcquire(1);
     }
 
     @Override
-    public void giveConnect() {
+    public void releaseConnect() {
         connects.release(1);
     }
 
--- a/src/test/java/rushpin/budget/ConnectionBudgetTest.java
+++ b/src/test/java/rushpin/budget/ConnectionBudgetTest.java
@@ -23,12 +23,12 @@
         List<String> started = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             budget.enqueue("loud", "loud");
-            budget.serve((waiter, tenant) -> budget.takeConnection() && started.add(waiter));
+            budget.serve((waiter, tenant) -> budget.acquireConnection() && started.add(waiter));
         }
         assertEquals(List.of("loud", "loud", "loud", "loud"), started);
         assertEquals(4 * ConnectionBudget.MAX_WAITING_PER_CONNECTION, budget.waiting());
         assertTrue(budget.enqueue("quiet", "quiet"));
-        budget.serve((waiter, tenant) -> budget.takeConnection() && started.add(waiter));
+        budget.serve((waiter, tenant) -> budget.acquireConnection() && started.add(waiter));
         assertEquals("quiet", started.get(4));
         assertEquals(
                 new ConnectionBudget.Use(4 + 4 * ConnectionBudget.MAX_WAITING_PER_CONNECTION + 1, 4),
@@ -119,7 +119,7 @@
                     if (allowed) {
                         openAndIdle[1]--;
                     } else {
-                        allowed = budget.takeConnection();
+                        allowed = budget.acquireConnection();
                         openAndIdle[0] += allowed ? 1 : 0;
                     }
                     if (allowed) {
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -340,22 +340,22 @@
 
     private static final class Slots implements ServerPool.Slots {
         @Override
-        public boolean takeConnection() {
+        public boolean acquireConnection() {
             return true;
         }
 
         @Override
-        public void giveConnection() {
+        public void releaseConnection() {
             // As many as there are.
         }
 
         @Override
-        public boolean takeConnect() {
+        public boolean acquireConnect() {
             return true;
         }
 
         @Override
-        public void giveConnect() {
+        public void releaseConnect() {
             // As many as there are.
         }
 
--- a/src/test/java/rushpin/net/ServerConnectTest.java
+++ b/src/test/java/rushpin/net/ServerConnectTest.java
@@ -200,24 +200,24 @@
         private int connects;
 
         @Override
-        public boolean takeConnection() {
+        public boolean acquireConnection() {
             connections++;
             return true;
         }
 
         @Override
-        public void giveConnection() {
+        public void releaseConnection() {
             connections--;
         }
 
         @Override
-        public boolean takeConnect() {
+        public boolean acquireConnect() {
             connects++;
             return true;
         }
 
         @Override
-        public void giveConnect() {
+        public void releaseConnect() {
             connects--;
         }
 
