--- a/src/main/java/rushpin/net/DiscoveryClient.java
+++ b/src/main/java/rushpin/net/DiscoveryClient.java
@@ -26,7 +26,7 @@
 import rushpin.membership.discovery.ServerListStream;
 
 /**
- * Watches the list of app servers, from the last revision heard on, and again whenever a watch ends or falls silent.
+ * Watches the list of app servers, from the last revision isReady on, and again whenever a watch ends or falls silent.
  * Only the watch that counts is believed, and in its own order: a discovery that has begun anew may count from a lower
  * revision. Whatever comes by one that has been left is nothing.
  *
@@ -51,7 +51,7 @@
     private static final long FIRST_BACKOFF_MS = 100, MOST_BACKOFF_MS = 250;
 
     private static final long MS = 1_000_000L;
-    /** Each watch keeps so much of a span by chance. With more than the most, one slow agent is heard too late. */
+    /** Each watch keeps so much of a span by chance. With more than the most, one slow agent is isReady too late. */
     static final double LEAST_PART = 0.9, MOST_PART = 0.96;
 
     /** Hears the list. */
@@ -60,7 +60,7 @@
         void list(ServerListUpdate roll, ListKind kind);
 
         /** Bounds that the source of the list gives: nanoseconds to connect, connections, requests; 0 for none. */
-        default void bounds(long connectTimeout, int mostConnections, int mostRequests) {
+        default void setLimits(long connectTimeout, int mostConnections, int mostRequests) {
             // Only some sources say so.
         }
 
@@ -84,7 +84,7 @@
 
     private long revision, backoff = FIRST_BACKOFF_MS;
     private boolean closed;
-    private volatile boolean heard;
+    private volatile boolean isReady;
 
     /** Connects nowhere yet. */
     public DiscoveryClient(Listener node, EventLoop loop, Upstream config) {
@@ -123,13 +123,13 @@
             // A process that got little of its core has only just asked.
             loop.schedule(() -> impatient(most), until - now, TimeUnit.NANOSECONDS);
         } else {
-            loop.schedule(() -> heard = true, spans.settling, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> isReady = true, spans.settling, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Whether a first message has come, or has been waited for long enough. */
-    public boolean heard() {
-        return heard;
+    public boolean isReady() {
+        return isReady;
     }
 
     /** From now on watches elsewhere. The list is kept: what changed since then is the new watch's to tell. */
@@ -291,7 +291,7 @@
                     messages.feed(piece, length, this::take);
                 }
                 // The first holds what changed: where an empty line comes in its place, nothing has.
-                heard |= !messages.isWithin();
+                isReady |= !messages.isWithin();
             }
             if (part instanceof LastHttpContent) {
                 context.close();
@@ -301,7 +301,7 @@
         private void take(ServerListUpdate roll) {
             node.list(roll, roll.complete() ? ListKind.FULL : ListKind.DELTA);
             revision = roll.revision();
-            heard = true;
+            isReady = true;
             backoff = FIRST_BACKOFF_MS;
         }
 
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -225,7 +225,7 @@
     }
 
     /** From now on connections may take so long to make, nanoseconds, and be so many; 0 for no bound but the slots. */
-    public void bounds(long connectTimeout, int mostConnections) {
+    public void setLimits(long connectTimeout, int mostConnections) {
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / MS));
         most = mostConnections == 0 ? Integer.MAX_VALUE : mostConnections;
     }
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -49,7 +49,7 @@
     private InetSocketAddress lastAnswered;
     private double dropped;
     private boolean saving;
-    private volatile boolean heard, closed;
+    private volatile boolean isReady, closed;
 
     /**
      * Connects nowhere yet; {@code known} is the list as last known, {@code state} the folder that keeps it, or null,
@@ -88,7 +88,7 @@
         long patience = hasList ? 1_000 * MS : plan.rules().warming();
         thread.schedule(
                 () -> {
-                    heard = true;
+                    isReady = true;
                 },
                 patience,
                 TimeUnit.NANOSECONDS);
@@ -109,8 +109,8 @@
     }
 
     /** Whether a list has come, or has been waited for long enough. */
-    public boolean heard() {
-        return heard;
+    public boolean isReady() {
+        return isReady;
     }
 
     /** Hears nothing more. */
@@ -129,7 +129,7 @@
     }
 
     /** As {@link #close}, and waits up to 2 s until the stream has let go of all that it held; not for a loop. */
-    public void end() {
+    public void closeAndAwait() {
         GrpcStream last = stream;
         close();
         long until = System.nanoTime() + 2_000 * MS;
@@ -223,7 +223,7 @@
     @Override
     public void cluster(ClusterSpec spec) {
         if (spec != null) {
-            loop.execute(() -> pool.bounds(spec.connectTimeout(), spec.maxConnections(), spec.maxRequests()));
+            loop.execute(() -> pool.setLimits(spec.connectTimeout(), spec.maxConnections(), spec.maxRequests()));
         }
         view.cluster(spec, System.nanoTime(), wall());
     }
@@ -249,7 +249,7 @@
 
     @Override
     public void list(ServerListUpdate roll, boolean whole) {
-        heard = true;
+        isReady = true;
         loop.execute(() -> pool.list(roll, whole ? ListKind.FULL : ListKind.DELTA));
         if (lastGood != null && !saving) {
             saving = true;
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -383,8 +383,8 @@
     }
 
     @Override
-    public void bounds(long connectTimeout, int mostConnections, int mostRequests) {
-        servers.bounds(connectTimeout == 0 ? plan.upstream().connectTimeout() : connectTimeout, mostConnections);
+    public void setLimits(long connectTimeout, int mostConnections, int mostRequests) {
+        servers.setLimits(connectTimeout == 0 ? plan.upstream().connectTimeout() : connectTimeout, mostConnections);
         maxOpenRequests = mostRequests;
     }
 
@@ -554,7 +554,7 @@
     /** Stops the xDS stream when the process ends. */
     void close() {
         if (xds != null) {
-            xds.end();
+            xds.closeAndAwait();
         }
     }
 
@@ -597,7 +597,7 @@
 
     /** Returns whether a server list has arrived, or discovery's timeout is over and the known list is used. */
     boolean ready() {
-        return xds != null ? xds.heard() : discovery == null || discovery.heard();
+        return xds != null ? xds.isReady() : discovery == null || discovery.isReady();
     }
 
     /** Returns the time, and detects stalls: the module's own timer calls this every 10 ms. */
@@ -739,7 +739,7 @@
      * from the start, so nothing is decided by the saved list before.
      */
     private void admit(OpenRequest taken) {
-        if (discovery == null || discovery.heard()) {
+        if (discovery == null || discovery.isReady()) {
             runEvent(taken, now -> gateway.request(now, taken.request()));
         } else if (!taken.isAnswered()) {
             loop.schedule(() -> admit(taken), FIRST_LIST_POLL_NANOS, TimeUnit.NANOSECONDS);
--- a/src/test/java/rushpin/net/DiscoveryClientTest.java
+++ b/src/test/java/rushpin/net/DiscoveryClientTest.java
@@ -213,9 +213,9 @@
     void anEmptyFirstLineSaysThatNothingHasChanged() throws Exception {
         watch(60_000, 60_000);
         Asked first = next("5");
-        assertFalse(client.heard());
+        assertFalse(client.isReady());
         first.say(HEAD + "1\r\n\n\r\n" + "1\r\n{\r\n");
-        while (!client.heard()) {
+        while (!client.isReady()) {
             Thread.onSpinWait();
         }
         assertTrue(heard.isEmpty());
