--- a/src/main/java/rushpin/net/AnswerHandler.java
+++ b/src/main/java/rushpin/net/AnswerHandler.java
@@ -14,8 +14,8 @@
 import java.io.IOException;
 
 /**
- * Puts a peer's answers together and tells a spoilt one as early as that can be: a length that is too large, or two
- * of them, is told by the head. After a spoilt answer nothing else that comes is looked at. What is too long to be
+ * Puts a peer's answers together and tells a unusable one as early as that can be: a length that is too large, or two
+ * of them, is told by the head. After a unusable answer nothing else that comes is looked at. What is too long to be
  * kept goes through a {@link BodyStream}, where there is one.
  */
 public abstract class AnswerHandler extends SimpleChannelInboundHandler<HttpObject> {
@@ -29,7 +29,7 @@
     private final BodyBuffer body;
     private HttpResponse head;
     private int informational;
-    private boolean spoilt;
+    private boolean unusable;
     /** Where the pieces of a long answer go; else null. */
     private BodyStream passage;
 
@@ -51,7 +51,7 @@
     protected abstract void answered(HttpResponse answer, ByteBuf body);
 
     /** What came is no whole answer and never will be; the connection is of no further use. */
-    protected abstract void spoilt();
+    protected abstract void unusable();
 
     /** A long answer goes through from now on, {@code length} bytes or -1; null if there is no way for it. */
     BodyStream begins(HttpResponse answer, long length) {
@@ -70,7 +70,7 @@
 
     /** Passes on what has come of an answer of unknown or great length; false if there is none. */
     final boolean openEarly() {
-        boolean may = !spoilt
+        boolean may = !unusable
                 && head != null
                 && passage == null
                 && longest > most
@@ -117,7 +117,7 @@
 
     @Override
     protected final void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (spoilt) {
+        if (unusable) {
             return;
         }
         if (passage == null && !expectsAnswer() || part.decoderResult().isFailure()) {
@@ -137,7 +137,7 @@
         if (part instanceof HttpContent content && !isInformational()) {
             take(content.content());
         }
-        if (part instanceof LastHttpContent && !spoilt) {
+        if (part instanceof LastHttpContent && !unusable) {
             finish();
         }
     }
@@ -179,15 +179,15 @@
     }
 
     private void spoil() {
-        if (!spoilt) {
-            spoilt = true;
+        if (!unusable) {
+            unusable = true;
             head = null;
             body.take().release();
             if (passage != null) {
                 passage.end(false);
                 passage = null;
             }
-            spoilt();
+            unusable();
         }
     }
 
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -201,7 +201,7 @@
     /** Opens the listening socket. */
     public CompletableFuture<Void> bind() {
         return listen instanceof UnixDomainSocketAddress
-                ? bindResult(configure(Transport.listening(loop, listen).option(ChannelOption.SO_BACKLOG, BACKLOG))
+                ? bindResult(configure(Transport.serverBootstrap(loop, listen).option(ChannelOption.SO_BACKLOG, BACKLOG))
                         .bind(listen))
                 : bindOwn(false);
     }
--- a/src/main/java/rushpin/net/CounterClient.java
+++ b/src/main/java/rushpin/net/CounterClient.java
@@ -48,7 +48,7 @@
 
     /** Opens nothing yet: the first call does. */
     public CounterClient(Listener listener, EventLoop loop, Upstream config) {
-        this(listener, loop, config, Transport.connecting(loop, config.counter()));
+        this(listener, loop, config, Transport.clientBootstrap(loop, config.counter()));
     }
 
     /** As above, by sockets of one's own. */
@@ -379,7 +379,7 @@
         }
 
         @Override
-        protected void spoilt() {
+        protected void unusable() {
             die();
         }
     }
--- a/src/main/java/rushpin/net/DiscoveryClient.java
+++ b/src/main/java/rushpin/net/DiscoveryClient.java
@@ -93,7 +93,7 @@
 
     /** As above, with spans of one's own. */
     DiscoveryClient(Listener node, EventLoop loop, Names names, SocketAddress address, Spans spans) {
-        this(node, loop, names, address, spans, Transport.connecting(loop, address));
+        this(node, loop, names, address, spans, Transport.clientBootstrap(loop, address));
     }
 
     /** As above, by sockets of one's own. */
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -48,7 +48,7 @@
     private static final long REST = 10 * MS;
     /** How often a begun answer is looked at: one of unknown or great length is passed on then. */
     private static final long LOOK = 200 * MS;
-    /** A begun answer of which nothing more comes for so long is spoilt and will not get better. */
+    /** A begun answer of which nothing more comes for so long is unusable and will not get better. */
     private static final long SILENCE = 400 * MS;
     /**
      * By so much less than is left, and by no more than this part of it, a server is told to hurry, in milliseconds: the
@@ -124,7 +124,7 @@
 
     /** Holds as many connections as there are slots. */
     public ServerPool(Listener node, EventLoop loop, Upstream config, Slots slots) {
-        this(node, loop, config, slots, Transport.connecting(loop, config.discovery()));
+        this(node, loop, config, slots, Transport.clientBootstrap(loop, config.discovery()));
     }
 
     /** As above, with sockets of one's own. */
@@ -824,12 +824,12 @@
             }
         }
 
-        /** What still comes is passed on, if it is of unknown or great length; what does not come is spoilt. */
+        /** What still comes is passed on, if it is of unknown or great length; what does not come is unusable. */
         private void look() {
             boolean moved = readAt != lookedAt;
             lookedAt = readAt;
             if (!(moved && openEarly()) && System.nanoTime() - readAt > SILENCE) {
-                spoilt();
+                unusable();
             }
         }
 
@@ -851,7 +851,7 @@
 
         /** The connection's end, or the end of its use. */
         @Override
-        protected void spoilt() {
+        protected void unusable() {
             awaitRest(false);
             if (endpoint != null) {
                 endpoint.idle.remove(this);
--- a/src/main/java/rushpin/net/Transport.java
+++ b/src/main/java/rushpin/net/Transport.java
@@ -30,7 +30,7 @@
     private Transport() {}
 
     /** For connections to addresses of the kind of {@code like}. */
-    public static Bootstrap connecting(EventLoop loop, SocketAddress like) {
+    public static Bootstrap clientBootstrap(EventLoop loop, SocketAddress like) {
         Bootstrap bootstrap = new Bootstrap().group(loop);
         return like instanceof UnixDomainSocketAddress
                 ? bootstrap.channel(NioDomainSocketChannel.class)
@@ -38,7 +38,7 @@
     }
 
     /** For listening at an address of the kind of {@code like}. */
-    public static ServerBootstrap listening(EventLoop loop, SocketAddress like) {
+    public static ServerBootstrap serverBootstrap(EventLoop loop, SocketAddress like) {
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
         return like instanceof UnixDomainSocketAddress
                 ? bootstrap.channel(NioServerDomainSocketChannel.class)
--- a/src/main/java/rushpin/node/WarmUp.java
+++ b/src/main/java/rushpin/node/WarmUp.java
@@ -143,7 +143,7 @@
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < SERVER_COUNT; i++) {
             SocketAddress address = socketAddress("s" + i);
-            Transport.listening(loop, address)
+            Transport.serverBootstrap(loop, address)
                     .childHandler(handlers(() -> new ChannelHandler[] {new HttpServerCodec(), new FakePeer()}))
                     .bind(address)
                     .sync();
@@ -177,7 +177,7 @@
             node.start();
             for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
                 AnswerDecoder decoder = new AnswerDecoder();
-                Transport.connecting(loop, node.address())
+                Transport.clientBootstrap(loop, node.address())
                         .handler(handlers(() -> new ChannelHandler[] {decoder, new FakeClient()}))
                         .connect(node.address())
                         .addListener(connected -> {
@@ -365,7 +365,7 @@
         }
 
         @Override
-        protected void spoilt() {
+        protected void unusable() {
             done.complete(null);
         }
     }
