--- a/src/main/java/rushpin/net/CounterClient.java
+++ b/src/main/java/rushpin/net/CounterClient.java
@@ -358,7 +358,7 @@
             boolean good = HttpUtil.isKeepAlive(answer);
             switch (answer.status().code()) {
                 case 200 -> {
-                    double total = Figures.number(
+                    double total = NumberParser.parseDecimal(
                             body.toString(StandardCharsets.US_ASCII).strip());
                     // It was added. A total that cannot be read leaves it unknown, and the line is no good.
                     boolean known = !Double.isNaN(total);
--- a/src/main/java/rushpin/net/Figures.java
+++ b/src/main/java/rushpin/net/NumberParser.java
@@ -4,18 +4,18 @@
  * Reads figures that a peer wrote. Java's own parser takes more than a peer may mean ({@code 1d}, {@code 0x1p3},
  * {@code NaN}), and a figure out of bounds must not find its way into what is counted.
  */
-final class Figures {
+final class NumberParser {
     private static final int MOST_LENGTH = 32;
 
-    private Figures() {}
+    private NumberParser() {}
 
     /** A decimal number; NaN if the text is none. */
-    static double number(String text) {
+    static double parseDecimal(String text) {
         return parse(text, "0123456789.+-eE");
     }
 
     /** A number above 0, without sign or exponent, and no larger than {@code most}; NaN if the text is none. */
-    static double amount(String text, double most) {
+    static double parsePositive(String text, double most) {
         double value = parse(text, "0123456789.");
         return value > 0 && value <= most ? value : Double.NaN;
     }
--- a/src/main/java/rushpin/net/RequestReader.java
+++ b/src/main/java/rushpin/net/RequestReader.java
@@ -184,7 +184,7 @@
     }
 
     private static double units(String text, double max) throws RequestRejectedException {
-        double units = Figures.amount(text, max);
+        double units = NumberParser.parsePositive(text, max);
         if (Double.isNaN(units)) {
             throw RequestRejectedException.badRequest(
                     "X-Quota units is not a number above 0 that one request may count");
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -845,7 +845,7 @@
 
         /** A figure that cannot be read, or more than a request may count, is as good as none. */
         private double units(HttpResponse answer) {
-            double units = Figures.amount(answer.headers().get("X-Units-Charged"), mostUnits);
+            double units = NumberParser.parsePositive(answer.headers().get("X-Units-Charged"), mostUnits);
             return Double.isNaN(units) ? 0 : units;
         }
 
