--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -24,7 +24,7 @@
 import rushpin.net.ByteBudget;
 import rushpin.net.Descriptors;
 import rushpin.net.Upstream;
-import rushpin.net.xds.XdsPlan;
+import rushpin.net.xds.XdsConfig;
 import rushpin.route.RequestTarget;
 import rushpin.route.Route;
 import rushpin.route.RouteTable;
@@ -207,7 +207,7 @@
         String group = pool.text("group", false);
         boolean countsFirst = pool.flag("count-first");
         boolean hasXds = pool.has("xds");
-        XdsPlan xds = hasXds && name != null ? XdsTableReader.read(pool.table("xds"), name, folder, platform) : null;
+        XdsConfig xds = hasXds && name != null ? XdsTableReader.read(pool.table("xds"), name, folder, platform) : null;
         TableReader guaranteed = pool.table("guaranteed");
         ResourceLimits guarantee = limits(
                 guaranteed,
--- a/src/main/java/rushpin/config/PoolConfig.java
+++ b/src/main/java/rushpin/config/PoolConfig.java
@@ -4,7 +4,7 @@
 import rushpin.gateway.Ports.Settings;
 import rushpin.membership.ServerListUpdate;
 import rushpin.net.Upstream;
-import rushpin.net.xds.XdsPlan;
+import rushpin.net.xds.XdsConfig;
 
 /**
  * The configuration of one pool.
@@ -24,7 +24,7 @@
         ServerListUpdate known,
         boolean ownLoop,
         ResourceLimits guaranteed,
-        XdsPlan xds,
+        XdsConfig xds,
         String group) {
     /** Creates the configuration of a pool whose servers come from discovery. */
     public PoolConfig(
--- a/src/main/java/rushpin/config/XdsTableReader.java
+++ b/src/main/java/rushpin/config/XdsTableReader.java
@@ -9,7 +9,7 @@
 import rushpin.membership.discovery.ServerListReader;
 import rushpin.membership.xds.ClusterView;
 import rushpin.membership.xds.XdsVariant;
-import rushpin.net.xds.XdsPlan;
+import rushpin.net.xds.XdsConfig;
 
 /** Reads the table {@code [pool.xds]} of the operator's file. */
 final class XdsTableReader {
@@ -21,7 +21,7 @@
 
     private XdsTableReader() {}
 
-    static XdsPlan read(TableReader xds, String pool, Path folder, Config platform) {
+    static XdsConfig read(TableReader xds, String pool, Path folder, Config platform) {
         String path = xds.text("path", false);
         List<InetSocketAddress> servers = new ArrayList<>();
         for (String each : xds.texts("servers", MAX_SERVERS)) {
@@ -55,14 +55,14 @@
             xds.fault(certificate == null ? "certificate" : "key", "is missing", "certificate and key, or neither");
         }
         xds.done();
-        return new XdsPlan(
+        return new XdsConfig(
                 XdsVariant.valueOf(variant.toUpperCase(Locale.ROOT)),
                 List.copyOf(servers),
                 path == null ? null : folder.resolve(path),
                 cluster == null ? pool : cluster,
                 subscribed.equals("all"),
                 node == null ? platform == null ? pool : platform.name() : node,
-                ca == null ? null : new XdsPlan.Tls(ca, certificate, key),
+                ca == null ? null : new XdsConfig.Tls(ca, certificate, key),
                 (int) maxMessage,
                 new ClusterView.Rules(
                         maxRemoved / 100.0, maxRemoved == 100 ? 0 : guard * MS, warming * MS, REMEMBER_NANOS));
--- a/src/main/java/rushpin/net/xds/GrpcStream.java
+++ b/src/main/java/rushpin/net/xds/GrpcStream.java
@@ -47,7 +47,7 @@
     private ClientCallStreamObserver<DeltaDiscoveryRequest> changes;
     private boolean first = true, answered, over;
 
-    GrpcStream(XdsPlan plan, InetSocketAddress server, EventLoop loop, Executor thread, XdsSource source)
+    GrpcStream(XdsConfig plan, InetSocketAddress server, EventLoop loop, Executor thread, XdsSource source)
             throws IOException {
         this.server = server;
         this.source = source;
--- a/src/main/java/rushpin/net/xds/LastGood.java
+++ b/src/main/java/rushpin/net/xds/ServerListCache.java
@@ -24,7 +24,7 @@
  * The list as last told, in the state folder, in the form of the platform's discovery: the next start takes it as
  * cached. Replaced by rename, so it is whole or the one before.
  */
-public final class LastGood {
+public final class ServerListCache {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long MS = 1_000_000L;
 
@@ -40,12 +40,12 @@
     private boolean failed;
 
     /** The list of a pool in a folder. */
-    public LastGood(Path folder, String pool, Names names) {
+    public ServerListCache(Path folder, String pool, Names names) {
         this(folder, pool, names, channel -> channel.force(true));
     }
 
     /** As above, forced to the disk in a given way. */
-    LastGood(Path folder, String pool, Names names, Force force) {
+    ServerListCache(Path folder, String pool, Names names, Force force) {
         this.force = force;
         file = folder.resolve("xds-" + pool + ".json");
         this.names = names;
--- a/src/main/java/rushpin/net/xds/XdsPlan.java
+++ b/src/main/java/rushpin/net/xds/XdsConfig.java
@@ -17,7 +17,7 @@
  * @param tls files to trust and to be trusted by; null for plain text
  * @param mostMessage bytes of one message
  */
-public record XdsPlan(
+public record XdsConfig(
         XdsVariant form,
         List<InetSocketAddress> servers,
         Path path,
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -28,14 +28,14 @@
  * A pool's servers from an xDS management server or file. Messages are read and decided on a thread of its own, so that
  * a list of thousands takes no time from the pool's loop; what the pool is told goes to its loop, in order.
  *
- * <p>Bounds: one stream, one message at a time, {@link XdsPlan#mostMessage} bytes each, {@value #MOST_A_SECOND} a second.
+ * <p>Bounds: one stream, one message at a time, {@link XdsConfig#mostMessage} bytes each, {@value #MOST_A_SECOND} a second.
  */
 public final class XdsSource implements Subscription.Port, ClusterView.Port {
     private static final int MOST_A_SECOND = 100;
     private static final long MS = 1_000_000L, FIRST_WAIT = 200 * MS, MOST_WAIT = 10_000 * MS, SILENT = 15_000 * MS;
     private static final long LOOK_MS = 500;
 
-    private final XdsPlan plan;
+    private final XdsConfig plan;
     private final LongSupplier wallMs;
     private final DiscoveryClient.Listener pool;
     private final EventLoop loop;
@@ -43,7 +43,7 @@
     private final ClusterView view;
     private final Subscription subscription;
     private final ReconnectBackoff retry;
-    private final LastGood lastGood;
+    private final ServerListCache lastGood;
     private final ScheduledExecutorService thread;
     private volatile GrpcStream stream;
     private InetSocketAddress lastAnswered;
@@ -56,7 +56,7 @@
      * {@code wallMs} the machine's clock, Unix milliseconds, by which servers that are new are dated.
      */
     public XdsSource(
-            XdsPlan plan,
+            XdsConfig plan,
             String pool,
             Names names,
             List<Member> known,
@@ -74,7 +74,7 @@
         subscription = new Subscription(plan.form(), plan.cluster(), plan.all(), this);
         retry = new ReconnectBackoff(
                 Math.max(1, plan.servers().size()), FIRST_WAIT, MOST_WAIT, new SplittableRandom(seed));
-        lastGood = state == null ? null : new LastGood(state, pool, names);
+        lastGood = state == null ? null : new ServerListCache(state, pool, names);
         thread = Executors.newSingleThreadScheduledExecutor(work -> {
             Thread made = new Thread(work, "xds " + pool);
             made.setDaemon(true);
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -44,7 +44,7 @@
 import rushpin.net.ServerPool;
 import rushpin.net.Service;
 import rushpin.net.ErrorLog;
-import rushpin.net.xds.LastGood;
+import rushpin.net.xds.ServerListCache;
 import rushpin.net.xds.XdsSource;
 import rushpin.quota.UseRecord;
 import rushpin.traffic.Entry;
@@ -374,7 +374,7 @@
 
     private void startXds(ServerListUpdate known, Path state) {
         List<Member> members = known.members();
-        List<Member> kept = state == null ? List.of() : new LastGood(state, plan.name(), names()).read(this::log);
+        List<Member> kept = state == null ? List.of() : new ServerListCache(state, plan.name(), names()).read(this::log);
         members = kept.isEmpty() ? members : kept;
         xds = new XdsSource(plan.xds(), plan.name(), names(), members, state, plan.seed(), loop, this, clock::wallMs);
         // The first list is checked against other pools' claims like every later one.
--- a/src/test/java/rushpin/net/xds/LastGoodTest.java
+++ b/src/test/java/rushpin/net/xds/ServerListCacheTest.java
@@ -19,7 +19,7 @@
 import rushpin.membership.Names;
 
 /** The list as last told, torn and on a disk that fails. */
-class LastGoodTest {
+class ServerListCacheTest {
     private static final Names NAMES = new Names(List.of("bulk"), List.of("basic"), List.of("z-0"), List.of("m"));
 
     @TempDir
@@ -35,14 +35,14 @@
     }
 
     private List<String> ids() {
-        return new LastGood(folder, "p", NAMES)
+        return new ServerListCache(folder, "p", NAMES)
                 .read(said::add).stream().map(member -> member.server().id()).toList();
     }
 
     @Test
     void whatCannotBeForcedToTheDiskDoesNotReplaceTheLastGood() {
         boolean[] failing = {false};
-        LastGood list = new LastGood(folder, "p", NAMES, channel -> {
+        ServerListCache list = new ServerListCache(folder, "p", NAMES, channel -> {
             if (failing[0]) {
                 throw new IOException("force fails");
             }
@@ -60,7 +60,7 @@
 
     @Test
     void aFileCutAtEveryByteIsNoListAndALine() throws Exception {
-        new LastGood(folder, "p", NAMES).save(members("s-0", "s-1"), said::add);
+        new ServerListCache(folder, "p", NAMES).save(members("s-0", "s-1"), said::add);
         Path file = folder.resolve("xds-p.json");
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut < whole.length; cut++) {
--- a/src/test/java/rushpin/node/XdsPoolTest.java
+++ b/src/test/java/rushpin/node/XdsPoolTest.java
@@ -49,7 +49,7 @@
 import rushpin.config.Config;
 import rushpin.config.OperatorFile;
 import rushpin.membership.Names;
-import rushpin.net.xds.LastGood;
+import rushpin.net.xds.ServerListCache;
 import rushpin.rig.ManagementServer;
 
 /** A pool whose servers a management server or a file tells, on real sockets. */
@@ -531,7 +531,7 @@
         Files.createDirectories(folder.resolve("state"));
         List<String> said = new ArrayList<>();
         Names names = new Names(List.of(), List.of(), List.of("a"), List.of());
-        LastGood kept = new LastGood(folder.resolve("state"), "a", names);
+        ServerListCache kept = new ServerListCache(folder.resolve("state"), "a", names);
         assertEquals(List.of(), kept.read(said::add), "none yet");
         assertEquals(List.of(), said);
         for (String torn : List.of(
