--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -707,7 +707,7 @@
             witness.entered(taken.className());
         }
         if (closed
-                || left(taken) <= 0
+                || remainingNanos(taken) <= 0
                 || maxOpenRequests > 0 && openRequests.size() >= maxOpenRequests
                 || dropFraction > 0 && shouldDrop()
                 || !budgets.tryAcquire(taken)) {
