--- a/src/main/java/rushpin/cli/Main.java
+++ b/src/main/java/rushpin/cli/Main.java
@@ -13,8 +13,8 @@
 import rushpin.config.OperatorFile;
 import rushpin.drill.Drill;
 import rushpin.node.Console;
-import rushpin.node.OperatorState;
 import rushpin.node.EdgeNode;
+import rushpin.node.OperatorState;
 import rushpin.node.PlainLogFormatter;
 import rushpin.node.WarmUp;
 
@@ -156,7 +156,8 @@
     }
 
     /** Reads the configuration again. If it can't be used, one line is logged and the running settings stay. */
-    private static void reload(EdgeNode node, Path file, Path operator, OperatorState desk, AtomicReference<Config> running) {
+    private static void reload(
+            EdgeNode node, Path file, Path operator, OperatorState desk, AtomicReference<Config> running) {
         if (node == null) {
             // The file is read when the node has started.
             return;
--- a/src/main/java/rushpin/gateway/Ports.java
+++ b/src/main/java/rushpin/gateway/Ports.java
@@ -368,7 +368,10 @@
          */
         default void useChanged(long customer, int plan, int setSize, double units) {}
 
-        /** Hands units of a customer's ceiling to another process; called only from within {@link Events#releaseCeiling}. */
+        /**
+         * Hands units of a customer's ceiling to another process; called only from within
+         * {@link Events#releaseCeiling}.
+         */
         default void ceilingReleased(long customer, int plan, int setSize, double units) {}
 
         /** Asks for {@link Events#timer} after a delay in nanoseconds. */
--- a/src/main/java/rushpin/model/Station.java
+++ b/src/main/java/rushpin/model/Station.java
@@ -264,7 +264,8 @@
         while (time.now() - pushes.peek()[0] > rules.overloadDuration()) {
             pushed -= pushes.poll()[1];
         }
-        if (rules.overloadFactor() > 0 && pushed > rules.overloadFactor() * warmth() * cores * rules.overloadDuration()) {
+        if (rules.overloadFactor() > 0
+                && pushed > rules.overloadFactor() * warmth() * cores * rules.overloadDuration()) {
             fallen = true;
             fell.run();
             breakOff();
--- a/src/main/java/rushpin/net/AnswerDecoder.java
+++ b/src/main/java/rushpin/net/AnswerDecoder.java
@@ -10,42 +10,46 @@
 import java.util.List;
 
 /**
- * The codec's decoder, which also tells whether a connection is clean. By itself it passes over line ends and
- * control characters ahead of an answer, waits for the end of a first line of noise, and hides what it holds of
- * a further answer: each of these would let bytes that belong to no request pass for the next one's answer.
+ * Netty's response decoder, made strict, which also reports whether the connection is at a message boundary.
+ *
+ * <p>Netty's decoder skips line ends and control characters before an answer, waits for the end of a first line that
+ * is no status line, and hides buffered bytes of a further answer. Each of these could let bytes that belong to no
+ * request pass for the answer to the next one.
  */
 public final class AnswerDecoder extends HttpResponseDecoder {
-    private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
-    private boolean between = true;
+    private static final byte[] STATUS_LINE_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+    private boolean atMessageBoundary = true;
 
-    /** Whether all that came was whole answers. */
-    public boolean isBetween() {
-        return between && actualReadableBytes() == 0;
+    /** Returns whether everything received so far was complete answers. */
+    public boolean isAtMessageBoundary() {
+        return atMessageBoundary && actualReadableBytes() == 0;
     }
 
-    /** The codec takes a line of words without a colon behind the first of them for a header with no value. */
+    /**
+     * Rejects a header line without a colon after the name: Netty takes its first word for a header without a value.
+     */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon behind a header's name");
+            throw new IllegalArgumentException("header line has no colon after the name");
         }
         return super.splitHeaderName(line, start, length);
     }
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) throws Exception {
-        if (between) {
-            for (int i = 0; i < START.length && i < in.readableBytes(); i++) {
-                if (in.getByte(in.readerIndex() + i) != START[i]) {
+        if (atMessageBoundary) {
+            for (int i = 0; i < STATUS_LINE_PREFIX.length && i < in.readableBytes(); i++) {
+                if (in.getByte(in.readerIndex() + i) != STATUS_LINE_PREFIX[i]) {
                     in.skipBytes(in.readableBytes());
-                    between = false;
-                    throw new DecoderException("this is no answer");
+                    atMessageBoundary = false;
+                    throw new DecoderException("response does not start with HTTP/1.");
                 }
             }
         }
         int before = in.readableBytes();
         super.decode(context, in, out);
-        between &= in.readableBytes() == before;
-        between |= !out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent;
+        atMessageBoundary &= in.readableBytes() == before;
+        atMessageBoundary |= !out.isEmpty() && out.get(out.size() - 1) instanceof LastHttpContent;
     }
 }
--- a/src/main/java/rushpin/net/AnswerHandler.java
+++ b/src/main/java/rushpin/net/AnswerHandler.java
@@ -14,83 +14,101 @@
 import java.io.IOException;
 
 /**
- * Puts a peer's answers together and tells a unusable one as early as that can be: a length that is too large, or two
- * of them, is told by the head. After a unusable answer nothing else that comes is looked at. What is too long to be
- * kept goes through a {@link BodyStream}, where there is one.
+ * Assembles the answers of a peer and detects an invalid one as early as possible: a length that is too large, or two
+ * lengths, as soon as the head has arrived. After an invalid answer all further input is ignored.
+ *
+ * <p>An answer that is too long to be buffered is streamed through a {@link BodyStream}, if the subclass provides one.
  */
 public abstract class AnswerHandler extends SimpleChannelInboundHandler<HttpObject> {
-    /** So many 1xx answers ahead of one are nobody's courtesy any more. */
-    private static final int MOST_INFORMATIONAL = 32;
-    /** So much of an answer that is known to be long is there before it is passed on. */
-    private static final int EARLY = 16 * 1024;
+    /** Maximum number of 1xx answers before one answer. */
+    private static final int MAX_INFORMATIONAL = 32;
+    /** An answer that is known to be too long is buffered up to this number of bytes before it is streamed. */
+    private static final int STREAM_THRESHOLD_BYTES = 16 * 1024;
+
+    /** Maximum size of an answer that is buffered, in bytes. */
+    private final int maxBuffered;
+    /** Maximum size of an answer that is streamed, in bytes. */
+    private final long maxStreamed;
 
-    private final int most;
-    private final long longest;
     private final BodyBuffer body;
     private HttpResponse head;
     private int informational;
     private boolean unusable;
-    /** Where the pieces of a long answer go; else null. */
+    /** Takes the bytes of a long answer; null while none is streamed. */
     private BodyStream passage;
 
-    private long length, passed;
+    /** The Content-Length of the current answer; -1 if it has none. */
+    private long length;
+    /** Number of bytes streamed of the current answer. */
+    private long streamedBytes;
 
-    /** Takes answers of so many bytes at most. */
-    protected AnswerHandler(int most) {
-        this(most, most);
+    /** Accepts answers of at most {@code maxBuffered} bytes. */
+    protected AnswerHandler(int maxBuffered) {
+        this(maxBuffered, maxBuffered);
     }
 
-    /** Keeps answers of {@code most} bytes, and passes on those of {@code longest}, whatever ends them. */
-    protected AnswerHandler(int most, long longest) {
-        this.most = most;
-        this.longest = longest;
-        body = new BodyBuffer(most);
+    /**
+     * Buffers answers of at most {@code maxBuffered} bytes, and streams those of at most {@code maxStreamed} bytes,
+     * whether their end is given by a length, a coding or the connection.
+     */
+    protected AnswerHandler(int maxBuffered, long maxStreamed) {
+        this.maxBuffered = maxBuffered;
+        this.maxStreamed = maxStreamed;
+        body = new BodyBuffer(maxBuffered);
     }
 
-    /** A whole answer came; the body stays the caller's. */
+    /** Handles a complete answer; the caller keeps the reference to the body. */
     protected abstract void answered(HttpResponse answer, ByteBuf body);
 
-    /** What came is no whole answer and never will be; the connection is of no further use. */
+    /** Handles an answer that is invalid or was cut off; the connection must not be used any more. */
     protected abstract void unusable();
 
-    /** A long answer goes through from now on, {@code length} bytes or -1; null if there is no way for it. */
-    BodyStream begins(HttpResponse answer, long length) {
+    /**
+     * Starts to stream a long answer.
+     *
+     * @param length in bytes; -1 if it is unknown
+     * @return the passage that takes the bytes; null if the answer can't be streamed
+     */
+    BodyStream startStreaming(HttpResponse answer, long length) {
         return null;
     }
 
-    /** The last of a long answer has gone through. */
-    void passedOn(HttpResponse answer) {
-        // Only where any goes through.
+    /** Handles the end of a streamed answer, after its last byte was passed on. */
+    void streamingEnded(HttpResponse answer) {
+        // Only for subclasses that stream.
     }
 
-    /** Whether a long answer is going through. */
-    final boolean isPassing() {
+    /** Returns whether an answer is being streamed. */
+    final boolean isStreaming() {
         return passage != null;
     }
 
-    /** Passes on what has come of an answer of unknown or great length; false if there is none. */
-    final boolean openEarly() {
+    /**
+     * Starts to stream the current answer if its length is unknown or too large to be buffered; returns false if there
+     * is none.
+     */
+    final boolean startStreamingEarly() {
         boolean may = !unusable
                 && head != null
                 && passage == null
-                && longest > most
+                && maxStreamed > maxBuffered
                 && body.size() > 0
                 && !isInformational()
                 && head.status().code() == 200
-                && (length > most || length < 0);
+                && (length > maxBuffered || length < 0);
         if (may) {
-            open(Unpooled.EMPTY_BUFFER);
+            openPassage(Unpooled.EMPTY_BUFFER);
         }
         return may;
     }
 
-    private void open(ByteBuf more) {
+    private void openPassage(ByteBuf more) {
         ByteBuf first = body.take();
-        passed = first.readableBytes() + more.readableBytes();
-        passage = begins(head, length);
+        streamedBytes = first.readableBytes() + more.readableBytes();
+        passage = startStreaming(head, length);
         if (passage == null) {
             first.release();
-            spoil();
+            markUnusable();
             return;
         }
         passage.push(first);
@@ -99,20 +117,20 @@
 
     private void take(ByteBuf bytes) {
         if (passage != null) {
-            passed += bytes.readableBytes();
-            if (passed > longest) {
-                spoil();
+            streamedBytes += bytes.readableBytes();
+            if (streamedBytes > maxStreamed) {
+                markUnusable();
             } else {
                 passage.push(bytes.retain());
             }
         } else if (!body.add(bytes)) {
-            open(bytes);
-        } else if (length > most && body.size() >= EARLY) {
-            open(Unpooled.EMPTY_BUFFER);
+            openPassage(bytes);
+        } else if (length > maxBuffered && body.size() >= STREAM_THRESHOLD_BYTES) {
+            openPassage(Unpooled.EMPTY_BUFFER);
         }
     }
 
-    /** Whether an answer may come now: one that nobody waits for belongs to nothing. */
+    /** Returns whether an answer is due; any other answer is invalid. */
     protected abstract boolean expectsAnswer();
 
     @Override
@@ -121,16 +139,16 @@
             return;
         }
         if (passage == null && !expectsAnswer() || part.decoderResult().isFailure()) {
-            spoil();
+            markUnusable();
             return;
         }
-        if (part instanceof HttpResponse begun) {
-            head = begun;
-            length = HttpUtil.getContentLength(begun, -1L);
+        if (part instanceof HttpResponse response) {
+            head = response;
+            length = HttpUtil.getContentLength(response, -1L);
             if (isInformational()
-                    ? begun.status().code() == 101 || ++informational > MOST_INFORMATIONAL
-                    : !isFramed(begun)) {
-                spoil();
+                    ? response.status().code() == 101 || ++informational > MAX_INFORMATIONAL
+                    : !isFramed(response)) {
+                markUnusable();
                 return;
             }
         }
@@ -146,14 +164,17 @@
         return head.status().code() < 200;
     }
 
-    /** Without a length an answer ends with the connection (RFC 9112, 6.3), which tells only who passes all on. */
-    private boolean isFramed(HttpResponse begun) {
-        String coding = begun.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
+    /**
+     * Returns whether the answer has an acceptable length or coding. An answer without a length ends with the
+     * connection (RFC 9112, 6.3), which only subclasses that stream accept.
+     */
+    private boolean isFramed(HttpResponse response) {
+        String coding = response.headers().get(HttpHeaderNames.TRANSFER_ENCODING);
         if (coding != null) {
             return coding.equalsIgnoreCase("chunked");
         }
-        int status = begun.status().code();
-        return length >= 0 ? length <= longest : longest > most || status == 204 || status == 304;
+        int status = response.status().code();
+        return length >= 0 ? length <= maxStreamed : maxStreamed > maxBuffered || status == 204 || status == 304;
     }
 
     private void finish() {
@@ -167,7 +188,7 @@
             BodyStream all = passage;
             passage = null;
             all.end(true);
-            passedOn(answer);
+            streamingEnded(answer);
             return;
         }
         ByteBuf whole = body.take();
@@ -178,7 +199,7 @@
         }
     }
 
-    private void spoil() {
+    private void markUnusable() {
         if (!unusable) {
             unusable = true;
             head = null;
@@ -193,14 +214,14 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        spoil();
+        markUnusable();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException || cause instanceof DecoderException)) {
-            ErrorLog.report("an answer", cause);
+            ErrorLog.report("an HTTP response", cause);
         }
-        spoil();
+        markUnusable();
     }
 }
--- a/src/main/java/rushpin/net/ClientServer.java
+++ b/src/main/java/rushpin/net/ClientServer.java
@@ -201,8 +201,9 @@
     /** Opens the listening socket. */
     public CompletableFuture<Void> bind() {
         return listen instanceof UnixDomainSocketAddress
-                ? bindResult(configure(Transport.serverBootstrap(loop, listen).option(ChannelOption.SO_BACKLOG, BACKLOG))
-                        .bind(listen))
+                ? bindResult(
+                        configure(Transport.serverBootstrap(loop, listen).option(ChannelOption.SO_BACKLOG, BACKLOG))
+                                .bind(listen))
                 : bindOwn(false);
     }
 
--- a/src/main/java/rushpin/net/CounterClient.java
+++ b/src/main/java/rushpin/net/CounterClient.java
@@ -22,93 +22,119 @@
 import rushpin.gateway.Ports.Outcome;
 
 /**
- * Calls to the shared counter, written one behind another on a few connections. A name always has the same place
- * among these, so that the calls of a name are counted, and told to the module, in their order.
+ * Client of the shared counter. Calls are pipelined on a few connections.
+ *
+ * <p>A counter name always maps to the same partition, and a partition uses one connection at a time, so that the
+ * calls of a name are counted, and their outcomes reported, in order.
  */
 public final class CounterClient {
-    private static final int PLACES = 4, MOST_PENDING = 256, MOST_ANSWER = 1024;
-    private static final long MS = 1_000_000L;
-    /** A line with a call unanswered for so many time-outs is taken to lead nowhere and is replaced. */
+    private static final int PARTITIONS = 4;
+    /** Maximum number of calls of a partition that are queued or in flight. */
+    private static final int MAX_PENDING_CALLS = 256;
+
+    private static final int MAX_ANSWER_BYTES = 1024;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    /** A connection on which a call has not been answered for this many timeouts is considered dead and is replaced. */
     private static final int SILENT_TIMEOUTS = 10;
 
-    /** Hears how calls end. */
+    /** Receives the outcomes of calls. */
     public interface Listener {
-        /** A call ended; calls of one name end in their order. */
+        /**
+         * A call has ended; the calls of one name end in the order in which they were made.
+         *
+         * @param total the counter's total after the call; 0 unless the outcome is {@code OK}
+         */
         void counted(long name, Outcome outcome, double total);
     }
 
     private final Listener listener;
     private final EventLoop loop;
+    /** Timeout of a call, in nanoseconds. */
     private final long timeout;
+
     private final String prefix;
     private final Bootstrap bootstrap;
-    private final Place[] places = new Place[PLACES];
+    private final Partition[] partitions = new Partition[PARTITIONS];
     private SocketAddress address;
     private boolean closed;
 
-    /** Opens nothing yet: the first call does. */
+    /** Creates a client; it connects with the first call. */
     public CounterClient(Listener listener, EventLoop loop, Upstream config) {
         this(listener, loop, config, Transport.clientBootstrap(loop, config.counter()));
     }
 
-    /** As above, by sockets of one's own. */
+    /** As above, with a given bootstrap for its sockets. */
     CounterClient(Listener listener, EventLoop loop, Upstream config, Bootstrap sockets) {
         this.listener = listener;
         this.loop = loop;
         address = config.counter();
         prefix = config.countPrefix();
-        timeout = Math.max(MS, config.counterTimeout());
-        bootstrap =
-                sockets.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout() / MS));
-        for (int i = 0; i < PLACES; i++) {
-            places[i] = new Place();
+        timeout = Math.max(NANOS_PER_MS, config.counterTimeout());
+        bootstrap = sockets.option(
+                ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout() / NANOS_PER_MS));
+        for (int i = 0; i < PARTITIONS; i++) {
+            partitions[i] = new Partition();
         }
     }
 
-    /** Adds to a named number; the outcome is told later, never from within this call. */
+    /**
+     * Adds an amount to a counter. The outcome is reported later, never from within this call.
+     *
+     * @param lifetime how long the counter keeps the name, in nanoseconds
+     */
     public void count(long name, double amount, long lifetime) {
-        places[(int) Long.remainderUnsigned(name, PLACES)].add(name, amount, lifetime);
+        partitions[(int) Long.remainderUnsigned(name, PARTITIONS)].add(name, amount, lifetime);
     }
 
-    /** From now on calls go elsewhere; what was written to the old address may still be answered there. */
+    /** Sends further calls to another address. Calls already written to the old one may still be answered there. */
     public void move(SocketAddress to) {
         if (!to.equals(address)) {
             address = to;
-            for (Place place : places) {
-                place.renew();
+            for (Partition partition : partitions) {
+                partition.reconnect();
             }
         }
     }
 
-    /** Lets go of all lines; no call ends any more. */
+    /** Closes all connections. No further outcome is reported. */
     public void close() {
         closed = true;
-        for (Place place : places) {
-            if (place.line != null) {
-                place.line.die();
+        for (Partition partition : partitions) {
+            if (partition.connection != null) {
+                partition.connection.abandon();
             }
         }
     }
 
-    /** One call; it ends exactly once, though its answer may still be on its way and has its place in line. */
+    /**
+     * One call. It ends exactly once; if its answer is still outstanding then, the call keeps its position in the
+     * pipeline.
+     */
     private final class Call {
-        private final Place place;
-        private final long name, at = System.nanoTime();
+        private final Partition partition;
+        private final long name;
+        private final long createdAt = System.nanoTime();
         private final String uri;
-        private Line line;
+        /** The connection to which the call was written; null before that. */
+        private Connection connection;
+
         private long writtenAt;
-        private boolean written, over, readFirst;
+        private boolean written;
+        private boolean ended;
+        /** Whether a due timeout was put off once so that input could be read. */
+        private boolean timeoutDeferred;
 
-        Call(Place place, long name, double amount, long lifetime) {
-            this.place = place;
+        Call(Partition partition, long name, double amount, long lifetime) {
+            this.partition = partition;
             this.name = name;
             uri = "/tally/" + prefix + Long.toUnsignedString(name) + "?n="
-                    + BigDecimal.valueOf(amount).toPlainString() + "&keep_ms=" + Math.max(1, (lifetime + MS - 1) / MS);
+                    + BigDecimal.valueOf(amount).toPlainString() + "&keep_ms="
+                    + Math.max(1, (lifetime + NANOS_PER_MS - 1) / NANOS_PER_MS);
         }
 
         void end(Outcome outcome, double total) {
-            if (!over) {
-                over = true;
+            if (!ended) {
+                ended = true;
                 if (closed) {
                     return;
                 }
@@ -116,66 +142,68 @@
             }
         }
 
-        /** Before its last byte is written nothing was added; after that nobody knows. */
-        void broke() {
+        /**
+         * The connection was lost. Nothing was added if the last byte was not written; otherwise the outcome is
+         * unknown.
+         */
+        void connectionLost() {
             end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, 0);
         }
 
         void expire() {
-            if (over) {
+            if (ended) {
                 return;
             }
-            long left = place.left(this);
+            long left = partition.remainingNanos(this);
             if (left > 0) {
                 loop.schedule(this::expire, left, TimeUnit.NANOSECONDS);
                 return;
             }
-            if (!readFirst) {
-                // This process may have been busy, or not let run, and an answer that came in time lie there unread:
-                // the
-                // loop reads before it looks at its timers again. All wait for that, so calls end in their order.
-                readFirst = true;
+            if (!timeoutDeferred) {
+                // The process may have been delayed and an answer that arrived in time may be unread: the event loop
+                // reads before it runs timers again. All calls are put off in the same way, so they end in order.
+                timeoutDeferred = true;
                 loop.schedule(this::expire, 1, TimeUnit.NANOSECONDS);
                 return;
             }
-            // Those before it are due as well, though their timers may have been set a moment later.
-            if (line != null) {
-                line.endBefore(this);
+            // Earlier calls have expired too, though their timers may have been set a moment later.
+            if (connection != null) {
+                connection.endCallsBefore(this);
             } else {
-                place.endBefore(this);
+                partition.endCallsBefore(this);
             }
-            place.waiting.remove(this);
+            partition.queued.remove(this);
             end(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, 0);
-            if (line != null) {
-                line.expired(this);
+            if (connection != null) {
+                connection.expired(this);
             }
         }
     }
 
-    /** The calls of a part of the names, and the line they go by. */
-    private final class Place {
-        private final ArrayDeque<Call> waiting = new ArrayDeque<>();
-        private Line line;
-        private Call last;
+    /** The calls of a subset of the names, and the connection that they use. */
+    private final class Partition {
+        private final ArrayDeque<Call> queued = new ArrayDeque<>();
+        private Connection connection;
+        private Call lastWritten;
         private boolean flushing;
 
         void add(long name, double amount, long lifetime) {
-            if (line != null && waiting.size() + line.pending.size() >= MOST_PENDING) {
-                // No answers for so long: all end here, in their order, and the call at hand has a new line.
-                line.die();
+            if (connection != null && queued.size() + connection.pending.size() >= MAX_PENDING_CALLS) {
+                // No answers for long: ends all calls in order, and opens a new connection for this one.
+                connection.abandon();
             }
-            if (waiting.size() >= MOST_PENDING) {
-                // These wait for a call that is out on another line.
-                endBefore(null);
+            if (queued.size() >= MAX_PENDING_CALLS) {
+                // These wait for a call in flight on a previous connection.
+                endCallsBefore(null);
             }
-            if (line == null) {
-                line = new Line(this);
+            if (connection == null) {
+                connection = new Connection(this);
             }
             Call call = new Call(this, name, amount, lifetime);
-            waiting.add(call);
+            queued.add(call);
             loop.schedule(call::expire, timeout, TimeUnit.NANOSECONDS);
             if (!flushing) {
-                // All calls of one turn of the loop go out together.
+                // Flushes the calls of one turn of the event loop together.
                 flushing = true;
                 loop.execute(() -> {
                     flushing = false;
@@ -185,71 +213,77 @@
         }
 
         /**
-         * For how much longer a call is waited for. Its time begins when it is written: a process that was busy between
-         * took that for the counter's silence, asked less, refused more, and was the busier for those who came again. What
-         * is not written yet waits for what is, since calls end in their order.
+         * Returns the nanoseconds until a call times out. The timeout starts when the call is written: when it started
+         * with the call, a busy process took its own delay for silence of the counter, asked less, refused more
+         * requests and became busier with the clients' retries. A call that is not written yet waits for the last
+         * written one, since calls end in order.
          */
-        long left(Call of) {
-            Call by = of.written ? of : last != null && !last.over && last.written ? last : null;
-            return by == null ? 0 : by.writtenAt + timeout - System.nanoTime();
+        long remainingNanos(Call call) {
+            Call reference = call.written
+                    ? call
+                    : lastWritten != null && !lastWritten.ended && lastWritten.written ? lastWritten : null;
+            return reference == null ? 0 : reference.writtenAt + timeout - System.nanoTime();
         }
 
-        void renew() {
-            if (line != null) {
-                Line old = line;
-                line = new Line(this);
+        void reconnect() {
+            if (connection != null) {
+                Connection old = connection;
+                connection = new Connection(this);
                 old.closeIfDone();
             }
         }
 
-        /** Whether a call is out on a line that has been replaced. */
-        boolean isOutElsewhere() {
-            return last != null && !last.over && last.line != line;
+        /** Returns whether a call is in flight on a connection that has been replaced. */
+        boolean isInFlightOnPrevious() {
+            return lastWritten != null && !lastWritten.ended && lastWritten.connection != connection;
         }
 
-        /** Ends what was asked before a call that still waits, in order; all of it before null. */
-        void endBefore(Call waits) {
-            Call out = last;
-            if (out != null && !out.over) {
-                out.line.endBefore(null);
-                out.line.expired(out);
+        /** Ends the calls before one that is queued, in order; all calls if it is null. */
+        void endCallsBefore(Call waits) {
+            Call out = lastWritten;
+            if (out != null && !out.ended) {
+                out.connection.endCallsBefore(null);
+                out.connection.expired(out);
             }
-            // Who hears of an end may ask for more, and that may end all that waits.
-            while (!waiting.isEmpty() && waiting.peek() != waits) {
-                waiting.poll().broke();
+            // The listener may make further calls, and these may end all that are queued.
+            while (!queued.isEmpty() && queued.peek() != waits) {
+                queued.poll().connectionLost();
             }
         }
 
-        /** Calls end in their order, so none is written while an earlier one is out on another line. */
+        /**
+         * Writes the queued calls, unless an earlier call is in flight on a previous connection: calls end in order.
+         */
         void write() {
-            if (line == null || !line.isActive() || isOutElsewhere()) {
+            if (connection == null || !connection.isActive() || isInFlightOnPrevious()) {
                 return;
             }
-            while (!waiting.isEmpty()) {
-                last = waiting.poll();
-                line.write(last);
+            while (!queued.isEmpty()) {
+                lastWritten = queued.poll();
+                connection.write(lastWritten);
             }
-            line.channel.flush();
+            connection.channel.flush();
         }
     }
 
-    /** A connection with its calls in the order in which they are answered. */
-    private final class Line extends AnswerHandler implements Transport.ConnectListener {
-        private final Place place;
+    /** A connection and its calls in the order in which they are answered. */
+    private final class Connection extends AnswerHandler implements Transport.ConnectListener {
+        private final Partition partition;
         private final ArrayDeque<Call> pending = new ArrayDeque<>();
         private final AnswerDecoder decoder = new AnswerDecoder();
-        /** Null where no socket could be had. */
+        /** Null if no socket could be created. */
         private final Channel channel;
 
-        private boolean connected, dead;
+        private boolean connected;
+        private boolean abandoned;
 
-        Line(Place place) {
-            super(MOST_ANSWER);
-            this.place = place;
+        Connection(Partition partition) {
+            super(MAX_ANSWER_BYTES);
+            this.partition = partition;
             Bootstrap connecting = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
                 @Override
                 protected void initChannel(Channel made) {
-                    made.pipeline().addLast(decoder, new HttpRequestEncoder(), Line.this);
+                    made.pipeline().addLast(decoder, new HttpRequestEncoder(), Connection.this);
                 }
             });
             channel = Transport.connect(connecting, loop, address, this);
@@ -258,17 +292,17 @@
         @Override
         public void opened(Channel made) {
             connected = true;
-            place.write();
+            partition.write();
         }
 
         @Override
         public void failed(Throwable cause) {
-            die();
+            abandon();
         }
 
         @Override
         public void ended() {
-            // A connection's end is told to its handler.
+            // The channel handler is notified of the end of a connection.
         }
 
         boolean isActive() {
@@ -276,7 +310,7 @@
         }
 
         void write(Call call) {
-            call.line = this;
+            call.connection = this;
             pending.add(call);
             DefaultFullHttpRequest message =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, call.uri);
@@ -287,8 +321,8 @@
             });
         }
 
-        /** Ends what was written before a call; all of it before null. */
-        void endBefore(Call call) {
+        /** Ends the calls that were written before a given one; all calls if it is null. */
+        void endCallsBefore(Call call) {
             for (Call before : List.copyOf(pending)) {
                 if (before == call) {
                     return;
@@ -299,50 +333,50 @@
 
         void expired(Call call) {
             Call oldest = pending.peek();
-            boolean silent = oldest != null && System.nanoTime() - oldest.at > SILENT_TIMEOUTS * timeout;
-            if (!call.written || silent || !decoder.isBetween()) {
-                // The silence is the connection's, an answer begun will not get whole, or the call is still to be
-                // written and must not be any more: later calls get a new line.
-                die();
+            boolean silent = oldest != null && System.nanoTime() - oldest.createdAt > SILENT_TIMEOUTS * timeout;
+            if (!call.written || silent || !decoder.isAtMessageBoundary()) {
+                // The connection is dead, a partial answer will not be completed, or the call is still in the write
+                // buffer and must not be written any more: later calls get a new connection.
+                abandon();
             } else {
                 closeIfDone();
             }
         }
 
-        /** A line that has been replaced is kept for the calls that are out on it, and no longer. */
+        /** Closes a replaced connection when no call on it is outstanding any more. */
         void closeIfDone() {
-            if (place.line != this && (pending.isEmpty() || pending.peekLast().over)) {
-                die();
-                place.write();
+            if (partition.connection != this && (pending.isEmpty() || pending.peekLast().ended)) {
+                abandon();
+                partition.write();
             }
         }
 
-        /** Gives the line up; its calls end in their order and the next call opens another. */
-        private void die() {
-            if (dead) {
+        /** Closes the connection; its calls end in order, and the next call opens another connection. */
+        private void abandon() {
+            if (abandoned) {
                 return;
             }
-            dead = true;
+            abandoned = true;
             if (channel != null) {
                 channel.close();
             }
-            if (place.line == this) {
-                place.line = null;
+            if (partition.connection == this) {
+                partition.connection = null;
             }
             while (!pending.isEmpty()) {
-                pending.poll().broke();
+                pending.poll().connectionLost();
             }
-            if (place.line != null || place.waiting.isEmpty() || place.isOutElsewhere()) {
-                // What waits for a call on another line is seen to when that one ends: calls end in their order, and a
-                // line that comes up and is reset at once would go round and round meanwhile.
+            if (partition.connection != null || partition.queued.isEmpty() || partition.isInFlightOnPrevious()) {
+                // Queued calls that wait for a call on a previous connection are handled when that one ends: calls end
+                // in order, and a new connection that is reset at once would be opened over and over meanwhile.
                 return;
             }
             if (connected && !closed) {
-                place.line = new Line(place);
+                partition.connection = new Connection(partition);
             } else {
-                // Nobody listens there: to try again at once would only go round and round.
-                while (!place.waiting.isEmpty()) {
-                    place.waiting.poll().broke();
+                // The connect failed: an immediate retry would only fail over and over.
+                while (!partition.queued.isEmpty()) {
+                    partition.queued.poll().connectionLost();
                 }
             }
         }
@@ -360,7 +394,8 @@
                 case 200 -> {
                     double total = NumberParser.parseDecimal(
                             body.toString(StandardCharsets.US_ASCII).strip());
-                    // It was added. A total that cannot be read leaves it unknown, and the line is no good.
+                    // The amount was added. If the total cannot be parsed it is unknown, and the connection is not
+                    // reused.
                     boolean known = !Double.isNaN(total);
                     good &= known;
                     call.end(known ? Outcome.OK : Outcome.RESET, known ? total : 0);
@@ -374,13 +409,13 @@
             if (good) {
                 closeIfDone();
             } else {
-                die();
+                abandon();
             }
         }
 
         @Override
         protected void unusable() {
-            die();
+            abandon();
         }
     }
 }
--- a/src/main/java/rushpin/net/DiscoveryClient.java
+++ b/src/main/java/rushpin/net/DiscoveryClient.java
@@ -26,132 +26,163 @@
 import rushpin.membership.discovery.ServerListStream;
 
 /**
- * Watches the list of app servers, from the last revision isReady on, and again whenever a watch ends or falls silent.
- * Only the watch that counts is believed, and in its own order: a discovery that has begun anew may count from a lower
- * revision. Whatever comes by one that has been left is nothing.
+ * Watches discovery's list of app servers, starting from the last revision received, and opens a new watch whenever
+ * one ends or becomes silent.
  *
- * <p>Bounds: one watch at a time. One thread, the loop's.
+ * <p>Only messages of the current watch are accepted, in their order; whatever arrives on a replaced watch is
+ * discarded. A lower revision is accepted: a discovery that has been restarted may count anew.
+ *
+ * <p>Bounds: one watch at a time. All methods are called on the event loop, unless noted otherwise.
  */
 public final class DiscoveryClient {
     /**
-     * How long discovery is waited for, in milliseconds. The sum over them is held below the span after which what was
-     * missed counts as told: docs/design/many-nodes.md, "Silence of a watch".
+     * Timeouts of a watch, in milliseconds. Together they stay below the time after which a node counts as notified of
+     * a change that it missed: docs/design/many-nodes.md, "Silence of a watch".
      *
-     * @param silence without a byte of a watch that has spoken, and to a first one: a line comes every 2,000 at least
-     * @param answer until a watch that has not spoken is begun anew, twice as long with each that has not; an agent was seen
-     *     to take 400 to answer the first
-     * @param settling to read what waits in the socket: after a pause of this process timers may come before it
-     * @param patience for a first message at the start, and once more from when it has been asked for
+     * @param silence maximum silence of a watch that has sent a byte, and the upper bound of {@code firstAnswer} with
+     *     its doublings: discovery sends a line every 2,000 ms at least
+     * @param firstAnswer maximum time until a watch sends its first byte, doubled with each watch in a row that sends
+     *     none; an agent was seen to take 400 ms for its first answer
+     * @param readDelay time to read pending input before a watch is replaced: after a pause of this process timers may
+     *     run before reads
+     * @param startup maximum wait for a first message at the start, and again from when the first watch was requested
      */
-    record Spans(long silence, long answer, long settling, long patience) {
-        static final Spans USUAL = new Spans(3_060, 750, 20, 250);
+    record Timeouts(long silence, long firstAnswer, long readDelay, long startup) {
+        static final Timeouts DEFAULT = new Timeouts(3_060, 750, 20, 250);
     }
 
-    /** Agents are on the nodes' own machines, and what they hold counts as told: the way back has to be short. */
-    private static final long FIRST_BACKOFF_MS = 100, MOST_BACKOFF_MS = 250;
+    /**
+     * Backoff of the first reconnect. Backoffs are short because agents run on the nodes' own machines, and a node
+     * counts as notified of the changes that its agent holds.
+     */
+    private static final long INITIAL_BACKOFF_MS = 100;
+
+    private static final long MAX_BACKOFF_MS = 250;
 
-    private static final long MS = 1_000_000L;
-    /** Each watch keeps so much of a span by chance. With more than the most, one slow agent is isReady too late. */
-    static final double LEAST_PART = 0.9, MOST_PART = 0.96;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    /** Each watch multiplies its timeouts by a random factor: the lower bound. */
+    static final double MIN_JITTER_FACTOR = 0.9;
+    /** The upper bound of the factor. With a higher one, a slow agent's watch is replaced too late. */
+    static final double MAX_JITTER_FACTOR = 0.96;
 
-    /** Hears the list. */
+    /** Receives the server list. */
     public interface Listener {
-        /** The whole list, or changes to it. */
+        /** Receives the complete list or changes to it. */
         void list(ServerListUpdate roll, ListKind kind);
 
-        /** Bounds that the source of the list gives: nanoseconds to connect, connections, requests; 0 for none. */
-        default void setLimits(long connectTimeout, int mostConnections, int mostRequests) {
-            // Only some sources say so.
+        /**
+         * Receives limits that the source of the list sets; 0 means none.
+         *
+         * @param connectTimeout in nanoseconds
+         * @param maxConnections maximum number of connections
+         * @param maxRequests maximum number of requests
+         */
+        default void setLimits(long connectTimeout, int maxConnections, int maxRequests) {
+            // Only some sources set limits.
         }
 
-        /** The part of requests that the source wants to be turned away, 0 to 1. */
+        /** Receives the fraction of requests, 0 to 1, that the source wants to be rejected. */
         default void dropped(double part) {
-            // Only some sources say so.
+            // Only some sources set it.
         }
     }
 
-    private final Listener node;
+    private final Listener listener;
     private final EventLoop loop;
     private final Names names;
     private final Bootstrap bootstrap;
-    private final Spans spans;
-    private final byte[] piece = new byte[8_192];
+    private final Timeouts timeouts;
+    private final byte[] buffer = new byte[8_192];
     private SocketAddress address;
-    /** The one watch; it stays here between two. Of two an agent may tell only the newer one, so there never are. */
-    private Watch watching;
-    /** How many in a row have not spoken. */
-    private int mute;
+    /**
+     * The current watch, or the last one while none is open. There are never two, since an agent may notify only the
+     * newer one.
+     */
+    private Watch current;
+    /** Number of watches in a row that have sent nothing. */
+    private int silentWatches;
 
-    private long revision, backoff = FIRST_BACKOFF_MS;
+    private long revision;
+    private long backoff = INITIAL_BACKOFF_MS;
     private boolean closed;
     private volatile boolean isReady;
 
-    /** Connects nowhere yet. */
-    public DiscoveryClient(Listener node, EventLoop loop, Upstream config) {
-        this(node, loop, config.names(), config.discovery(), Spans.USUAL);
+    /** Creates a client that connects when it is started. */
+    public DiscoveryClient(Listener listener, EventLoop loop, Upstream config) {
+        this(listener, loop, config.names(), config.discovery(), Timeouts.DEFAULT);
     }
 
-    /** As above, with spans of one's own. */
-    DiscoveryClient(Listener node, EventLoop loop, Names names, SocketAddress address, Spans spans) {
-        this(node, loop, names, address, spans, Transport.clientBootstrap(loop, address));
+    /** As above, with given timeouts. */
+    DiscoveryClient(Listener listener, EventLoop loop, Names names, SocketAddress address, Timeouts timeouts) {
+        this(listener, loop, names, address, timeouts, Transport.clientBootstrap(loop, address));
     }
 
-    /** As above, by sockets of one's own. */
-    DiscoveryClient(Listener node, EventLoop loop, Names names, SocketAddress address, Spans spans, Bootstrap sockets) {
-        this.node = node;
+    /** As above, with a given bootstrap for its sockets. */
+    DiscoveryClient(
+            Listener listener,
+            EventLoop loop,
+            Names names,
+            SocketAddress address,
+            Timeouts timeouts,
+            Bootstrap sockets) {
+        this.listener = listener;
         this.loop = loop;
         this.names = names;
         this.address = address;
-        this.spans = spans;
-        // A connect that hangs is one more way of being silent, and has no clock of its own.
+        this.timeouts = timeouts;
+        // A connect that hangs is covered by the timeout of the first answer.
         bootstrap = sockets.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 0);
     }
 
-    /** Begins to watch from a revision on; called on the loop, as all else here. */
+    /** Starts to watch from a revision; called on the loop, like all other methods. */
     public void start(long known) {
         revision = known;
-        watching = open();
-        look();
-        long most = System.nanoTime() + 2 * spans.patience * MS;
-        loop.schedule(() -> impatient(most), spans.patience, TimeUnit.MILLISECONDS);
+        current = open();
+        checkTimeout();
+        long latest = System.nanoTime() + 2 * timeouts.startup * NANOS_PER_MS;
+        loop.schedule(() -> awaitFirstList(latest), timeouts.startup, TimeUnit.MILLISECONDS);
     }
 
-    /** A discovery that is down must not keep the edge node from serving by the list it has. */
-    private void impatient(long most) {
-        long now = System.nanoTime(), until = Math.min(most, watching.asked + spans.patience * MS);
-        if (watching.asked != 0 && until - now > 0) {
-            // A process that got little of its core has only just asked.
-            loop.schedule(() -> impatient(most), until - now, TimeUnit.NANOSECONDS);
+    /**
+     * Stops waiting for the first list, so that the edge node can serve with the list that it has while discovery is
+     * down.
+     */
+    private void awaitFirstList(long latest) {
+        long now = System.nanoTime();
+        long until = Math.min(latest, current.requestedAt + timeouts.startup * NANOS_PER_MS);
+        if (current.requestedAt != 0 && until - now > 0) {
+            // This process was slow and has only just requested the list.
+            loop.schedule(() -> awaitFirstList(latest), until - now, TimeUnit.NANOSECONDS);
         } else {
-            loop.schedule(() -> isReady = true, spans.settling, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> isReady = true, timeouts.readDelay, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Whether a first message has come, or has been waited for long enough. */
+    /** Returns whether a first message has arrived or the wait for it is over; any thread. */
     public boolean isReady() {
         return isReady;
     }
 
-    /** From now on watches elsewhere. The list is kept: what changed since then is the new watch's to tell. */
+    /** Watches at another address. The list is kept; the new watch reports the changes since its revision. */
     public void move(SocketAddress to) {
         if (to == null || to.equals(address) || closed) {
             return;
         }
         address = to;
-        backoff = FIRST_BACKOFF_MS;
-        mute = 0;
-        Watch old = watching;
-        watching = open();
-        leave(old);
+        backoff = INITIAL_BACKOFF_MS;
+        silentWatches = 0;
+        Watch old = current;
+        current = open();
+        closeWatch(old);
     }
 
-    /** Watches no more. */
+    /** Stops watching. */
     public void close() {
         closed = true;
-        leave(watching);
+        closeWatch(current);
     }
 
-    private static void leave(Watch old) {
+    private static void closeWatch(Watch old) {
         if (old != null && old.channel != null) {
             old.channel.close();
         }
@@ -169,87 +200,95 @@
         return made;
     }
 
-    private void ended(Watch of) {
-        of.over = true;
+    private void ended(Watch watch) {
+        watch.finished = true;
         if (closed) {
             return;
         }
-        if (of == watching) {
-            // By chance: the nodes of a fleet lose their watches together and must not come back in step.
+        if (watch == current) {
+            // Random, since the nodes of a fleet lose their watches together and must not reconnect in step.
             long wait = ThreadLocalRandom.current().nextLong(backoff / 2, backoff + 1);
-            loop.schedule(() -> again(of), wait, TimeUnit.MILLISECONDS);
-            backoff = Math.min(MOST_BACKOFF_MS, 2 * backoff);
+            loop.schedule(() -> reopen(watch), wait, TimeUnit.MILLISECONDS);
+            backoff = Math.min(MAX_BACKOFF_MS, 2 * backoff);
         }
     }
 
-    private void again(Watch ended) {
-        if (watching == ended && !closed) {
-            watching = open();
+    private void reopen(Watch ended) {
+        if (current == ended && !closed) {
+            current = open();
         }
     }
 
-    /** When something has to be done about what is open, unless it speaks. */
-    private long due(long now) {
-        if (watching.over) {
-            return now + spans.answer * MS;
+    /** Returns when the current watch times out if it stays silent. */
+    private long timeoutAt(long now) {
+        if (current.finished) {
+            return now + timeouts.firstAnswer * NANOS_PER_MS;
         }
-        long answer = Math.min(spans.silence, spans.answer << Math.min(mute, 16));
-        return watching.last + watching.part(watching.spoken ? spans.silence : answer);
+        long answer = Math.min(timeouts.silence, timeouts.firstAnswer << Math.min(silentWatches, 16));
+        return current.lastReceivedAt + current.withJitter(current.hasReceived ? timeouts.silence : answer);
     }
 
-    private void look() {
+    private void checkTimeout() {
         if (!closed) {
-            long now = System.nanoTime(), left = due(now) - now;
+            long now = System.nanoTime();
+            long left = timeoutAt(now) - now;
             if (left > 0) {
-                loop.schedule(this::look, left, TimeUnit.NANOSECONDS);
+                loop.schedule(this::checkTimeout, left, TimeUnit.NANOSECONDS);
             } else {
-                // It may be this process that stood still: what waits in the sockets is read before this is decided.
-                loop.schedule(this::renew, spans.settling, TimeUnit.MILLISECONDS);
+                // This process may have been paused: pending input is read before the watch is replaced.
+                loop.schedule(this::replaceWatch, timeouts.readDelay, TimeUnit.MILLISECONDS);
             }
         }
     }
 
-    private void renew() {
+    private void replaceWatch() {
         long now = System.nanoTime();
-        if (!closed && due(now) - now <= 0) {
-            if (watching.spoken) {
-                System.out.println(
-                        "discovery: silent for " + (now - watching.last) / MS + " ms, the watch is begun anew");
+        if (!closed && timeoutAt(now) - now <= 0) {
+            if (current.hasReceived) {
+                System.out.println("discovery: silent for " + (now - current.lastReceivedAt) / NANOS_PER_MS
+                        + " ms, opening a new watch");
             } else {
-                mute++;
+                silentWatches++;
             }
-            Watch old = watching;
-            watching = open();
-            // It may come to life again, but without what it has missed.
-            leave(old);
+            Watch old = current;
+            current = open();
+            // The old watch may recover, but it would lack what it missed.
+            closeWatch(old);
         }
-        look();
+        checkTimeout();
     }
 
-    /** One watch: a chunked answer that holds JSON objects, and empty lines while nothing changes. */
+    /** One watch: a chunked answer of JSON objects, with empty lines while nothing changes. */
     private final class Watch extends SimpleChannelInboundHandler<HttpObject> implements Transport.ConnectListener {
         private final ServerListStream messages = new ServerListStream(names);
-        /** What is kept of each span, so that nodes that were left together do not come back in step. */
-        private final double chance = ThreadLocalRandom.current().nextDouble(LEAST_PART, MOST_PART);
-        /** Null where no socket could be had. */
+        /** Factor of all timeouts, so that nodes that lost their watches together do not reconnect in step. */
+        private final double jitterFactor =
+                ThreadLocalRandom.current().nextDouble(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR);
+        /** Null if no socket could be created. */
         private Channel channel;
-        /** When it was begun or last spoke, and when it was asked for; 0 for not yet. */
-        private long last = System.nanoTime(), asked;
-
-        private boolean spoken, ended, over;
-
-        private long part(long span) {
-            return (long) (span * MS * chance);
+        /** When the watch was opened or last received content. */
+        private long lastReceivedAt = System.nanoTime();
+        /** When the watch was requested; 0 before that. */
+        private long requestedAt;
+
+        private boolean hasReceived;
+        /** Whether further input is discarded. */
+        private boolean ended;
+        /** Whether the connection has ended or could not be established. */
+        private boolean finished;
+
+        private long withJitter(long timeoutMs) {
+            return (long) (timeoutMs * NANOS_PER_MS * jitterFactor);
         }
 
         @Override
         public void opened(Channel made) {
-            // Its handler asks.
+            // The channel handler sends the request.
         }
 
         @Override
         public void failed(Throwable cause) {
-            // An outage, which ends in the same way.
+            // Handled in ended(), as any other end.
         }
 
         @Override
@@ -259,7 +298,7 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            asked = System.nanoTime();
+            requestedAt = System.nanoTime();
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, HttpMethod.GET, "/catalog/members?watch=1&after=" + revision);
             request.headers().set(HttpHeaderNames.HOST, "discovery");
@@ -268,9 +307,9 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) throws Exception {
-            // The rest of what was read goes on arriving after a close: the body of an error is no list.
+            // What was already read still arrives after a close: the body of an error must not be taken for a list.
             ended |= closed
-                    || this != watching
+                    || this != current
                     || part.decoderResult().isFailure()
                     || part instanceof HttpResponse response
                             && response.status().code() != 200;
@@ -279,18 +318,18 @@
                 return;
             }
             if (part instanceof HttpContent content && content.content().isReadable()) {
-                last = System.nanoTime();
-                if (!spoken) {
-                    // A head alone is no word: an agent whose discovery is down may write one.
-                    spoken = true;
-                    mute = 0;
+                lastReceivedAt = System.nanoTime();
+                if (!hasReceived) {
+                    // A response head alone does not count: an agent whose discovery is down may send one.
+                    hasReceived = true;
+                    silentWatches = 0;
                 }
                 for (ByteBuf bytes = content.content(); bytes.isReadable(); ) {
-                    int length = Math.min(piece.length, bytes.readableBytes());
-                    bytes.readBytes(piece, 0, length);
-                    messages.feed(piece, length, this::take);
+                    int length = Math.min(buffer.length, bytes.readableBytes());
+                    bytes.readBytes(buffer, 0, length);
+                    messages.feed(buffer, length, this::accept);
                 }
-                // The first holds what changed: where an empty line comes in its place, nothing has.
+                // The first message holds the changes; an empty line in its place means that there are none.
                 isReady |= !messages.isWithin();
             }
             if (part instanceof LastHttpContent) {
@@ -298,11 +337,11 @@
             }
         }
 
-        private void take(ServerListUpdate roll) {
-            node.list(roll, roll.complete() ? ListKind.FULL : ListKind.DELTA);
+        private void accept(ServerListUpdate roll) {
+            listener.list(roll, roll.complete() ? ListKind.FULL : ListKind.DELTA);
             revision = roll.revision();
             isReady = true;
-            backoff = FIRST_BACKOFF_MS;
+            backoff = INITIAL_BACKOFF_MS;
         }
 
         @Override
--- a/src/main/java/rushpin/net/GroupGate.java
+++ b/src/main/java/rushpin/net/GroupGate.java
@@ -20,284 +20,326 @@
 import rushpin.pooling.Permit;
 
 /**
- * Keeps a pool to its permit at a group of app servers that takes a number of connections from all processes together; on
- * the pool's loop. A connection counts from the moment before it is made until its other side has ended it, or has had to:
- * a close sends our end and waits for theirs, {@code halfOpen} at most.
+ * Limits a pool's connections to its grant at a group of app servers that limits the connections of all processes
+ * together. Called on the pool's event loop.
  *
- * <p>The permit is looked at right before each connect. A process that stands still between the look and the connect, for
- * longer than all that the fleet waits for, makes one connection that nothing allows any more; at the next turn of the loop,
- * where it was due to end, it is closed.
+ * <p>A connection counts from the moment before the connect until the peer has closed it or must have: closing a
+ * connection shuts down the output and waits up to {@code halfOpenTimeout} for the peer's end.
+ *
+ * <p>The grant is checked right before each connect. If the process pauses between the check and the connect, for
+ * longer than the fleet waits, it establishes one connection that no grant covers any more; that connection is closed
+ * in the next turn of the event loop, where the lease's timer is due.
  */
 public final class GroupGate {
-    /** What an attempt is to a line. */
-    interface Sending {
-        /** Whose it is. */
+    /** An attempt that may be queued until there is a connection for it. */
+    interface PendingAttempt {
+        /** Returns the request; it decides the tenant. */
         Request request();
 
-        /** For how long it may wait and be carried, nanoseconds. */
+        /** Returns how long the attempt may wait and run, in nanoseconds. */
         long patience();
 
-        /** Begins by a connection that is there or may be made, which carries it; false if there is none. */
-        boolean begin(Carrying by);
+        /** Starts the attempt on an idle or a new connection; returns false if there is none for it. */
+        boolean begin(ConnectionUse use);
 
-        /** An idle connection to another server should give way for it. */
-        void makeRoom();
+        /** Closes an idle connection to another server so that this attempt can have a new one. */
+        void closeIdleConnection();
 
-        /** It has waited for nothing: it was not sent. */
-        void unsent();
+        /** Ends the attempt as not sent: it won't get a connection. */
+        void notSent();
     }
 
-    /** A connection's use for a tenant; over once. */
-    final class Carrying {
+    /** The use of one connection by a tenant's request; it ends once. */
+    final class ConnectionUse {
         private final String tenant;
-        private final long since = System.nanoTime();
-        private boolean over;
+        private final long startedAt = System.nanoTime();
+        private boolean ended;
         private Channel channel;
 
-        private Carrying(String tenant) {
+        private ConnectionUse(String tenant) {
             this.tenant = tenant;
-            carrying.add(this);
+            activeUses.add(this);
         }
 
-        /** What carries. */
-        void on(Channel by) {
-            channel = by;
+        /** Sets the connection that is used. */
+        void setChannel(Channel channel) {
+            this.channel = channel;
         }
 
         void end() {
-            if (!over) {
-                over = true;
-                carrying.remove(this);
-                // A long answer, or an end that is waited for, says little of what the next one in line waits for.
-                mean += MEAN * (Math.min(System.nanoTime() - since, longest) - mean);
-                ration.release(tenant);
+            if (!ended) {
+                ended = true;
+                activeUses.remove(this);
+                // Capped: a long answer, or a wait for a peer's close, says little about the wait of the next queued
+                // attempt.
+                meanUseNanos += MEAN_WEIGHT * (Math.min(System.nanoTime() - startedAt, gracePeriod) - meanUseNanos);
+                usage.release(tenant);
                 serveSoon();
             }
         }
     }
 
-    /** Weight of one use in what is known of how long a use takes. */
-    private static final double MEAN = 0.1;
+    /** Weight of a new value in the moving average of the duration of a use. */
+    private static final double MEAN_WEIGHT = 0.1;
 
     private final EventLoop loop;
-    private final long rest;
-    private long halfOpen, longest;
+    /** How long a connection is not reused after an answer, in nanoseconds. */
+    private final long reuseDelay;
+    /** Time after which servers end a connection that is silent, in nanoseconds. */
+    private long halfOpenTimeout;
+    /** How long a request may go on after the end of a lease, in nanoseconds. */
+    private long gracePeriod;
+
     private final Function<Request, String> tenants;
     private final Runnable shrink;
-    private final ConnectionBudget<Sending> ration = new ConnectionBudget<>();
-    /** What is carried, oldest first. */
-    private final Set<Carrying> carrying = new LinkedHashSet<>();
+    private final ConnectionBudget<PendingAttempt> usage = new ConnectionBudget<>();
+    /** Uses of connections that have not ended, oldest first. */
+    private final Set<ConnectionUse> activeUses = new LinkedHashSet<>();
+
+    private Permit grant = Permit.NONE;
+    /** Applies the grant again when its lease, or the process's own part, ends. */
+    private Future<?> applyTimer;
+
+    private Future<?> retryTimer;
+    /**
+     * Timers that close connections which are still in use {@code gracePeriod} after an end of the last grant: one for
+     * the end of the lease, one for the end of the process's own part.
+     */
+    private final List<Future<?>> closeTimers = new ArrayList<>(2);
 
-    private Permit permit = Permit.NONE;
-    private Future<?> due, retry;
-    /** What is still carried is cut so long after each end of the last permit that had one: the lease's, and the own part's. */
-    private final List<Future<?>> cuts = new ArrayList<>(2);
+    /** The last grant that was not {@link Permit#NONE}. */
+    private Permit lastGrant = Permit.NONE;
 
-    private Permit ends = Permit.NONE;
-    private Runnable empty, down = () -> {};
-    private boolean serving, later, isOver;
-    private double mean;
+    private Runnable emptyCallback;
+    private Runnable withinGrantCallback = () -> {};
+    private boolean serving;
+    private boolean serveScheduled;
+    /** Whether more connections are open than the grant allows. */
+    private boolean isOverGrant;
+    /** Moving average of the duration of a use, in nanoseconds. */
+    private double meanUseNanos;
 
     /**
-     * Nothing may be made yet.
+     * Creates a gate without a grant: no connection may be established yet.
      *
-     * @param halfOpen after so long, nanoseconds, servers end a connection on which nothing comes
-     * @param longest so long after a lease's end a connection beyond what is left is closed, whatever it carries
-     * @param rest so long after an answer a connection may be used again
-     * @param tenants whose a request is
-     * @param shrink closes idle connections while there {@link #mustShrink must be} fewer
+     * @param halfOpenTimeout time after which servers end a connection that is silent, in nanoseconds
+     * @param gracePeriod time after the end of a lease, in nanoseconds, at which connections beyond the remaining
+     *     grant are closed even if they are in use
+     * @param reuseDelay how long a connection is not reused after an answer, in nanoseconds
+     * @param tenants maps a request to its tenant
+     * @param shrink closes idle connections while {@link #mustShrink} returns true
      */
     GroupGate(
             EventLoop loop,
-            long halfOpen,
-            long longest,
-            long rest,
+            long halfOpenTimeout,
+            long gracePeriod,
+            long reuseDelay,
             Function<Request, String> tenants,
             Runnable shrink) {
         this.loop = loop;
-        this.halfOpen = halfOpen;
-        this.longest = longest;
-        this.rest = rest;
+        this.halfOpenTimeout = halfOpenTimeout;
+        this.gracePeriod = gracePeriod;
+        this.reuseDelay = reuseDelay;
         this.tenants = tenants;
         this.shrink = shrink;
     }
 
-    /** From now on this holds; what is beyond it ends at once if it is idle, else with the request that it carries. */
+    /**
+     * Replaces the grant. Connections beyond it are closed now if they are idle, else after the request that uses
+     * them.
+     */
     public void setGrant(Permit next) {
-        permit = next;
-        look();
+        grant = next;
+        applyGrant();
     }
 
-    /** The operator says that an end may take longer than was said; what was said stays where it is more. */
-    public void raiseTimeouts(long halfOpenNow, long longestNow) {
-        halfOpen = Math.max(halfOpen, halfOpenNow);
-        longest = Math.max(longest, longestNow);
+    /**
+     * Raises the timeouts to the operator's new values; a lower value is ignored, since the earlier one may still be
+     * relied on.
+     *
+     * @param newHalfOpenTimeout in nanoseconds
+     * @param newGracePeriod in nanoseconds
+     */
+    public void raiseTimeouts(long newHalfOpenTimeout, long newGracePeriod) {
+        halfOpenTimeout = Math.max(halfOpenTimeout, newHalfOpenTimeout);
+        gracePeriod = Math.max(gracePeriod, newGracePeriod);
     }
 
-    /** Tells each time that what was open beyond a permit, or beyond a lease, has ended at the other side too. */
+    /**
+     * Sets the callback that runs each time the connections beyond a grant, or beyond an ended lease, have been closed
+     * by the peer too.
+     */
     public void onWithinGrant(Runnable then) {
-        down = then;
+        withinGrantCallback = then;
     }
 
-    /** How many connections carry something. */
-    int carrying() {
-        return carrying.size();
+    /** Returns the number of connections in use. */
+    int activeUses() {
+        return activeUses.size();
     }
 
-    /** What is in use. */
+    /** Returns the counts of connections and queued attempts. */
     public ConnectionBudget<?> usage() {
-        return ration;
+        return usage;
     }
 
-    /** The permit as it is now, and again when its lease ends. */
-    private void look() {
-        if (due != null) {
-            due.cancel(false);
-            due = null;
+    /** Applies the grant as it is now, and schedules the same for the end of its lease. */
+    private void applyGrant() {
+        if (applyTimer != null) {
+            applyTimer.cancel(false);
+            applyTimer = null;
         }
         long now = System.nanoTime();
-        ration.set(permit.at(now), permit.tenants());
-        // A pool that is being replaced has no permit any more: its last lease's end is still an end of what it
-        // carries.
-        ends = permit == Permit.NONE ? ends : permit;
-        if (ends != Permit.NONE) {
-            ends(now);
+        usage.set(grant.at(now), grant.tenants());
+        // A pool that is being replaced has no grant any more: the end of its last lease still limits its connections
+        // in use.
+        lastGrant = grant == Permit.NONE ? lastGrant : grant;
+        if (lastGrant != Permit.NONE) {
+            scheduleEnds(now);
         }
         shrink.run();
-        isOver = ration.open() > ration.maxConnections();
-        if (ration.maxConnections() == 0) {
-            ration.drain().forEach(Sending::unsent);
+        isOverGrant = usage.open() > usage.maxConnections();
+        if (usage.maxConnections() == 0) {
+            usage.drain().forEach(PendingAttempt::notSent);
         }
         serve();
     }
 
-    private void ends(long now) {
-        boolean lasts = now - ends.until() < 0;
-        long next = lasts ? ends.until() : ends.forget();
+    private void scheduleEnds(long now) {
+        boolean lasts = now - lastGrant.until() < 0;
+        long next = lasts ? lastGrant.until() : lastGrant.forget();
         if (now - next < 0) {
-            due = loop.schedule(this::look, next - now, TimeUnit.NANOSECONDS);
+            applyTimer = loop.schedule(this::applyGrant, next - now, TimeUnit.NANOSECONDS);
         }
         if (lasts) {
-            cuts.forEach(cut -> cut.cancel(false));
-            cuts.clear();
+            closeTimers.forEach(timer -> timer.cancel(false));
+            closeTimers.clear();
             return;
         }
-        if (cuts.isEmpty()) {
-            cutAfter(ends.until(), now);
+        if (closeTimers.isEmpty()) {
+            scheduleClose(lastGrant.until(), now);
         }
-        if (cuts.size() == 1 && now - ends.forget() >= 0) {
-            cutAfter(ends.forget(), now);
+        if (closeTimers.size() == 1 && now - lastGrant.forget() >= 0) {
+            scheduleClose(lastGrant.forget(), now);
         }
     }
 
-    private void cutAfter(long end, long now) {
-        cuts.add(loop.schedule(() -> cut(end), Math.max(0, end + longest - now), TimeUnit.NANOSECONDS));
+    private void scheduleClose(long end, long now) {
+        closeTimers.add(
+                loop.schedule(() -> closeUsesBefore(end), Math.max(0, end + gracePeriod - now), TimeUnit.NANOSECONDS));
     }
 
-    /** The fleet waits no longer: what has been carried since before an end and is beyond what is left goes. */
-    private void cut(long end) {
-        for (Carrying each : List.copyOf(carrying)) {
-            if (ration.mustShrink() && each.since - end < 0 && each.channel != null) {
-                part(each.channel);
+    /**
+     * Closes connections in use beyond the remaining grant whose use began before a lease's end: the fleet now counts
+     * them as free.
+     */
+    private void closeUsesBefore(long end) {
+        for (ConnectionUse each : List.copyOf(activeUses)) {
+            if (usage.mustShrink() && each.startedAt - end < 0 && each.channel != null) {
+                close(each.channel);
             }
         }
     }
 
-    /** Sends an attempt now, or when its turn comes; false if it can't be. */
-    boolean send(Sending attempt) {
+    /** Starts an attempt now or queues it; returns false if it is neither. */
+    boolean send(PendingAttempt attempt) {
         String tenant = tenants.apply(attempt.request());
-        // Known to come too late, it is told so now.
-        boolean may = ration.waitingPerConnection(tenant) * mean < attempt.patience() && ration.enqueue(tenant, attempt);
+        // Rejected now if its expected wait exceeds its timeout.
+        boolean may = usage.waitingPerConnection(tenant) * meanUseNanos < attempt.patience()
+                && usage.enqueue(tenant, attempt);
         if (may) {
             serve();
         }
         return may;
     }
 
-    /** An attempt waits no more. */
-    void leave(Sending attempt) {
-        // In whichever line: tenants may have changed since.
-        ration.cancel(attempt);
+    /** Removes an attempt from the queue. */
+    void leave(PendingAttempt attempt) {
+        // Whichever tenant's queue it is in: the mapping to tenants may have changed since.
+        usage.cancel(attempt);
     }
 
-    /** The last look before a connect. */
+    /** Reserves a connection right before a connect; returns false if the grant has no more. */
     boolean acquireConnection() {
-        int most = permit.at(System.nanoTime());
-        if (most != ration.maxConnections()) {
-            // A lease has ended, and its timer is yet to come.
-            look();
+        int max = grant.at(System.nanoTime());
+        if (max != usage.maxConnections()) {
+            // The lease has ended and its timer has not run yet.
+            applyGrant();
         }
-        return ration.acquireConnection();
+        return usage.acquireConnection();
     }
 
-    /** What was taken was not used. */
+    /** Releases a reserved connection that was not used. */
     void releaseConnection() {
-        ration.removeConnection(false);
+        usage.removeConnection(false);
     }
 
-    /** Whether connections must go. */
+    /** Returns whether connections must be closed. */
     boolean mustShrink() {
-        return ration.mustShrink();
+        return usage.mustShrink();
     }
 
     /**
-     * A connection that was taken has ended.
+     * A reserved connection has ended.
      *
-     * @param opened the channel that it was; null if it never came up
-     * @param failure why it could not be made; null if it was
+     * @param opened its channel; null if it was never established
+     * @param failure why it could not be established; null if it was
      */
     void ended(Channel opened, Throwable failure) {
-        Parting parting = opened == null ? null : opened.attr(Parting.KEY).getAndSet(null);
+        PeerCloseHandler closing =
+                opened == null ? null : opened.attr(PeerCloseHandler.KEY).getAndSet(null);
         if (failure instanceof ConnectTimeoutException) {
-            // It may have come up at the other side.
-            ration.startClosing();
-            loop.schedule(() -> gone(true), halfOpen, TimeUnit.NANOSECONDS);
+            // The peer may have accepted it.
+            usage.startClosing();
+            loop.schedule(() -> gone(true), halfOpenTimeout, TimeUnit.NANOSECONDS);
         } else {
-            gone(parting != null);
+            gone(closing != null);
         }
     }
 
     private void gone(boolean left) {
-        ration.removeConnection(left);
+        usage.removeConnection(left);
         serveSoon();
-        if (isOver && ration.open() <= ration.maxConnections()) {
-            isOver = false;
-            down.run();
+        if (isOverGrant && usage.open() <= usage.maxConnections()) {
+            isOverGrant = false;
+            withinGrantCallback.run();
         }
-        if (ration.open() == 0 && empty != null) {
-            empty.run();
-            empty = null;
+        if (usage.open() == 0 && emptyCallback != null) {
+            emptyCallback.run();
+            emptyCallback = null;
         }
     }
 
-    /** Tells, once, when nothing is open at the other side any more. */
+    /** Runs a callback once, when no connection is open at the peers any more. */
     public void onEmpty(Runnable then) {
-        if (ration.open() == 0) {
+        if (usage.open() == 0) {
             then.run();
         } else {
-            empty = then;
+            emptyCallback = then;
         }
     }
 
-    /** Closes a connection; it counts until the other side has. */
-    void part(Channel channel) {
+    /** Closes a connection, which counts until the peer has closed it too. */
+    void close(Channel channel) {
         if (!channel.isActive() || !(channel instanceof DuplexChannel duplex)) {
             channel.close();
-        } else if (!channel.hasAttr(Parting.KEY) || channel.attr(Parting.KEY).get() == null) {
-            Parting parting = new Parting();
-            channel.attr(Parting.KEY).set(parting);
-            ration.startClosing();
-            channel.pipeline().addFirst(parting);
+        } else if (!channel.hasAttr(PeerCloseHandler.KEY)
+                || channel.attr(PeerCloseHandler.KEY).get() == null) {
+            PeerCloseHandler closing = new PeerCloseHandler();
+            channel.attr(PeerCloseHandler.KEY).set(closing);
+            usage.startClosing();
+            channel.pipeline().addFirst(closing);
             channel.config().setAutoRead(true);
             duplex.shutdownOutput();
-            Future<?> end = loop.schedule((Runnable) channel::close, halfOpen, TimeUnit.NANOSECONDS);
+            Future<?> end = loop.schedule((Runnable) channel::close, halfOpenTimeout, TimeUnit.NANOSECONDS);
             channel.closeFuture().addListener(closed -> end.cancel(false));
         }
     }
 
-    /** What still comes is nobody's; only its end counts. */
-    private static final class Parting extends ChannelInboundHandlerAdapter {
-        private static final AttributeKey<Parting> KEY = AttributeKey.valueOf(Parting.class, "parting");
+    /** Discards what is still received; only the peer's end of the connection matters. */
+    private static final class PeerCloseHandler extends ChannelInboundHandlerAdapter {
+        private static final AttributeKey<PeerCloseHandler> KEY =
+                AttributeKey.valueOf(PeerCloseHandler.class, "closing");
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
@@ -306,28 +348,28 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            // Nothing was passed on.
+            // Nothing was passed on to the other handlers.
         }
     }
 
     private void serveSoon() {
-        if (!later) {
-            later = true;
+        if (!serveScheduled) {
+            serveScheduled = true;
             loop.execute(this::serve);
         }
     }
 
-    private boolean begin(Sending attempt, String tenant) {
-        Carrying by = new Carrying(tenant);
-        boolean may = attempt.begin(by);
+    private boolean begin(PendingAttempt attempt, String tenant) {
+        ConnectionUse use = new ConnectionUse(tenant);
+        boolean may = attempt.begin(use);
         if (!may) {
-            carrying.remove(by);
+            activeUses.remove(use);
         }
         return may;
     }
 
-    private void again() {
-        retry = null;
+    private void retryServe() {
+        retryTimer = null;
         serve();
     }
 
@@ -336,18 +378,18 @@
             return;
         }
         serving = true;
-        later = false;
+        serveScheduled = false;
         try {
-            ration.serve(this::begin);
-            ration.forEachWaiting(attempt -> {
-                if (ration.shouldCloseIdle()) {
-                    attempt.makeRoom();
+            usage.serve(this::begin);
+            usage.forEachWaiting(attempt -> {
+                if (usage.shouldCloseIdle()) {
+                    attempt.closeIdleConnection();
                 }
             });
-            if (ration.waiting() > 0 && retry == null) {
-                // A connection that rests, or one that the process has lent elsewhere, tells nobody when it may be
-                // used.
-                retry = loop.schedule(this::again, rest, TimeUnit.NANOSECONDS);
+            if (usage.waiting() > 0 && retryTimer == null) {
+                // No event reports when a connection's reuse delay ends, or when one that the process lent to another
+                // pool is free.
+                retryTimer = loop.schedule(this::retryServe, reuseDelay, TimeUnit.NANOSECONDS);
             }
         } finally {
             serving = false;
--- a/src/main/java/rushpin/net/ServerPool.java
+++ b/src/main/java/rushpin/net/ServerPool.java
@@ -38,107 +38,144 @@
 import rushpin.membership.Member;
 import rushpin.membership.ServerListUpdate;
 
-/** Connections to app servers, one request on each at a time, and the attempts on them with their outcomes. */
+/**
+ * Manages the connections of one pool to its app servers and runs request attempts on them.
+ *
+ * <p>Each connection carries one request at a time. All methods are called on the pool's event loop.
+ */
 public final class ServerPool {
-    /** The largest body, in bytes. */
+    /** The largest request or answer body that is buffered, in bytes. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    private static final long MS = 1_000_000L, SWEEP = 1_000 * MS;
-    /** A second copy or noise may come right behind an answer: for so long nothing new is written there. */
-    private static final long REST = 10 * MS;
-    /** How often a begun answer is looked at: one of unknown or great length is passed on then. */
-    private static final long LOOK = 200 * MS;
-    /** A begun answer of which nothing more comes for so long is unusable and will not get better. */
-    private static final long SILENCE = 400 * MS;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    /** Interval between two sweeps that close idle connections, in nanoseconds. */
+    private static final long IDLE_SWEEP_INTERVAL = 1_000 * NANOS_PER_MS;
     /**
-     * By so much less than is left, and by no more than this part of it, a server is told to hurry, in milliseconds: the
-     * request may have waited in the kernel before it was read, and this process may be held up before it writes.
+     * How long a connection is not reused after an answer, in nanoseconds: a duplicate answer or stray bytes may follow
+     * the answer, and would be taken for the answer to the next request.
      */
-    private static final long DEADLINE_MARGIN = 50, DEADLINE_PART = 8;
-    /** What one read takes at most: it is on the way to a client that may be slow. */
-    private static final int READ = 16 * 1024;
+    private static final long REUSE_DELAY = 10 * NANOS_PER_MS;
+    /**
+     * Interval between two checks of a partial answer, in nanoseconds. A check starts to stream an answer whose length
+     * is unknown or exceeds {@link #MAX_BODY_BYTES}.
+     */
+    private static final long PARTIAL_ANSWER_CHECK_INTERVAL = 200 * NANOS_PER_MS;
+    /** A partial answer of which nothing more arrives for this long, in nanoseconds, is considered broken. */
+    private static final long PARTIAL_ANSWER_TIMEOUT = 400 * NANOS_PER_MS;
+    /**
+     * Maximum number of milliseconds by which the {@code X-Expires-In-Ms} header is lower than the time that is left:
+     * the request may have waited in the kernel before it was read, and this process may be delayed before it writes.
+     */
+    private static final long MAX_DEADLINE_MARGIN_MS = 50;
+    /** The margin is at most the time that is left divided by this. */
+    private static final long DEADLINE_MARGIN_DIVISOR = 8;
+    /** Maximum size of one read, in bytes: the data may have to be held for a client that reads slowly. */
+    private static final int MAX_READ_BYTES = 16 * 1024;
 
-    /** Hears how attempts end. */
+    /** Receives the outcomes of attempts. */
     public interface Listener {
-        /** An attempt ended; {@code body} is an app server's whole 200 answer, and stays the caller's. */
+        /**
+         * An attempt has ended.
+         *
+         * @param took duration of the attempt, in nanoseconds
+         * @param server the app server's id
+         * @param units the units that the app server charged; 0 if it gave none
+         * @param body the body of a complete 200 answer, else null; the caller keeps the reference
+         */
         void attemptEnded(OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body);
 
-        /** An attempt has a long answer, which goes through from now on; {@code length} bytes, or -1. */
+        /**
+         * An attempt has a long answer, which is streamed from now on. No {@link #attemptEnded} follows.
+         *
+         * @param took duration of the attempt until now, in nanoseconds
+         * @param length of the answer in bytes; -1 if it is unknown
+         */
         void answerStarted(OpenRequest of, long took, String server, double units, BodyStream passage, long length);
 
-        /** For how much longer the client of a request waits, nanoseconds. */
+        /** Returns how much longer the request's client waits, in nanoseconds. */
         long remainingNanos(OpenRequest of);
 
-        /** What an attempt has written of a body is gone: there can be no further one. */
+        /** An attempt has written a part of a body that is not kept, so the request cannot be attempted again. */
         void bodyGone(OpenRequest of);
 
-        /** An attempt was written whole to an app server. */
+        /** All bytes of a request have been written to an app server. */
         default void attemptWritten(OpenRequest of) {
-            // Only who reports of it wants to know.
+            // Optional: only listeners that report it need it.
         }
 
-        /** Runs a task, {@code isOver} or not yet written, once what had arrived has been read; see {@link ReadBarrier}. */
+        /**
+         * Runs a task once the input that had arrived before has been read, or earlier if {@code isOver} returns true.
+         *
+         * @see ReadBarrier
+         */
         default void runAfterPendingReads(BooleanSupplier isOver, Runnable task) {
             task.run();
         }
 
-        /** Whether something that has arrived has to be read before anything is written. */
+        /** Returns whether input has arrived that must be read before anything is written. */
         default boolean hasPendingReads() {
             return false;
         }
     }
 
-    /** How many connections the pool may hold and make at a time; called on its loop. */
+    /** Limits how many connections the pool may hold and establish at a time; called on the pool's loop. */
     public interface Slots {
-        /** One connection more; false if there is no room. */
+        /** Reserves one connection; returns false if the limit is reached. */
         boolean acquireConnection();
 
-        /** A connection has ended. */
+        /** Releases a reserved connection after it has ended. */
         void releaseConnection();
 
-        /** One more connection begins to be made; false if too many are. */
+        /** Reserves one connect in progress; returns false if the limit is reached. */
         boolean acquireConnect();
 
-        /** A connection is made, or could not be. */
+        /** Releases a reserved connect after it has succeeded or failed. */
         void releaseConnect();
 
-        /** Whether connections are wanted back: none that gets free is kept. */
+        /** Returns whether the pool has to give up connections: then connections that become idle are closed. */
         boolean mustShrink();
     }
 
-    private final Listener node;
+    private final Listener listener;
     private final EventLoop loop;
     private final Bootstrap bootstrap;
+    /** Endpoints by the server's id. */
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    /** The same by address: a list of thousands must not cost a look at all for each of them. */
-    private final Map<SocketAddress, Endpoint> places = new HashMap<>();
+    /** The same endpoints by address: an update of thousands of servers must not scan all for each. */
+    private final Map<SocketAddress, Endpoint> endpointsByAddress = new HashMap<>();
+
+    /** Connections that are open or being established. */
+    private int openConnections;
+
+    private int maxConnections = Integer.MAX_VALUE;
+    /** How long a connection may be idle before it is closed, in nanoseconds. */
+    private long maxIdleNanos;
 
-    private int held, most = Integer.MAX_VALUE;
-    private long idleLimit;
     private final Slots slots;
-    private final double mostUnits;
+    private final double maxUnits;
     private final String host;
-    private final Future<?> sweep;
-    /** Where the servers take so many connections from all processes together; null where they don't. */
+    private final Future<?> idleSweep;
+    /** Limits the connections to a group of servers that all processes share; null where there is no such limit. */
     private GroupGate gate;
 
-    /** Holds as many connections as there are slots. */
-    public ServerPool(Listener node, EventLoop loop, Upstream config, Slots slots) {
-        this(node, loop, config, slots, Transport.clientBootstrap(loop, config.discovery()));
+    /** Creates a pool that holds as many connections as {@code slots} allows. */
+    public ServerPool(Listener listener, EventLoop loop, Upstream config, Slots slots) {
+        this(listener, loop, config, slots, Transport.clientBootstrap(loop, config.discovery()));
     }
 
-    /** As above, with sockets of one's own. */
-    ServerPool(Listener node, EventLoop loop, Upstream config, Slots slots, Bootstrap connecting) {
-        this.node = node;
+    /** As above, with a given bootstrap for its sockets. */
+    ServerPool(Listener listener, EventLoop loop, Upstream config, Slots slots, Bootstrap clientBootstrap) {
+        this.listener = listener;
         this.loop = loop;
-        // Well before the app server does: a request written to a connection that it closes ends as a reset.
-        idleLimit = config.keepAlive() / 2;
-        mostUnits = config.mostUnits();
+        // Half of the server's keep-alive time: a request on a connection that the server is closing would end as a
+        // reset.
+        maxIdleNanos = config.keepAlive() / 2;
+        maxUnits = config.maxUnits();
         this.slots = slots;
         host = config.host();
-        bootstrap = connecting
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout() / MS))
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 2_048, READ))
+        bootstrap = clientBootstrap
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, config.connectTimeout() / NANOS_PER_MS))
+                .option(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 2_048, MAX_READ_BYTES))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -146,10 +183,11 @@
                         channel.pipeline().addLast(decoder, new HttpRequestEncoder(), new Connection(decoder));
                     }
                 });
-        sweep = loop.scheduleAtFixedRate(this::closeIdle, SWEEP, SWEEP, TimeUnit.NANOSECONDS);
+        idleSweep = loop.scheduleAtFixedRate(
+                this::closeIdle, IDLE_SWEEP_INTERVAL, IDLE_SWEEP_INTERVAL, TimeUnit.NANOSECONDS);
     }
 
-    /** One run of an app server at one address; a restart or a move makes a new one. */
+    /** One run of an app server at one address. A server that restarts or moves gets a new endpoint. */
     private final class Endpoint {
         private final Server server;
         private final SocketAddress address;
@@ -163,9 +201,13 @@
             startedAt = server.startedAt();
         }
 
-        /** The connection used last, so that the others may close; if it is too fresh, the one that is least so. */
-        Connection rested() {
-            long due = System.nanoTime() - REST;
+        /**
+         * Takes an idle connection that may be reused, or returns null. Prefers the one used last, so that the others
+         * become idle long enough to be closed; if {@link #REUSE_DELAY} has not passed for that one, takes the one
+         * that has been idle longest.
+         */
+        Connection pollReusable() {
+            long due = System.nanoTime() - REUSE_DELAY;
             Connection last = idle.peekFirst();
             if (last != null && last.idleSince - due <= 0) {
                 return idle.pollFirst();
@@ -183,102 +225,118 @@
     }
 
     /**
-     * Follows the list: connections to what is gone, drains, has moved or has restarted are of no more use.
-     * Returns the list as the module should see it. An address belongs to one app server: who started there
-     * last has it, and the one before is gone, whether or not discovery has told so yet. Under the old id the
-     * new one would be reached unknown, with neither its cold start nor its drain.
+     * Applies a server list or a change to it. Connections to servers that are gone, draining, moved or restarted are
+     * no longer used.
+     *
+     * <p>An address belongs to one app server, the one that started there last. An earlier server at the same address
+     * counts as gone even if discovery has not reported it yet: otherwise requests sent under its id would reach the
+     * new server, whose slow start and drain would go unnoticed.
+     *
+     * @param whole whether {@code roll} is the complete list
+     * @return the list as the gateway should see it
      */
     public List<Server> update(ServerListUpdate roll, boolean whole) {
-        List<Server> told = new ArrayList<>();
+        List<Server> visible = new ArrayList<>();
         Set<String> named = new HashSet<>();
         for (Member member : roll.members()) {
             Server server = member.server();
             named.add(server.id());
             boolean ready = member.isReady();
-            Endpoint holder = ready ? holder(member) : null;
-            if (holder != null && holder.startedAt > server.startedAt()) {
+            Endpoint conflicting = ready ? conflictingEndpoint(member) : null;
+            if (conflicting != null && conflicting.startedAt > server.startedAt()) {
                 ready = false;
                 server = Member.gone(server);
-            } else if (holder != null) {
-                told.add(Member.gone(holder.server));
-                drop(holder);
+            } else if (conflicting != null) {
+                visible.add(Member.gone(conflicting.server));
+                remove(conflicting);
             }
-            told.add(server);
+            visible.add(server);
             Endpoint known = endpoints.get(server.id());
             boolean same =
                     known != null && known.address.equals(member.address()) && known.startedAt == server.startedAt();
             if (known != null && (!ready || !same)) {
-                drop(known);
+                remove(known);
             }
             if (ready && !same) {
                 Endpoint made = new Endpoint(member);
                 endpoints.put(server.id(), made);
-                places.put(made.address, made);
+                endpointsByAddress.put(made.address, made);
             }
         }
         if (whole) {
             List.copyOf(endpoints.values()).stream()
                     .filter(e -> !named.contains(e.server.id()))
-                    .forEach(this::drop);
+                    .forEach(this::remove);
         }
-        return told;
+        return visible;
     }
 
-    /** From now on connections may take so long to make, nanoseconds, and be so many; 0 for no bound but the slots. */
-    public void setLimits(long connectTimeout, int mostConnections) {
-        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / MS));
-        most = mostConnections == 0 ? Integer.MAX_VALUE : mostConnections;
+    /**
+     * Changes the limits of new connections.
+     *
+     * @param connectTimeout in nanoseconds
+     * @param maxConnections maximum number of connections; 0 for no limit but that of the slots
+     */
+    public void setLimits(long connectTimeout, int maxConnections) {
+        bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeout / NANOS_PER_MS));
+        this.maxConnections = maxConnections == 0 ? Integer.MAX_VALUE : maxConnections;
     }
 
-    /** The end of the pool: no attempt is out any more. */
+    /** Closes the pool. No attempt may be in flight any more. */
     public void close() {
-        sweep.cancel(false);
-        List.copyOf(endpoints.values()).forEach(this::drop);
+        idleSweep.cancel(false);
+        List.copyOf(endpoints.values()).forEach(this::remove);
     }
 
-    private Endpoint holder(Member of) {
-        Endpoint found = places.get(of.address());
+    private Endpoint conflictingEndpoint(Member of) {
+        Endpoint found = endpointsByAddress.get(of.address());
         return found == null || found.server.id().equals(of.server().id()) ? null : found;
     }
 
-    private void drop(Endpoint endpoint) {
+    private void remove(Endpoint endpoint) {
         endpoint.retire();
         endpoints.remove(endpoint.server.id());
-        places.remove(endpoint.address, endpoint);
+        endpointsByAddress.remove(endpoint.address, endpoint);
     }
 
     /**
-     * From now on keeps to a permit at its servers, before the first attempt; {@code halfOpen} nanoseconds after the last
-     * word of ours they end a connection, no request is waited for beyond {@code longest} after a lease, and {@code tenants}
-     * tells whose a request is.
+     * Limits the pool to a connection grant at its servers; called before the first attempt.
+     *
+     * @param halfOpenTimeout time after which the servers end a connection that is silent, in nanoseconds
+     * @param gracePeriod time after the end of a lease for which a request may still run, in nanoseconds
+     * @param tenants maps a request to its tenant
      */
-    public GroupGate joinGroup(long halfOpen, long longest, Function<Request, String> tenants) {
-        // With the sweep's step, an idle one is gone before its server would end it.
-        idleLimit = Math.min(idleLimit, halfOpen * 3 / 4 - SWEEP);
-        gate = new GroupGate(loop, halfOpen, longest, REST, tenants, this::shrink);
+    public GroupGate joinGroup(long halfOpenTimeout, long gracePeriod, Function<Request, String> tenants) {
+        // Including one sweep interval, idle connections are closed before the server would end them.
+        maxIdleNanos = Math.min(maxIdleNanos, halfOpenTimeout * 3 / 4 - IDLE_SWEEP_INTERVAL);
+        gate = new GroupGate(loop, halfOpenTimeout, gracePeriod, REUSE_DELAY, tenants, this::shrink);
         return gate;
     }
 
-    /** Begins an attempt; its outcome is told later, never from within this call. */
+    /**
+     * Starts an attempt. Its outcome is reported later, never from within this call.
+     *
+     * @param patience timeout of the attempt, in nanoseconds
+     */
     public void send(OpenRequest of, String server, long patience) {
         send(of, server, patience, Long.MAX_VALUE);
     }
 
-    /** As above; nothing of it is written later than {@code startWithin} nanoseconds from now. */
+    /** As above. The request is not written if more than {@code startWithin} nanoseconds pass before that. */
     public void send(OpenRequest of, String server, long patience, long startWithin) {
         Attempt attempt = new Attempt(of, server, patience, startWithin);
-        if (gate == null ? !begin(attempt) : !attempt.waits()) {
+        if (gate == null ? !begin(attempt) : !attempt.sendThroughGate()) {
             loop.execute(() -> attempt.end(Outcome.NOT_SENT, 0, null));
         }
     }
 
-    /** False if there is no connection for it. */
+    /** Starts an attempt on an idle or a new connection; returns false if there is none for it. */
     private boolean begin(Attempt attempt) {
         Endpoint endpoint = endpoints.get(attempt.server);
-        Connection ready = endpoint == null ? null : endpoint.rested();
-        boolean may = ready != null || endpoint != null && mayConnect(endpoint);
+        Connection ready = endpoint == null ? null : endpoint.pollReusable();
+        boolean may = ready != null || endpoint != null && reserveConnect(endpoint);
         if (may) {
-            attempt.endsAfter(attempt.patience - (System.nanoTime() - attempt.sentAt));
+            attempt.scheduleTimeout(attempt.patience - (System.nanoTime() - attempt.sentAt));
         }
         if (ready != null) {
             ready.write(attempt);
@@ -288,13 +346,14 @@
         return may;
     }
 
-    /** Takes a connection and a connect, both or neither. */
-    private boolean mayConnect(Endpoint to) {
+    /** Reserves a connection and a connect, both or neither; returns whether it did. */
+    private boolean reserveConnect(Endpoint to) {
         if (!slots.acquireConnect()) {
             return false;
         }
-        // Under a permit what gives way counts until its other side has ended it.
-        boolean may = acquireConnection() || gate == null && makeRoom(to) && acquireConnection();
+        // Under a connection grant a connection that is closed counts until the peer has closed it too, so closing one
+        // does not help.
+        boolean may = acquireConnection() || gate == null && closeIdleConnection(to) && acquireConnection();
         if (!may) {
             slots.releaseConnect();
         }
@@ -302,27 +361,27 @@
     }
 
     private boolean acquireConnection() {
-        boolean may = held < most && slots.acquireConnection();
+        boolean may = openConnections < maxConnections && slots.acquireConnection();
         if (may && gate != null && !gate.acquireConnection()) {
             slots.releaseConnection();
             return false;
         }
-        held += may ? 1 : 0;
+        openConnections += may ? 1 : 0;
         return may;
     }
 
     private void connect(Endpoint endpoint, Attempt attempt) {
-        Transport.connect(bootstrap, loop, endpoint.address, new Connecting(endpoint, attempt));
+        Transport.connect(bootstrap, loop, endpoint.address, new PendingConnect(endpoint, attempt));
     }
 
-    /** A connect on its way, and the place that it holds until its channel has ended. */
-    private final class Connecting implements Transport.ConnectListener {
+    /** A connect in progress, and the connection slot that it holds until its channel is closed. */
+    private final class PendingConnect implements Transport.ConnectListener {
         private final Endpoint endpoint;
         private final Attempt attempt;
         private Channel opened;
         private Throwable failure;
 
-        Connecting(Endpoint endpoint, Attempt attempt) {
+        PendingConnect(Endpoint endpoint, Attempt attempt) {
             this.endpoint = endpoint;
             this.attempt = attempt;
         }
@@ -350,29 +409,32 @@
 
         @Override
         public void ended() {
-            held--;
+            openConnections--;
             slots.releaseConnection();
             if (gate != null) {
-                // Only here: a connection that is kept would keep its first request.
-                attempt.carried();
+                // Only in this place: a connection that stays open would otherwise keep its first attempt.
+                attempt.endUse();
                 gate.ended(opened, failure);
             }
         }
     }
 
-    /** The client's end, or the server's drain, may wait unread behind the news that the connection is up. */
+    /**
+     * Writes once pending input has been read: the client's disconnect or the server's drain may have arrived before
+     * the connection was established and not have been read yet.
+     */
     private void writeOnceRead(Connection made, Attempt attempt) {
-        if (!node.hasPendingReads()) {
+        if (!listener.hasPendingReads()) {
             made.write(attempt);
             return;
         }
-        attempt.on = made;
+        attempt.connection = made;
         made.attempt = attempt;
-        node.runAfterPendingReads(() -> attempt.over, () -> writeLater(made, attempt));
+        listener.runAfterPendingReads(() -> attempt.ended, () -> writeLater(made, attempt));
     }
 
     private void writeLater(Connection made, Attempt attempt) {
-        if (attempt.over) {
+        if (attempt.ended) {
             made.release();
         } else if (made.endpoint.retired) {
             close(made.channel);
@@ -382,17 +444,20 @@
         }
     }
 
-    /** At the bound on connections another server's longest idle one gives way, or one here that is too fresh. */
-    private boolean makeRoom(Endpoint wanted) {
+    /**
+     * Closes the connection to another server that has been idle longest, or else one to this server that may not be
+     * reused yet.
+     */
+    private boolean closeIdleConnection(Endpoint wanted) {
         for (Endpoint endpoint : endpoints.values()) {
-            if (endpoint != wanted && closeOne(endpoint)) {
+            if (endpoint != wanted && closeOldestIdle(endpoint)) {
                 return true;
             }
         }
-        return closeOne(wanted);
+        return closeOldestIdle(wanted);
     }
 
-    private boolean closeOne(Endpoint endpoint) {
+    private boolean closeOldestIdle(Endpoint endpoint) {
         Connection oldest = endpoint.idle.pollLast();
         if (oldest != null) {
             close(oldest.channel);
@@ -404,7 +469,7 @@
         if (gate == null) {
             channel.close();
         } else {
-            gate.part(channel);
+            gate.close(channel);
         }
     }
 
@@ -412,17 +477,17 @@
         return slots.mustShrink() || gate != null && gate.mustShrink();
     }
 
-    /** Lent connections are wanted back: the idle ones go at once, the others as they get free. */
+    /** Gives up connections while there are too many: closes idle ones now, the others when they become idle. */
     public void shrink() {
         for (Endpoint endpoint : endpoints.values()) {
-            while (mustShrink() && closeOne(endpoint)) {
-                // As many as are wanted, and are idle.
+            while (mustShrink() && closeOldestIdle(endpoint)) {
+                // closeOldestIdle does the work.
             }
         }
     }
 
     private void closeIdle() {
-        long due = System.nanoTime() - idleLimit;
+        long due = System.nanoTime() - maxIdleNanos;
         for (Endpoint endpoint : endpoints.values()) {
             while (!endpoint.idle.isEmpty() && endpoint.idle.peekLast().idleSince - due < 0) {
                 close(endpoint.idle.pollLast().channel);
@@ -430,272 +495,298 @@
         }
     }
 
-    /** One sending of a request to an app server; it ends exactly once. */
+    /** One attempt to send a request to an app server; it ends exactly once. */
     private final class Attempt {
-        private final OpenRequest of;
+        private final OpenRequest request;
         private final String server;
         private final long patience;
-        /** For how long after {@code decidedAt} its first byte may be written. */
+        /** How long after {@code decidedAt} the first byte may be written, in nanoseconds. */
         private final long startWithin;
 
         private final long decidedAt = System.nanoTime();
-        private long sentAt = decidedAt, begunAt = sentAt;
-        private boolean written, over;
-        private Connection on;
+        /** Start of the attempt's timeout. */
+        private long sentAt = decidedAt;
+        /** Start of the attempt's reported duration. */
+        private long begunAt = sentAt;
+
+        private boolean written;
+        private boolean ended;
+        private Connection connection;
         private Future<?> expiry;
-        /** Under a permit: whether its turn is yet to come, and what carries it then. */
+        /** Whether the attempt is queued at the gate; only where there is one. */
         private boolean waiting;
 
-        private GroupGate.Sending turn;
-        private GroupGate.Carrying by;
+        private GroupGate.PendingAttempt queued;
+        /** The use of a connection that the gate has counted for this attempt; null if there is none. */
+        private GroupGate.ConnectionUse use;
 
-        Attempt(OpenRequest of, String server, long patience, long startWithin) {
-            this.of = of;
+        Attempt(OpenRequest request, String server, long patience, long startWithin) {
+            this.request = request;
             this.server = server;
             this.patience = patience;
             this.startWithin = startWithin;
         }
 
-        /** Whether it may still begin: its client waits, and servers know the key of what may have run before. */
-        boolean mayBegin() {
-            return !over && !of.isAnswered() && System.nanoTime() - decidedAt < startWithin;
+        /**
+         * Returns whether the attempt may still start: its client still waits, and servers still know the idempotency
+         * key of an earlier attempt that may have run.
+         */
+        boolean mayStart() {
+            return !ended && !request.isAnswered() && System.nanoTime() - decidedAt < startWithin;
         }
 
-        /** Sends it now or when there is a connection for it; false if there will be none. */
-        boolean waits() {
-            endsAfter(patience);
-            turn = QueuedAttempt.of(ServerPool.this, this);
+        /** Starts the attempt now or when the gate has a connection for it; returns false if there will be none. */
+        boolean sendThroughGate() {
+            scheduleTimeout(patience);
+            queued = QueuedAttempt.create(ServerPool.this, this);
             waiting = true;
-            waiting = gate.send(turn) && by == null;
-            return waiting || by != null;
+            waiting = gate.send(queued) && use == null;
+            return waiting || use != null;
         }
 
-        /** What carried it does so no more. */
-        void carried() {
-            if (by != null) {
-                by.end();
+        /** Ends the use of a connection that was counted for this attempt. */
+        void endUse() {
+            if (use != null) {
+                use.end();
             }
         }
 
-        void endsAfter(long span) {
+        void scheduleTimeout(long timeout) {
             if (expiry != null) {
                 expiry.cancel(false);
             }
-            expiry = loop.schedule(this::expire, span, TimeUnit.NANOSECONDS);
+            expiry = loop.schedule(this::expire, timeout, TimeUnit.NANOSECONDS);
         }
 
-        /** An app server begins a request with its last byte: before that it cannot have run. */
-        void broke() {
+        /**
+         * The connection was lost. An app server starts a request when it has received its last byte, so the request
+         * cannot have run before that was written.
+         */
+        void connectionLost() {
             end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, 0, null);
         }
 
         void expire() {
             if (waiting) {
-                gate.leave(turn);
-                turn.unsent();
+                gate.leave(queued);
+                queued.notSent();
                 return;
             }
-            if (on != null) {
-                close(on.channel);
+            if (connection != null) {
+                close(connection.channel);
             }
             end(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, 0, null);
         }
 
         void end(Outcome outcome, double units, ByteBuf body) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            over = true;
+            ended = true;
             if (expiry != null) {
                 expiry.cancel(false);
             }
-            if (on != null) {
-                on.attempt = null;
+            if (connection != null) {
+                connection.attempt = null;
             }
-            node.attemptEnded(of, outcome, System.nanoTime() - begunAt, server, units, body);
+            listener.attemptEnded(request, outcome, System.nanoTime() - begunAt, server, units, body);
         }
 
-        /** The attempt's end for the module, while its answer goes on. */
-        void begun(double units, BodyStream passage, long length) {
-            over = true;
+        /** Ends the attempt for the gateway while its answer is still streamed. */
+        void startAnswer(double units, BodyStream passage, long length) {
+            ended = true;
             expiry.cancel(false);
-            on.attempt = null;
-            node.answerStarted(of, System.nanoTime() - begunAt, server, units, passage, length);
+            connection.attempt = null;
+            listener.answerStarted(request, System.nanoTime() - begunAt, server, units, passage, length);
         }
 
-        /** The request's last byte was written: the app server begins. */
-        void whole(boolean success) {
+        /** The request's last byte was written, so the app server may start it, or the write failed. */
+        void requestWritten(boolean success) {
             written = success;
             if (!success) {
-                broke();
+                connectionLost();
                 return;
             }
-            node.attemptWritten(of);
-            if (of.rest() != null) {
-                // For how long its body came says nothing of the app server.
+            listener.attemptWritten(request);
+            if (request.rest() != null) {
+                // The time that the client took to send the body says nothing about the app server.
                 sentAt = System.nanoTime();
                 begunAt = sentAt;
             }
         }
 
-        FullHttpRequest message() {
+        FullHttpRequest fullRequest() {
             FullHttpRequest message = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, of.method, of.uri, of.body().retainedDuplicate());
-            address(message, (patience - (System.nanoTime() - sentAt)) / MS);
-            if (of.body().isReadable()) {
-                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, of.body().readableBytes());
+                    HttpVersion.HTTP_1_1,
+                    request.method,
+                    request.uri,
+                    request.body().retainedDuplicate());
+            setHeaders(message, (patience - (System.nanoTime() - sentAt)) / NANOS_PER_MS);
+            if (request.body().isReadable()) {
+                message.headers()
+                        .set(HttpHeaderNames.CONTENT_LENGTH, request.body().readableBytes());
             }
             return message;
         }
 
-        /** The head of a request whose body is longer than is kept. */
-        HttpRequest longHead() {
-            HttpRequest message = new DefaultHttpRequest(HttpVersion.HTTP_1_1, of.method, of.uri);
-            address(message, of.timeoutNanos() / MS);
-            if (of.length() < 0) {
+        /** Returns the head of a request whose body is too long to be buffered. */
+        HttpRequest longRequestHead() {
+            HttpRequest message = new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method, request.uri);
+            setHeaders(message, request.timeoutNanos() / NANOS_PER_MS);
+            if (request.length() < 0) {
                 message.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             } else {
-                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, of.length());
+                message.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.length());
             }
             return message;
         }
 
-        private void address(HttpRequest message, long expires) {
+        private void setHeaders(HttpRequest message, long expiresMs) {
             message.headers()
-                    .set(HttpHeaderNames.HOST, host == null ? of.host : host)
-                    .set("X-Trace-Id", of.request().id())
-                    .set("X-Expires-In-Ms", Math.max(1, expires - Math.min(DEADLINE_MARGIN, expires / DEADLINE_PART)));
-            if (of.key != null) {
-                message.headers().set("Idempotency-Key", of.key);
+                    .set(HttpHeaderNames.HOST, host == null ? request.host : host)
+                    .set("X-Trace-Id", request.request().id())
+                    .set(
+                            "X-Expires-In-Ms",
+                            Math.max(
+                                    1,
+                                    expiresMs - Math.min(MAX_DEADLINE_MARGIN_MS, expiresMs / DEADLINE_MARGIN_DIVISOR)));
+            if (request.key != null) {
+                message.headers().set("Idempotency-Key", request.key);
             }
         }
     }
 
-    /** An attempt in a group's line; only where there is a group. */
-    private final class QueuedAttempt implements GroupGate.Sending {
-        private final Attempt of;
+    /** An attempt that is queued at the gate. */
+    private final class QueuedAttempt implements GroupGate.PendingAttempt {
+        private final Attempt attempt;
 
-        private QueuedAttempt(Attempt of) {
-            this.of = of;
+        private QueuedAttempt(Attempt attempt) {
+            this.attempt = attempt;
         }
 
-        /** Made here, and known there by its interface alone: without a group neither is loaded. */
-        static GroupGate.Sending of(ServerPool pool, Attempt attempt) {
+        /** Creates the object behind its interface: without a group neither this class nor the gate is loaded. */
+        static GroupGate.PendingAttempt create(ServerPool pool, Attempt attempt) {
             return pool.new QueuedAttempt(attempt);
         }
 
         @Override
         public Request request() {
-            return of.of.request();
+            return attempt.request.request();
         }
 
         @Override
         public long patience() {
-            return of.patience;
+            return attempt.patience;
         }
 
         @Override
-        public boolean begin(GroupGate.Carrying carrying) {
-            if (of.of.isAnswered()) {
-                // Its client has left meanwhile.
-                carrying.end();
-                unsent();
+        public boolean begin(GroupGate.ConnectionUse use) {
+            if (attempt.request.isAnswered()) {
+                // The client disconnected while the attempt was queued.
+                use.end();
+                notSent();
                 return true;
             }
-            of.by = carrying;
-            // What it waited for here is no matter of the server's.
-            of.begunAt = System.nanoTime();
-            boolean may = ServerPool.this.begin(of);
-            of.by = may ? carrying : null;
-            of.waiting &= !may;
+            attempt.use = use;
+            // The time in the queue says nothing about the app server.
+            attempt.begunAt = System.nanoTime();
+            boolean may = ServerPool.this.begin(attempt);
+            attempt.use = may ? use : null;
+            attempt.waiting &= !may;
             return may;
         }
 
         @Override
-        public void makeRoom() {
-            Endpoint wanted = endpoints.get(of.server);
+        public void closeIdleConnection() {
+            Endpoint wanted = endpoints.get(attempt.server);
             if (wanted == null) {
                 gate.leave(this);
-                unsent();
+                notSent();
             } else if (wanted.idle.isEmpty()) {
-                // One that rests there yet comes sooner than a new one could.
-                ServerPool.this.makeRoom(wanted);
+                // If the server has an idle connection, its reuse delay ends sooner than a new connection could be
+                // established.
+                ServerPool.this.closeIdleConnection(wanted);
             }
         }
 
         @Override
-        public void unsent() {
-            of.waiting = false;
-            loop.execute(() -> of.end(Outcome.NOT_SENT, 0, null));
+        public void notSent() {
+            attempt.waiting = false;
+            loop.execute(() -> attempt.end(Outcome.NOT_SENT, 0, null));
         }
     }
 
-    /** A connection to an app server. */
+    /** A connection to an app server, and the last handler in its pipeline. */
     private final class Connection extends AnswerHandler implements BodyStream.Source {
         private final AnswerDecoder decoder;
         private Channel channel;
         private Endpoint endpoint;
         private Attempt attempt;
-        private GroupGate.Carrying by;
+        private GroupGate.ConnectionUse use;
         private boolean reusable;
         private long idleSince;
-        private Future<?> unfinished;
-        private long readAt, lookedAt;
+        /** Checks a partial answer; null if there is none. */
+        private Future<?> partialAnswerCheck;
+
+        private long lastReadAt;
+        /** The value of {@code lastReadAt} at the last check of a partial answer. */
+        private long checkedReadAt;
 
         Connection(AnswerDecoder decoder) {
             super(MAX_BODY_BYTES, BodyStream.MAX_LENGTH);
             this.decoder = decoder;
         }
 
-        /** Not in channelActive: a connect's listeners hear of it before the handlers do. */
+        /** Not in channelActive: the listeners of a connect are notified before the handlers. */
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
             channel = context.channel();
         }
 
         void write(Attempt next) {
-            by = next.by;
-            if (by != null) {
-                by.on(channel);
+            use = next.use;
+            if (use != null) {
+                use.setChannel(channel);
             }
-            // A connection may have come up late: what was true when the attempt was decided need not be so any more.
-            if (!next.mayBegin()) {
+            // The connection may have been established late: the conditions under which the attempt was decided may
+            // have changed.
+            if (!next.mayStart()) {
                 attempt = null;
-                next.on = null;
+                next.connection = null;
                 release();
                 loop.execute(() -> next.end(Outcome.NOT_SENT, 0, null));
                 return;
             }
             attempt = next;
-            next.on = this;
-            if (next.of.rest() != null) {
-                writeLong(next);
+            next.connection = this;
+            if (next.request.rest() != null) {
+                writeLongRequest(next);
                 return;
             }
-            channel.writeAndFlush(next.message()).addListener(done -> wrote(next, done.isSuccess()));
+            channel.writeAndFlush(next.fullRequest()).addListener(done -> requestWritten(next, done.isSuccess()));
         }
 
-        private void wrote(Attempt of, boolean success) {
+        private void requestWritten(Attempt of, boolean success) {
             if (!success) {
                 close(channel);
             }
-            of.whole(success);
+            of.requestWritten(success);
         }
 
-        /** What has come of a long body, and then the rest as it comes. */
-        private void writeLong(Attempt next) {
-            OpenRequest of = next.of;
-            channel.write(next.longHead());
+        /** Writes the part of a long body that has arrived, then the rest as it arrives. */
+        private void writeLongRequest(Attempt next) {
+            OpenRequest of = next.request;
+            channel.write(next.longRequestHead());
             channel.writeAndFlush(new DefaultHttpContent(of.body().retainedDuplicate()));
             of.rest().attach(new BodyStream.Sink() {
-                private boolean gone;
+                private boolean consumed;
 
                 @Override
                 public void piece(ByteBuf piece) {
                     int size = piece.readableBytes();
-                    if (!gone) {
-                        gone = true;
-                        node.bodyGone(of);
+                    if (!consumed) {
+                        consumed = true;
+                        listener.bodyGone(of);
                     }
                     channel.writeAndFlush(new DefaultHttpContent(piece))
                             .addListener(done -> of.rest().written(size));
@@ -704,35 +795,35 @@
                 @Override
                 public void end(boolean whole) {
                     if (whole) {
-                        // From its last byte on its client waits for just so long.
-                        if (!next.over) {
-                            next.endsAfter(Math.max(0, node.remainingNanos(of)));
+                        // The client's timeout starts when it has sent the last byte.
+                        if (!next.ended) {
+                            next.scheduleTimeout(Math.max(0, listener.remainingNanos(of)));
                         }
                         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
-                                .addListener(done -> wrote(next, done.isSuccess()));
+                                .addListener(done -> requestWritten(next, done.isSuccess()));
                     } else {
-                        // The app server never had all of it, so it has not begun.
+                        // The app server did not receive the whole request, so it has not started it.
                         close(channel);
-                        next.broke();
+                        next.connectionLost();
                     }
                 }
             });
         }
 
         @Override
-        BodyStream begins(HttpResponse answer, long length) {
+        BodyStream startStreaming(HttpResponse answer, long length) {
             if (outcome(answer) != Outcome.OK) {
                 return null;
             }
             Attempt of = attempt;
-            awaitRest(false);
-            BodyStream passage = of.of.openResponseStream(loop, this);
-            of.begun(units(answer), passage, length);
+            watchPartialAnswer(false);
+            BodyStream passage = of.request.openResponseStream(loop, this);
+            of.startAnswer(units(answer), passage, length);
             return passage;
         }
 
         @Override
-        void passedOn(HttpResponse answer) {
+        void streamingEnded(HttpResponse answer) {
             channel.config().setAutoRead(true);
             reusable = HttpUtil.isKeepAlive(answer);
             if (!reusable) {
@@ -745,7 +836,7 @@
             channel.config().setAutoRead(go);
         }
 
-        /** The client has gone in the middle: what is left of the answer is nobody's. */
+        /** The client disconnected before the end of the answer; the rest of it is discarded. */
         @Override
         public void stopped() {
             close(channel);
@@ -758,20 +849,20 @@
             }
             idleSince = System.nanoTime();
             endpoint.idle.push(this);
-            carried();
+            endUse();
         }
 
-        private void carried() {
-            if (by != null) {
-                by.end();
-                by = null;
+        private void endUse() {
+            if (use != null) {
+                use.end();
+                use = null;
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             super.channelInactive(context);
-            carried();
+            endUse();
         }
 
         @Override
@@ -783,7 +874,7 @@
         protected void answered(HttpResponse answer, ByteBuf body) {
             Attempt of = attempt;
             attempt = null;
-            of.on = null;
+            of.connection = null;
             reusable = HttpUtil.isKeepAlive(answer);
             if (!reusable) {
                 close(channel);
@@ -793,42 +884,49 @@
         }
 
         /**
-         * Only here, when all that was read has been looked at, is it known whether the connection is clean: what
-         * stands behind an answer would be taken for the next request's, which loses that one.
+         * Decides whether the connection can be reused, after all that was read has been decoded: bytes that follow an
+         * answer would be taken for the answer to the next request, which would be lost.
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
-            boolean clean = decoder.isBetween();
-            readAt = System.nanoTime();
-            if (isPassing()) {
+            boolean clean = decoder.isAtMessageBoundary();
+            lastReadAt = System.nanoTime();
+            if (isStreaming()) {
                 return;
             }
             if (attempt != null) {
-                awaitRest(!clean);
+                watchPartialAnswer(!clean);
             } else if (!clean) {
                 close(channel);
             } else if (reusable) {
                 reusable = false;
-                awaitRest(false);
+                watchPartialAnswer(false);
                 release();
             }
         }
 
-        private void awaitRest(boolean begun) {
-            if (begun && unfinished == null) {
-                lookedAt = readAt;
-                unfinished = loop.scheduleWithFixedDelay(this::look, LOOK, LOOK, TimeUnit.NANOSECONDS);
-            } else if (!begun && unfinished != null) {
-                unfinished.cancel(false);
-                unfinished = null;
+        private void watchPartialAnswer(boolean partial) {
+            if (partial && partialAnswerCheck == null) {
+                checkedReadAt = lastReadAt;
+                partialAnswerCheck = loop.scheduleWithFixedDelay(
+                        this::checkPartialAnswer,
+                        PARTIAL_ANSWER_CHECK_INTERVAL,
+                        PARTIAL_ANSWER_CHECK_INTERVAL,
+                        TimeUnit.NANOSECONDS);
+            } else if (!partial && partialAnswerCheck != null) {
+                partialAnswerCheck.cancel(false);
+                partialAnswerCheck = null;
             }
         }
 
-        /** What still comes is passed on, if it is of unknown or great length; what does not come is unusable. */
-        private void look() {
-            boolean moved = readAt != lookedAt;
-            lookedAt = readAt;
-            if (!(moved && openEarly()) && System.nanoTime() - readAt > SILENCE) {
+        /**
+         * Starts to stream a partial answer of unknown or large length if more of it has arrived; gives up the
+         * connection after a silence of {@link #PARTIAL_ANSWER_TIMEOUT}.
+         */
+        private void checkPartialAnswer() {
+            boolean receivedMore = lastReadAt != checkedReadAt;
+            checkedReadAt = lastReadAt;
+            if (!(receivedMore && startStreamingEarly()) && System.nanoTime() - lastReadAt > PARTIAL_ANSWER_TIMEOUT) {
                 unusable();
             }
         }
@@ -843,23 +941,26 @@
             return neverRan ? Outcome.FULL : Outcome.ERROR;
         }
 
-        /** A figure that cannot be read, or more than a request may count, is as good as none. */
+        /**
+         * Returns the units that the answer says were charged; 0 if they cannot be parsed or exceed a request's
+         * maximum.
+         */
         private double units(HttpResponse answer) {
-            double units = NumberParser.parsePositive(answer.headers().get("X-Units-Charged"), mostUnits);
+            double units = NumberParser.parsePositive(answer.headers().get("X-Units-Charged"), maxUnits);
             return Double.isNaN(units) ? 0 : units;
         }
 
-        /** The connection's end, or the end of its use. */
+        /** The connection has ended or must not be used any more. */
         @Override
         protected void unusable() {
-            awaitRest(false);
+            watchPartialAnswer(false);
             if (endpoint != null) {
                 endpoint.idle.remove(this);
             }
-            // The close comes first: a further attempt must not meet this one on an open connection.
+            // Close first: a further attempt must not find this connection open.
             close(channel);
             if (attempt != null) {
-                attempt.broke();
+                attempt.connectionLost();
             }
         }
     }
--- a/src/main/java/rushpin/net/Transport.java
+++ b/src/main/java/rushpin/net/Transport.java
@@ -13,23 +13,29 @@
 import java.net.SocketAddress;
 import java.net.UnixDomainSocketAddress;
 
-/** The kind of socket that goes with an address: TCP, or a file's for a rehearsal that nobody else can reach. */
+/**
+ * Creates bootstraps for TCP or Unix domain sockets, as the address requires, and connects. Domain sockets serve the
+ * warm-up at start, which no other process can reach.
+ */
 public final class Transport {
-    /** Hears of one connect: {@code opened} or {@code failed}, then {@code ended}, each once and on the loop. */
+    /**
+     * Receives the events of one connect: {@code opened} or {@code failed}, then {@code ended}, each once and on the
+     * event loop.
+     */
     public interface ConnectListener {
-        /** The connection is made. Its handlers hear of it after this. */
+        /** The connection is established; its channel handlers are notified after this. */
         void opened(Channel channel);
 
-        /** There is no connection and will be none. */
+        /** The connection could not be established. */
         void failed(Throwable cause);
 
-        /** What the connect has taken is free again: the channel is closed, or there never was one. */
+        /** The connect's resources are released: the channel is closed, or there was none. */
         void ended();
     }
 
     private Transport() {}
 
-    /** For connections to addresses of the kind of {@code like}. */
+    /** Returns a bootstrap for connections to addresses of the same type as {@code like}. */
     public static Bootstrap clientBootstrap(EventLoop loop, SocketAddress like) {
         Bootstrap bootstrap = new Bootstrap().group(loop);
         return like instanceof UnixDomainSocketAddress
@@ -37,7 +43,7 @@
                 : bootstrap.channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true);
     }
 
-    /** For listening at an address of the kind of {@code like}. */
+    /** Returns a bootstrap for listening at an address of the same type as {@code like}. */
     public static ServerBootstrap serverBootstrap(EventLoop loop, SocketAddress like) {
         ServerBootstrap bootstrap = new ServerBootstrap().group(loop);
         return like instanceof UnixDomainSocketAddress
@@ -49,25 +55,28 @@
     }
 
     /**
-     * Connects, and tells how it went, never from within this call. Called on the loop, which is the bootstrap's.
+     * Connects and notifies the listener of the result, never from within this call. Called on the event loop, which
+     * must be the bootstrap's.
      *
-     * <p>Where no socket can be had, Netty's own future tells its listeners on a foreign thread, and its channel can be
-     * neither closed nor waited for: its {@code closeFuture} never completes.
+     * <p>If no socket can be created, Netty notifies the future's listeners on another thread, and the channel can be
+     * neither closed nor waited for: its {@code closeFuture} never completes. This method hides that.
      *
-     * @return the channel, by which the connect may be given up; null if no socket could be had
+     * @return the channel, which can be closed to cancel the connect; null if no socket could be created
      */
     public static Channel connect(
             Bootstrap bootstrap, EventLoop loop, SocketAddress address, ConnectListener listener) {
         ChannelFuture connecting = bootstrap.connect(address);
         if (connecting.isDone()) {
-            loop.execute(() -> settle(connecting, listener));
+            loop.execute(() -> notifyResult(connecting, listener));
         } else {
-            connecting.addListener(done -> runOn(loop, () -> settle(connecting, listener)));
+            connecting.addListener(done -> runOn(loop, () -> notifyResult(connecting, listener)));
         }
         return connecting.channel().isOpen() ? connecting.channel() : null;
     }
 
-    /** A future that waits for a channel's registration tells of a failed one on a foreign thread too. */
+    /**
+     * Runs on the loop: a future that waits for a channel's registration also notifies of a failure on another thread.
+     */
     private static void runOn(EventLoop loop, Runnable work) {
         if (loop.inEventLoop()) {
             work.run();
@@ -76,7 +85,7 @@
         }
     }
 
-    private static void settle(ChannelFuture connected, ConnectListener listener) {
+    private static void notifyResult(ChannelFuture connected, ConnectListener listener) {
         Channel channel = connected.channel();
         if (connected.isSuccess()) {
             channel.closeFuture().addListener(closed -> listener.ended());
@@ -88,7 +97,7 @@
             channel.closeFuture().addListener(closed -> listener.ended());
             channel.close();
         } else {
-            // Never opened, or closed by the call that failed.
+            // The channel was never open, or the call that failed has closed it.
             listener.ended();
         }
     }
--- a/src/main/java/rushpin/net/Upstream.java
+++ b/src/main/java/rushpin/net/Upstream.java
@@ -4,17 +4,17 @@
 import rushpin.membership.Names;
 
 /**
- * What a pool's sockets are told.
+ * Settings of a pool's connections to discovery, the counter and app servers.
  *
- * @param discovery where the list of app servers is watched; null for a list that stays as it is
- * @param counter where the counter listens; null where there is none
- * @param counterTimeout nanoseconds after which a call counts as unanswered
- * @param connectTimeout nanoseconds after which a connection counts as not made
- * @param keepAlive nanoseconds after which an app server closes an idle connection
- * @param mostUnits the largest request, in units of the quota
- * @param names the names that stand for the settings' indices
- * @param countPrefix what the pool's names at the counter begin with, so that two pools' stay apart
- * @param host the {@code Host} that app servers are told; null to pass on the client's
+ * @param discovery address at which the list of app servers is watched; null if the list is fixed
+ * @param counter the counter's address; null if there is none
+ * @param counterTimeout time after which a call to the counter counts as unanswered, in nanoseconds
+ * @param connectTimeout time after which a connect fails, in nanoseconds
+ * @param keepAlive time after which an app server closes an idle connection, in nanoseconds
+ * @param maxUnits maximum size of a request, in units of the quota
+ * @param names the names behind the indices of the settings
+ * @param countPrefix prefix of the pool's names at the counter, which keeps the names of pools apart
+ * @param host the {@code Host} header sent to app servers; null to pass on the client's
  */
 public record Upstream(
         SocketAddress discovery,
@@ -22,7 +22,7 @@
         long counterTimeout,
         long connectTimeout,
         long keepAlive,
-        double mostUnits,
+        double maxUnits,
         Names names,
         String countPrefix,
         String host) {}
--- a/src/main/java/rushpin/net/xds/FileWatch.java
+++ b/src/main/java/rushpin/net/xds/FileWatch.java
@@ -20,65 +20,71 @@
 import rushpin.membership.xds.ResourceReader;
 
 /**
- * Clusters and endpoints from a file in the form of a {@code DiscoveryResponse}, JSON or YAML, that is replaced by
- * rename ({@code envoy.config.core.v3.PathConfigSource}). Looked at by its identity, time and size; a file that cannot
- * be read changes nothing. Owned by the source's thread.
+ * Reads clusters and endpoints from a file that holds a {@code DiscoveryResponse} in JSON or YAML and is replaced by
+ * rename ({@code envoy.config.core.v3.PathConfigSource}).
+ *
+ * <p>Changes are detected by the file's identity, modification time and size. A file that cannot be read changes
+ * nothing. Used by the source's thread only.
  */
 final class FileWatch {
-    private static final long MOST_BYTES = 16L << 20;
+    private static final long MAX_BYTES = 16L << 20;
     private static final JsonFormat.TypeRegistry TYPES = JsonFormat.TypeRegistry.newBuilder()
             .add(Cluster.getDescriptor())
             .add(ClusterLoadAssignment.getDescriptor())
             .build();
 
-    private record Stamp(Object file, long changed, long size) {}
+    /** Identity of a version of a file; size -1 if there is no file. */
+    private record FileVersion(Object file, long modifiedMs, long size) {}
 
     private final Path file;
-    private final String wanted;
+    private final String clusterName;
     private final XdsSource source;
-    private final Map<Path, Stamp> seen = new HashMap<>();
-    private Path elsewhere;
+    private final Map<Path, FileVersion> lastVersions = new HashMap<>();
+    /** The file that holds the cluster's endpoints; null if that is {@code file}. */
+    private Path endpointsFile;
+
     private ClusterSpec cluster;
 
-    FileWatch(Path file, String wanted, XdsSource source) {
+    FileWatch(Path file, String clusterName, XdsSource source) {
         this.file = file;
-        this.wanted = wanted;
+        this.clusterName = clusterName;
         this.source = source;
     }
 
-    /** Looks whether a file has changed, and reads it if so. */
-    void look() {
-        look(file);
-        if (elsewhere != null) {
-            look(elsewhere);
+    /** Reads each file again that has changed since the last call. */
+    void poll() {
+        poll(file);
+        if (endpointsFile != null) {
+            poll(endpointsFile);
         }
     }
 
-    private void look(Path at) {
-        Stamp stamp;
+    private void poll(Path at) {
+        FileVersion version;
         try {
-            BasicFileAttributes of = Files.readAttributes(at, BasicFileAttributes.class);
-            stamp = new Stamp(of.fileKey(), of.lastModifiedTime().toMillis(), of.size());
+            BasicFileAttributes attributes = Files.readAttributes(at, BasicFileAttributes.class);
+            version = new FileVersion(
+                    attributes.fileKey(), attributes.lastModifiedTime().toMillis(), attributes.size());
         } catch (IOException e) {
-            stamp = new Stamp(null, 0, -1);
+            version = new FileVersion(null, 0, -1);
         }
-        if (stamp.equals(seen.put(at, stamp))) {
+        if (version.equals(lastVersions.put(at, version))) {
             return;
         }
-        if (stamp.size < 0 || stamp.size > MOST_BYTES) {
-            source.log(at + (stamp.size < 0 ? " is not there" : " has more than " + MOST_BYTES + " bytes")
+        if (version.size < 0 || version.size > MAX_BYTES) {
+            source.log(at + (version.size < 0 ? " does not exist" : " is larger than " + MAX_BYTES + " bytes")
                     + "; the list stays as it is");
             return;
         }
         try {
             read(at);
         } catch (IOException e) {
-            source.log(at + " cannot be read: " + first(e) + "; the list stays as it is");
+            source.log(at + " cannot be read: " + firstLine(e) + "; the list stays as it is");
         }
     }
 
-    private static String first(Exception of) {
-        return String.valueOf(of.getMessage()).lines().findFirst().orElse("");
+    private static String firstLine(Exception e) {
+        return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
     }
 
     private void read(Path at) throws IOException {
@@ -86,12 +92,12 @@
         ObjectMapper mapper = at.toString().endsWith(".json") ? new ObjectMapper() : new YAMLMapper();
         JsonNode resources = mapper.readTree(text).path("resources");
         if (!resources.isArray()) {
-            source.log(at + " has no list \"resources\"; the list stays as it is");
+            source.log(at + " has no array \"resources\"; the list stays as it is");
             return;
         }
         ClusterSpec found = null;
         Map<String, Endpoints> assignments = new HashMap<>();
-        boolean spoilt = false;
+        boolean rejected = false;
         int number = 0;
         for (JsonNode each : resources) {
             number++;
@@ -101,37 +107,37 @@
             try {
                 Any.Builder any = Any.newBuilder();
                 JsonFormat.parser().usingTypeRegistry(TYPES).merge(each.toString(), any);
-                if (any.getTypeUrl().equals(ResourceReader.CLUSTER) && name.equals(wanted)) {
+                if (any.getTypeUrl().equals(ResourceReader.CLUSTER) && name.equals(clusterName)) {
                     found = ResourceReader.cluster(any.build());
                 } else if (any.getTypeUrl().equals(ResourceReader.ENDPOINTS)) {
                     Endpoints read = ResourceReader.endpoints(any.build());
                     assignments.put(read.name(), read);
                 }
             } catch (InvalidProtocolBufferException | InvalidResourceException e) {
-                source.log(at + ": refused " + name + ": " + first(e));
-                spoilt |= name.equals(wanted);
+                source.log(at + ": refused " + name + ": " + firstLine(e));
+                rejected |= name.equals(clusterName);
             }
         }
-        if (at.equals(file) && !spoilt) {
-            take(found);
+        if (at.equals(file) && !rejected) {
+            applyCluster(found);
         }
         Endpoints assignment = cluster == null || cluster.edsName() == null ? null : assignments.get(cluster.edsName());
-        if (assignment != null && at.equals(elsewhere == null ? file : elsewhere)) {
+        if (assignment != null && at.equals(endpointsFile == null ? file : endpointsFile)) {
             source.endpoints(assignment);
         }
     }
 
-    private void take(ClusterSpec found) {
-        boolean had = cluster != null;
+    private void applyCluster(ClusterSpec found) {
+        boolean hadCluster = cluster != null;
         cluster = found;
-        if (found != null || had) {
+        if (found != null || hadCluster) {
             source.cluster(found);
         } else {
-            source.log(file + " has no cluster " + wanted);
+            source.log(file + " does not contain cluster " + clusterName);
         }
-        // Another cluster may want another assignment of the same file; and of one left behind nothing is kept.
-        seen.remove(elsewhere);
-        elsewhere = found == null || found.edsPath() == null ? null : file.resolveSibling(found.edsPath());
+        // Another cluster may need another assignment from the same file, so that file is read again.
+        lastVersions.remove(endpointsFile);
+        endpointsFile = found == null || found.edsPath() == null ? null : file.resolveSibling(found.edsPath());
         if (found != null && found.inline() != null) {
             source.endpoints(found.inline());
         }
--- a/src/main/java/rushpin/net/xds/GrpcStream.java
+++ b/src/main/java/rushpin/net/xds/GrpcStream.java
@@ -29,10 +29,11 @@
 import rushpin.membership.xds.Subscription.ResourceRequest;
 import rushpin.membership.xds.XdsVariant;
 
-/** One stream to one management server, with the channel that carries it; owned by the source's thread. */
+/** One xDS stream to a management server, with its gRPC channel. Used by the source's thread only. */
 final class GrpcStream {
-    private static final int KEEP_ALIVE_S = 20, KEEP_ALIVE_TIMEOUT_S = 5;
-    /** The protobuf code INVALID_ARGUMENT, as the protocol wants for what was refused. */
+    private static final int KEEP_ALIVE_S = 20;
+    private static final int KEEP_ALIVE_TIMEOUT_S = 5;
+    /** The gRPC status code with which the protocol rejects a response. */
     private static final int INVALID_ARGUMENT = Code.INVALID_ARGUMENT.value();
 
     private final InetSocketAddress server;
@@ -40,46 +41,52 @@
     private final ManagedChannel channel;
     private final Node node;
     private final XdsVariant form;
-    /** The stream, and the same by its form: one of these is there. */
     private ClientCallStreamObserver<?> call;
+    /** The same as {@code call} in the state-of-the-world form, else null. */
+    private ClientCallStreamObserver<DiscoveryRequest> sotwCall;
+    /** The same as {@code call} in the incremental form, else null. */
+    private ClientCallStreamObserver<DeltaDiscoveryRequest> deltaCall;
 
-    private ClientCallStreamObserver<DiscoveryRequest> whole;
-    private ClientCallStreamObserver<DeltaDiscoveryRequest> changes;
-    private boolean first = true, answered, over;
+    private boolean isFirstRequest = true;
+    private boolean answered;
+    private boolean ended;
 
-    GrpcStream(XdsConfig plan, InetSocketAddress server, EventLoop loop, Executor thread, XdsSource source)
+    GrpcStream(XdsConfig config, InetSocketAddress server, EventLoop loop, Executor thread, XdsSource source)
             throws IOException {
         this.server = server;
         this.source = source;
-        form = plan.form();
-        node = Node.newBuilder().setId(plan.node()).setUserAgentName("rushpin").build();
+        form = config.form();
+        node = Node.newBuilder()
+                .setId(config.node())
+                .setUserAgentName("rushpin")
+                .build();
         NettyChannelBuilder builder = NettyChannelBuilder.forAddress(server)
                 .eventLoopGroup(loop)
                 .channelType(NioSocketChannel.class)
                 .executor(thread)
                 .offloadExecutor(thread)
                 .disableRetry()
-                .maxInboundMessageSize(plan.mostMessage())
+                .maxInboundMessageSize(config.maxMessageBytes())
                 .keepAliveTime(KEEP_ALIVE_S, TimeUnit.SECONDS)
                 .keepAliveTimeout(KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS);
-        if (plan.tls() == null) {
+        if (config.tls() == null) {
             builder.usePlaintext();
         } else {
             SslContextBuilder tls =
-                    GrpcSslContexts.forClient().trustManager(plan.tls().ca().toFile());
-            if (plan.tls().certificate() != null) {
+                    GrpcSslContexts.forClient().trustManager(config.tls().ca().toFile());
+            if (config.tls().certificate() != null) {
                 tls.keyManager(
-                        plan.tls().certificate().toFile(), plan.tls().key().toFile());
+                        config.tls().certificate().toFile(), config.tls().key().toFile());
             }
             builder.sslContext(tls.build());
         }
         channel = builder.build();
         var stub = AggregatedDiscoveryServiceGrpc.newStub(channel);
         if (form == XdsVariant.SOTW) {
-            stub.streamAggregatedResources(new Reader<DiscoveryRequest, DiscoveryResponse>() {
+            stub.streamAggregatedResources(new ResponseReader<DiscoveryRequest, DiscoveryResponse>() {
                 @Override
-                void begins(ClientCallStreamObserver<DiscoveryRequest> to) {
-                    whole = to;
+                void started(ClientCallStreamObserver<DiscoveryRequest> to) {
+                    sotwCall = to;
                 }
 
                 @Override
@@ -92,10 +99,10 @@
                 }
             });
         } else {
-            stub.deltaAggregatedResources(new Reader<DeltaDiscoveryRequest, DeltaDiscoveryResponse>() {
+            stub.deltaAggregatedResources(new ResponseReader<DeltaDiscoveryRequest, DeltaDiscoveryResponse>() {
                 @Override
-                void begins(ClientCallStreamObserver<DeltaDiscoveryRequest> to) {
-                    changes = to;
+                void started(ClientCallStreamObserver<DeltaDiscoveryRequest> to) {
+                    deltaCall = to;
                 }
 
                 @Override
@@ -115,28 +122,28 @@
         }
     }
 
-    /** A server may wrap resources of the first form in a {@code Resource}, with a name of its own. */
-    private static Any unwrapped(Any of) {
-        if (of.getTypeUrl().equals("type.googleapis.com/envoy.service.discovery.v3.Resource")) {
+    /** Returns the resource itself: in the state-of-the-world form a server may wrap it in a named {@code Resource}. */
+    private static Any unwrapped(Any resource) {
+        if (resource.getTypeUrl().equals("type.googleapis.com/envoy.service.discovery.v3.Resource")) {
             try {
-                return Resource.parseFrom(of.getValue()).getResource();
+                return Resource.parseFrom(resource.getValue()).getResource();
             } catch (com.google.protobuf.InvalidProtocolBufferException e) {
-                return of;
+                return resource;
             }
         }
-        return of;
+        return resource;
     }
 
-    private abstract class Reader<Q, A> implements ClientResponseObserver<Q, A> {
+    private abstract class ResponseReader<Q, A> implements ClientResponseObserver<Q, A> {
         abstract Answer read(A from);
 
-        abstract void begins(ClientCallStreamObserver<Q> to);
+        abstract void started(ClientCallStreamObserver<Q> to);
 
         @Override
         public void beforeStart(ClientCallStreamObserver<Q> to) {
             call = to;
             to.disableAutoRequestWithInitial(1);
-            begins(to);
+            started(to);
         }
 
         @Override
@@ -160,8 +167,8 @@
     }
 
     private void end(String why) {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             channel.shutdownNow();
             source.guarded(() -> source.ended(this, why.length() > 200 ? why.substring(0, 200) : why))
                     .run();
@@ -172,7 +179,7 @@
         return server;
     }
 
-    /** Whether its channel has ended and let go of all. */
+    /** Returns whether the gRPC channel has terminated and released its resources. */
     boolean isTerminated() {
         return channel.isTerminated();
     }
@@ -181,15 +188,15 @@
         return answered;
     }
 
-    /** The next answer may come. */
-    void next() {
-        if (!over) {
+    /** Requests the next response from the stream. */
+    void requestNext() {
+        if (!ended) {
             call.request(1);
         }
     }
 
     void send(ResourceRequest ask) {
-        if (over) {
+        if (ended) {
             return;
         }
         Status error = ask.error() == null
@@ -204,13 +211,13 @@
                     .setVersionInfo(ask.version())
                     .setResponseNonce(ask.nonce())
                     .addAllResourceNames(ask.names());
-            if (first) {
+            if (isFirstRequest) {
                 request.setNode(node);
             }
             if (error != null) {
                 request.setErrorDetail(error);
             }
-            whole.onNext(request.build());
+            sotwCall.onNext(request.build());
         } else {
             DeltaDiscoveryRequest.Builder request = DeltaDiscoveryRequest.newBuilder()
                     .setTypeUrl(ask.type())
@@ -218,21 +225,21 @@
                     .addAllResourceNamesSubscribe(ask.subscribe())
                     .addAllResourceNamesUnsubscribe(ask.unsubscribe())
                     .putAllInitialResourceVersions(ask.initial());
-            if (first) {
+            if (isFirstRequest) {
                 request.setNode(node);
             }
             if (error != null) {
                 request.setErrorDetail(error);
             }
-            changes.onNext(request.build());
+            deltaCall.onNext(request.build());
         }
-        first = false;
+        isFirstRequest = false;
     }
 
-    /** Ends the stream and its channel; nothing of it is told any more. */
+    /** Closes the stream and its channel. The source is not notified. */
     void close(String why) {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             call.cancel(why, null);
             channel.shutdownNow();
         }
--- a/src/main/java/rushpin/net/xds/ServerListCache.java
+++ b/src/main/java/rushpin/net/xds/ServerListCache.java
@@ -21,37 +21,37 @@
 import rushpin.membership.discovery.ServerListReader;
 
 /**
- * The list as last told, in the state folder, in the form of the platform's discovery: the next start takes it as
- * cached. Replaced by rename, so it is whole or the one before.
+ * The last server list, saved in the state folder in the JSON form of the platform's discovery. The next start of the
+ * process takes it as its cached list. The file is replaced by rename, so it is complete or the previous one.
  */
 public final class ServerListCache {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
 
-    /** Puts a file's bytes on the disk. */
+    /** Forces a file's content to the disk; a test replaces it by one that fails. */
     interface Force {
-        /** All that was written through the channel is on the disk on return. */
+        /** Returns when all bytes written through the channel are on the disk. */
         void force(FileChannel channel) throws IOException;
     }
 
     private final Path file;
     private final Names names;
     private final Force force;
-    private boolean failed;
+    private boolean saveFailed;
 
-    /** The list of a pool in a folder. */
+    /** Creates the cache of a pool's list in a folder. */
     public ServerListCache(Path folder, String pool, Names names) {
         this(folder, pool, names, channel -> channel.force(true));
     }
 
-    /** As above, forced to the disk in a given way. */
+    /** As above, with a given way to force files to the disk. */
     ServerListCache(Path folder, String pool, Names names, Force force) {
         this.force = force;
         file = folder.resolve("xds-" + pool + ".json");
         this.names = names;
     }
 
-    /** The list of the process before; empty if there is none that can be read. */
+    /** Returns the list that an earlier process saved; empty if there is none or it can't be read. */
     public List<Member> read(Consumer<String> log) {
         if (!Files.exists(file)) {
             return List.of();
@@ -67,11 +67,11 @@
         }
     }
 
-    private static String at(List<String> of, int index) {
-        return index < 0 || index >= of.size() ? "" : of.get(index);
+    private static String nameAt(List<String> list, int index) {
+        return index < 0 || index >= list.size() ? "" : list.get(index);
     }
 
-    /** Keeps a list; trouble with the folder costs one line. */
+    /** Saves a list. Logs an error once until a save succeeds again. */
     void save(List<Member> members, Consumer<String> log) {
         ObjectNode root = JSON.createObjectNode().put("revision", 0).put("complete", true);
         ArrayNode all = root.putArray("members");
@@ -80,12 +80,12 @@
             all.addObject()
                     .put("id", s.id())
                     .put("host_port", member.address().toString().replaceFirst("^[^/]*/", ""))
-                    .put("locality", at(names.zones(), s.zone()))
-                    .put("flavor", at(names.kinds(), s.kind()))
+                    .put("locality", nameAt(names.zones(), s.zone()))
+                    .put("flavor", nameAt(names.kinds(), s.kind()))
                     .put("cell", s.cell())
                     .put("phase", s.readiness() == Readiness.READY ? "Ready" : "Terminating")
                     .put("size", s.size())
-                    .put("up_since_ms", s.startedAt() / MS);
+                    .put("up_since_ms", s.startedAt() / NANOS_PER_MS);
         }
         try {
             Files.createDirectories(file.getParent());
@@ -93,16 +93,19 @@
                     file.getFileName() + "." + ProcessHandle.current().pid() + ".draft");
             write(draft, root.toString());
             Files.move(draft, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            failed = false;
+            saveFailed = false;
         } catch (IOException e) {
-            if (!failed) {
-                failed = true;
-                log.accept("the list is not kept over a restart: " + e);
+            if (!saveFailed) {
+                saveFailed = true;
+                log.accept("the list could not be saved for the next start: " + e);
             }
         }
     }
 
-    /** Forced, or the name could be given to bytes that never come to the disk; each save writes all of them anew. */
+    /**
+     * Writes the whole draft and forces it to the disk: without that the rename could become durable before the
+     * content.
+     */
     private void write(Path draft, String text) throws IOException {
         try (FileChannel channel = FileChannel.open(
                 draft, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
--- a/src/main/java/rushpin/net/xds/XdsSource.java
+++ b/src/main/java/rushpin/net/xds/XdsSource.java
@@ -25,17 +25,24 @@
 import rushpin.net.ErrorLog;
 
 /**
- * A pool's servers from an xDS management server or file. Messages are read and decided on a thread of its own, so that
- * a list of thousands takes no time from the pool's loop; what the pool is told goes to its loop, in order.
+ * Provides a pool's servers from an xDS management server or file. Messages are read and evaluated on a separate
+ * thread, so that a list of thousands takes no time of the pool's event loop; the results are passed to that loop in
+ * order.
  *
- * <p>Bounds: one stream, one message at a time, {@link XdsConfig#mostMessage} bytes each, {@value #MOST_A_SECOND} a second.
+ * <p>Bounds: one stream, one message at a time of at most {@link XdsConfig#maxMessageBytes} bytes, {@value
+ * #MAX_MESSAGES_PER_SECOND} messages a second.
  */
 public final class XdsSource implements Subscription.Port, ClusterView.Port {
-    private static final int MOST_A_SECOND = 100;
-    private static final long MS = 1_000_000L, FIRST_WAIT = 200 * MS, MOST_WAIT = 10_000 * MS, SILENT = 15_000 * MS;
-    private static final long LOOK_MS = 500;
+    private static final int MAX_MESSAGES_PER_SECOND = 100;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    private static final long INITIAL_BACKOFF = 200 * NANOS_PER_MS;
+    private static final long MAX_BACKOFF = 10_000 * NANOS_PER_MS;
+    /** A stream without a first response is closed after this many nanoseconds. */
+    private static final long FIRST_ANSWER_TIMEOUT = 15_000 * NANOS_PER_MS;
 
-    private final XdsConfig plan;
+    private static final long POLL_INTERVAL_MS = 500;
+
+    private final XdsConfig config;
     private final LongSupplier wallMs;
     private final DiscoveryClient.Listener pool;
     private final EventLoop loop;
@@ -43,20 +50,24 @@
     private final ClusterView view;
     private final Subscription subscription;
     private final ReconnectBackoff retry;
-    private final ServerListCache lastGood;
+    private final ServerListCache listCache;
     private final ScheduledExecutorService thread;
     private volatile GrpcStream stream;
     private InetSocketAddress lastAnswered;
     private double dropped;
     private boolean saving;
-    private volatile boolean isReady, closed;
+    private volatile boolean isReady;
+    private volatile boolean closed;
 
     /**
-     * Connects nowhere yet; {@code known} is the list as last known, {@code state} the folder that keeps it, or null,
-     * {@code wallMs} the machine's clock, Unix milliseconds, by which servers that are new are dated.
+     * Creates a source that connects when it is started.
+     *
+     * @param known the last known list
+     * @param state the folder in which the list is saved; null for none
+     * @param wallMs the machine's clock in Unix milliseconds; it gives the start time of new servers
      */
     public XdsSource(
-            XdsConfig plan,
+            XdsConfig config,
             String pool,
             Names names,
             List<Member> known,
@@ -65,16 +76,16 @@
             EventLoop loop,
             DiscoveryClient.Listener listener,
             LongSupplier wallMs) {
-        this.plan = plan;
+        this.config = config;
         this.wallMs = wallMs;
         this.pool = listener;
         this.loop = loop;
         name = pool;
-        view = new ClusterView(names, plan.rules(), known, this);
-        subscription = new Subscription(plan.form(), plan.cluster(), plan.all(), this);
+        view = new ClusterView(names, config.rules(), known, this);
+        subscription = new Subscription(config.form(), config.cluster(), config.all(), this);
         retry = new ReconnectBackoff(
-                Math.max(1, plan.servers().size()), FIRST_WAIT, MOST_WAIT, new SplittableRandom(seed));
-        lastGood = state == null ? null : new ServerListCache(state, pool, names);
+                Math.max(1, config.servers().size()), INITIAL_BACKOFF, MAX_BACKOFF, new SplittableRandom(seed));
+        listCache = state == null ? null : new ServerListCache(state, pool, names);
         thread = Executors.newSingleThreadScheduledExecutor(work -> {
             Thread made = new Thread(work, "xds " + pool);
             made.setDaemon(true);
@@ -82,10 +93,14 @@
         });
     }
 
-    /** Begins. */
+    /**
+     * Starts to read the file or to connect.
+     *
+     * @param hasList whether there is a list from an earlier process
+     */
     public void start(boolean hasList) {
-        // With a list from before, a management server that is away must not keep the node from serving.
-        long patience = hasList ? 1_000 * MS : plan.rules().warming();
+        // With an earlier list, the node serves even if the management server is unavailable.
+        long patience = hasList ? 1_000 * NANOS_PER_MS : config.rules().warming();
         thread.schedule(
                 () -> {
                     isReady = true;
@@ -94,26 +109,26 @@
                 TimeUnit.NANOSECONDS);
         thread.scheduleWithFixedDelay(
                 guarded(() -> {
-                    view.time(System.nanoTime(), wall());
-                    tellDropped();
+                    view.time(System.nanoTime(), wallNanos());
+                    notifyDropped();
                 }),
-                LOOK_MS,
-                LOOK_MS,
+                POLL_INTERVAL_MS,
+                POLL_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
-        if (plan.path() != null) {
-            FileWatch watch = new FileWatch(plan.path(), plan.cluster(), this);
-            thread.scheduleWithFixedDelay(guarded(watch::look), 0, LOOK_MS, TimeUnit.MILLISECONDS);
+        if (config.path() != null) {
+            FileWatch watch = new FileWatch(config.path(), config.cluster(), this);
+            thread.scheduleWithFixedDelay(guarded(watch::poll), 0, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
             thread.execute(guarded(this::connect));
         }
     }
 
-    /** Whether a list has come, or has been waited for long enough. */
+    /** Returns whether a list has arrived or the wait for one is over; any thread. */
     public boolean isReady() {
         return isReady;
     }
 
-    /** Hears nothing more. */
+    /** Closes the stream; no further list is passed on. */
     public void close() {
         if (closed) {
             return;
@@ -123,16 +138,19 @@
             if (stream != null) {
                 stream.close("the pool has ended");
             }
-            // What the stream holds is released by tasks that are still to come here.
+            // The stream's resources are released by tasks that run on this thread later.
             thread.schedule(thread::shutdown, 1, TimeUnit.SECONDS);
         });
     }
 
-    /** As {@link #close}, and waits up to 2 s until the stream has let go of all that it held; not for a loop. */
+    /**
+     * Does the same as {@link #close}, and waits up to 2 s until the stream has released its resources; not for an
+     * event loop.
+     */
     public void closeAndAwait() {
         GrpcStream last = stream;
         close();
-        long until = System.nanoTime() + 2_000 * MS;
+        long until = System.nanoTime() + 2_000 * NANOS_PER_MS;
         try {
             while (last != null && !last.isTerminated() && System.nanoTime() < until) {
                 Thread.sleep(2);
@@ -142,7 +160,7 @@
         }
     }
 
-    /** A fault in one message or one look must not end what comes after it. */
+    /** Wraps a task so that an exception in it is reported and does not end the tasks that follow. */
     Runnable guarded(Runnable work) {
         return () -> {
             try {
@@ -157,13 +175,14 @@
         if (closed) {
             return;
         }
-        InetSocketAddress to = plan.servers().get(retry.server());
+        InetSocketAddress to = config.servers().get(retry.server());
         try {
-            stream = new GrpcStream(plan, to, loop, thread, this);
+            stream = new GrpcStream(config, to, loop, thread, this);
         } catch (IOException | IllegalArgumentException e) {
-            // Netty says by the second that a file holds no certificate or key: it may hold one the next time.
+            // Netty throws an IllegalArgumentException if a file holds no certificate or key; the file may be complete
+            // at the next try.
             log("the management server " + to + " cannot be asked: " + e.getMessage());
-            again(false);
+            reconnect(false);
             return;
         }
         GrpcStream opened = stream;
@@ -171,41 +190,42 @@
         thread.schedule(
                 guarded(() -> {
                     if (opened == stream && !opened.hasAnswered()) {
-                        opened.close("no answer for " + SILENT / 1_000 / MS + " s");
+                        opened.close("no answer for " + FIRST_ANSWER_TIMEOUT / 1_000 / NANOS_PER_MS + " s");
                         ended(opened, "no answer");
                     }
                 }),
-                SILENT,
+                FIRST_ANSWER_TIMEOUT,
                 TimeUnit.NANOSECONDS);
     }
 
-    private void again(boolean hadAnswered) {
+    private void reconnect(boolean hadAnswered) {
         long wait = retry.ended(hadAnswered);
         try {
             thread.schedule(guarded(this::connect), wait, TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
-            // The pool has ended.
+            // The pool has been closed.
         }
     }
 
-    /** An answer; the stream asks for the next one when this is done, and not faster than so many a second. */
+    /** Handles a response. The stream requests the next one afterwards, at the maximum rate. */
     void answered(GrpcStream from, Subscription.Answer answer) {
         if (from == stream && !closed) {
             lastAnswered = from.server();
             subscription.answered(answer);
-            thread.schedule(from::next, 1_000 / MOST_A_SECOND, TimeUnit.MILLISECONDS);
+            thread.schedule(from::requestNext, 1_000 / MAX_MESSAGES_PER_SECOND, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** A stream has ended; what was taken stays in force. */
-    void ended(GrpcStream of, String why) {
-        if (of != stream || closed) {
+    /** Handles the end of a stream. The list stays as it is. */
+    void ended(GrpcStream ended, String why) {
+        if (ended != stream || closed) {
             return;
         }
         stream = null;
         subscription.closed();
-        log("the stream to the management server " + of.server() + " has ended: " + why + "; the list stays as it is");
-        again(of.hasAnswered());
+        log("the stream to the management server " + ended.server() + " has ended: " + why
+                + "; the list stays as it is");
+        reconnect(ended.hasAnswered());
     }
 
     @Override
@@ -215,9 +235,9 @@
 
     @Override
     public void giveUp(String why) {
-        GrpcStream of = stream;
-        of.close(why);
-        ended(of, why);
+        GrpcStream current = stream;
+        current.close(why);
+        ended(current, why);
     }
 
     @Override
@@ -225,17 +245,17 @@
         if (spec != null) {
             loop.execute(() -> pool.setLimits(spec.connectTimeout(), spec.maxConnections(), spec.maxRequests()));
         }
-        view.cluster(spec, System.nanoTime(), wall());
+        view.cluster(spec, System.nanoTime(), wallNanos());
     }
 
     @Override
     public void endpoints(Endpoints endpoints) {
-        view.endpoints(endpoints, System.nanoTime(), wall());
-        tellDropped();
+        view.endpoints(endpoints, System.nanoTime(), wallNanos());
+        notifyDropped();
     }
 
-    /** Also what a guard held back and time has let through. */
-    private void tellDropped() {
+    /** Passes on a changed drop fraction, including one that the guard against large removals delayed. */
+    private void notifyDropped() {
         if (view.dropped() != dropped) {
             dropped = view.dropped();
             double part = dropped;
@@ -243,20 +263,20 @@
         }
     }
 
-    private long wall() {
-        return wallMs.getAsLong() * MS;
+    private long wallNanos() {
+        return wallMs.getAsLong() * NANOS_PER_MS;
     }
 
     @Override
     public void list(ServerListUpdate roll, boolean whole) {
         isReady = true;
         loop.execute(() -> pool.list(roll, whole ? ListKind.FULL : ListKind.DELTA));
-        if (lastGood != null && !saving) {
+        if (listCache != null && !saving) {
             saving = true;
             thread.schedule(
                     guarded(() -> {
                         saving = false;
-                        lastGood.save(new ArrayList<>(view.members()), this::log);
+                        listCache.save(new ArrayList<>(view.members()), this::log);
                     }),
                     1,
                     TimeUnit.SECONDS);
--- a/src/main/java/rushpin/node/EdgeNode.java
+++ b/src/main/java/rushpin/node/EdgeNode.java
@@ -14,8 +14,8 @@
 import rushpin.lifecycle.Lifecycle;
 import rushpin.net.ByteBudget;
 import rushpin.net.ClientServer;
-import rushpin.net.ServerCallbacks;
 import rushpin.net.RequestRejectedException;
+import rushpin.net.ServerCallbacks;
 import rushpin.net.WatchedLoopGroup;
 
 /** An edge node: accepts clients on one event loop, and passes their requests to its pools. */
--- a/src/main/java/rushpin/node/OperatorState.java
+++ b/src/main/java/rushpin/node/OperatorState.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import rushpin.console.ProcessRegistry;
-import rushpin.console.ProcessMetrics;
 import rushpin.console.OutOfService;
+import rushpin.console.ProcessMetrics;
+import rushpin.console.ProcessRegistry;
 import rushpin.net.ErrorLog;
 
 /**
--- a/src/main/java/rushpin/node/PlatformService.java
+++ b/src/main/java/rushpin/node/PlatformService.java
@@ -8,8 +8,8 @@
 import rushpin.config.OperatorConfig;
 import rushpin.config.PoolConfig;
 import rushpin.net.ByteBudget;
-import rushpin.net.ServerCallbacks;
 import rushpin.net.RequestRejectedException;
+import rushpin.net.ServerCallbacks;
 
 /** The platform's single pool, on the front loop, with all resources of the process. */
 final class PlatformService implements Services {
--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -18,8 +18,8 @@
 import rushpin.accord.Plan;
 import rushpin.config.GroupConfig;
 import rushpin.config.PoolConfig;
-import rushpin.console.ProcessRegistry;
 import rushpin.console.ProcessMetrics;
+import rushpin.console.ProcessRegistry;
 import rushpin.gateway.Gateway;
 import rushpin.gateway.Ports;
 import rushpin.gateway.Ports.ListKind;
@@ -29,21 +29,21 @@
 import rushpin.gateway.Ports.Server;
 import rushpin.gateway.Ports.Settings;
 import rushpin.lifecycle.StallDetector;
+import rushpin.membership.DisabledServers;
 import rushpin.membership.Member;
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
 import rushpin.membership.StartTimes;
-import rushpin.membership.DisabledServers;
+import rushpin.net.BodyStream;
 import rushpin.net.CounterClient;
 import rushpin.net.DiscoveryClient;
+import rushpin.net.ErrorLog;
 import rushpin.net.LoopWatch;
 import rushpin.net.OpenRequest;
-import rushpin.net.BodyStream;
 import rushpin.net.ReadBarrier;
 import rushpin.net.RequestReader;
 import rushpin.net.ServerPool;
 import rushpin.net.Service;
-import rushpin.net.ErrorLog;
 import rushpin.net.xds.ServerListCache;
 import rushpin.net.xds.XdsSource;
 import rushpin.quota.UseRecord;
@@ -374,7 +374,8 @@
 
     private void startXds(ServerListUpdate known, Path state) {
         List<Member> members = known.members();
-        List<Member> kept = state == null ? List.of() : new ServerListCache(state, plan.name(), names()).read(this::log);
+        List<Member> kept =
+                state == null ? List.of() : new ServerListCache(state, plan.name(), names()).read(this::log);
         members = kept.isEmpty() ? members : kept;
         xds = new XdsSource(plan.xds(), plan.name(), names(), members, state, plan.seed(), loop, this, clock::wallMs);
         // The first list is checked against other pools' claims like every later one.
@@ -829,7 +830,9 @@
             answers.streamed(
                     passage,
                     length,
-                    whole -> countEnd(request, whole ? ProcessMetrics.ClassMetrics::served : ProcessMetrics.ClassMetrics::failed));
+                    whole -> countEnd(
+                            request,
+                            whole ? ProcessMetrics.ClassMetrics::served : ProcessMetrics.ClassMetrics::failed));
         }
         runEvent(
                 request,
@@ -903,7 +906,7 @@
         }
         long decidedAt = System.nanoTime();
         // Unread drains and client disconnects decide whether the attempt may still be sent.
-        readBarrier.pass(
+        readBarrier.runAfterRead(
                 () -> request.isAnswered() || System.nanoTime() - decidedAt >= Math.min(patience, startWithin),
                 () -> sendAfterRead(request, server, patience, startWithin, decidedAt));
     }
@@ -925,13 +928,14 @@
 
     @Override
     public void runAfterPendingReads(BooleanSupplier isOver, Runnable task) {
-        readBarrier.pass(isOver, task);
+        readBarrier.runAfterRead(isOver, task);
     }
 
     @Override
     public void refuse(String id, long retryAfter) {
         OpenRequest request = openRequests.get(id);
-        OpenRequest.Responder answers = request == null ? null : claimAnswer(request, ProcessMetrics.ClassMetrics::refused);
+        OpenRequest.Responder answers =
+                request == null ? null : claimAnswer(request, ProcessMetrics.ClassMetrics::refused);
         if (answers != null) {
             recordEnd(request, Entry.End.REFUSED);
             answers.refused(retryAfter);
--- a/src/main/java/rushpin/node/Services.java
+++ b/src/main/java/rushpin/node/Services.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import rushpin.config.Config;
 import rushpin.config.OperatorConfig;
-import rushpin.net.ServerCallbacks;
 import rushpin.net.RequestRejectedException;
+import rushpin.net.ServerCallbacks;
 
 /** The pools of a process: one configured by the platform's settings, or those of an operator's file. */
 interface Services {
--- a/src/main/java/rushpin/node/WarmUp.java
+++ b/src/main/java/rushpin/node/WarmUp.java
@@ -48,9 +48,9 @@
 import rushpin.membership.ServerListUpdate;
 import rushpin.net.AnswerDecoder;
 import rushpin.net.AnswerHandler;
+import rushpin.net.ErrorLog;
 import rushpin.net.ServerPool;
 import rushpin.net.Transport;
-import rushpin.net.ErrorLog;
 
 /**
  * Warms the JVM up before a node serves. A second node of the same settings, with its own decision module, answers
--- a/src/test/java/rushpin/net/ConnectTest.java
+++ b/src/test/java/rushpin/net/ConnectTest.java
@@ -32,34 +32,34 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is told of a connect whose calls fail, on loopback sockets. */
+/** Tests which events {@link Transport#connect} reports when system calls fail, on loopback sockets. */
 @Timeout(60)
 class ConnectTest {
-    /** How often a loop is waited for so that whatever it still holds has run. */
+    /** Number of empty tasks after which all tasks pending on a loop have run. */
     private static final int TURNS = 20;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     private final Transport.ConnectListener listener = new Transport.ConnectListener() {
         @Override
         public void opened(Channel channel) {
-            tell("opened");
+            report("opened");
         }
 
         @Override
         public void failed(Throwable cause) {
-            tell("failed " + cause.getClass().getSimpleName());
+            report("failed " + cause.getClass().getSimpleName());
         }
 
         @Override
         public void ended() {
-            tell("ended");
+            report("ended");
         }
 
-        private void tell(String what) {
-            told.add(
+        private void report(String what) {
+            events.add(
                     loop.inEventLoop()
                             ? what
                             : what + " on " + Thread.currentThread().getName());
@@ -71,44 +71,45 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private Bootstrap over(ChannelFactory<Channel> sockets) {
+    private Bootstrap bootstrap(ChannelFactory<Channel> sockets) {
         return new Bootstrap().group(loop).channelFactory(sockets).handler(new ChannelInboundHandlerAdapter());
     }
 
     private Channel connect(Bootstrap bootstrap, SocketAddress to) throws Exception {
         return loop.submit(() -> {
                     Channel made = Transport.connect(bootstrap, loop, to, listener);
-                    assertTrue(told.isEmpty(), "told from within the call");
+                    assertTrue(events.isEmpty(), "reported from within the call");
                     return made;
                 })
                 .get();
     }
 
-    private void assertTold(String... all) throws Exception {
-        List<String> heard = new ArrayList<>();
+    private void assertEvents(String... all) throws Exception {
+        List<String> actual = new ArrayList<>();
         for (int i = 0; i < all.length; i++) {
-            heard.add(told.poll(30, TimeUnit.SECONDS));
+            actual.add(events.poll(30, TimeUnit.SECONDS));
         }
-        assertEquals(List.of(all), heard);
+        assertEquals(List.of(all), actual);
         for (int i = 0; i < TURNS; i++) {
             loop.submit(() -> {}).get();
         }
-        assertTrue(told.isEmpty(), "told once more: " + told);
+        assertTrue(events.isEmpty(), "reported again: " + events);
     }
 
-    private static SocketAddress nobody() throws Exception {
+    private static SocketAddress unusedAddress() throws Exception {
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return gone.getLocalSocketAddress();
         }
     }
 
-    /** Why {@link Transport#connect} is there. Where a Netty does better, it may go. */
+    /** The reason for {@link Transport#connect}. It may be removed when a release of Netty behaves better. */
     @Test
-    void nettyTellsOfAMissingSocketOnAForeignThreadAndNeverOfItsEnd() throws Exception {
-        SocketAddress to = nobody();
-        CompletableFuture<Boolean> foreign = new CompletableFuture<>(), ended = new CompletableFuture<>();
+    void nettyReportsAMissingSocketOnAnotherThreadAndNeverItsEnd() throws Exception {
+        SocketAddress to = unusedAddress();
+        CompletableFuture<Boolean> foreign = new CompletableFuture<>();
+        CompletableFuture<Boolean> ended = new CompletableFuture<>();
         ChannelFuture connecting = loop.submit(
-                        () -> over(new FailingSockets().refuseSockets()).connect(to))
+                        () -> bootstrap(new FailingSockets().refuseSockets()).connect(to))
                 .get();
         connecting.addListener(done -> foreign.complete(!loop.inEventLoop()));
         connecting.channel().closeFuture().addListener(done -> ended.complete(true));
@@ -121,54 +122,54 @@
     }
 
     @Test
-    void aMissingSocketIsToldOnTheLoopAndEnds() throws Exception {
-        assertNull(connect(over(new FailingSockets().refuseSockets()), nobody()));
-        assertTold("failed ChannelException", "ended");
+    void aMissingSocketIsReportedOnTheLoop() throws Exception {
+        assertNull(connect(bootstrap(new FailingSockets().refuseSockets()), unusedAddress()));
+        assertEvents("failed ChannelException", "ended");
     }
 
     @Test
-    void aConnectThatFailsInTheCallIsToldAndEnds() throws Exception {
+    void aConnectThatFailsInTheCallIsReported() throws Exception {
         FailingSockets sockets = new FailingSockets().failConnects(new NoRouteToHostException("No route to host"));
-        Channel made = connect(over(sockets), nobody());
-        assertTold("failed AnnotatedNoRouteToHostException", "ended");
+        Channel made = connect(bootstrap(sockets), unusedAddress());
+        assertEvents("failed AnnotatedNoRouteToHostException", "ended");
         assertFalse(made.isOpen());
     }
 
     @Test
-    void aRefusedConnectIsToldAndEnds() throws Exception {
-        Channel made = connect(over(NioSocketChannel::new), nobody());
-        assertTold("failed AnnotatedConnectException", "ended");
+    void aRefusedConnectIsReported() throws Exception {
+        Channel made = connect(bootstrap(NioSocketChannel::new), unusedAddress());
+        assertEvents("failed AnnotatedConnectException", "ended");
         assertFalse(made.isOpen());
     }
 
-    /** A caller may give it up before the call to connect, which is the loop's next task. */
+    /** The caller may close the channel before the system call, which is the loop's next task. */
     @Test
-    void aConnectThatIsGivenUpIsToldAndEnds() throws Exception {
-        SocketAddress to = nobody();
-        loop.submit(() -> Transport.connect(over(NioSocketChannel::new), loop, to, listener)
+    void aCancelledConnectIsReported() throws Exception {
+        SocketAddress to = unusedAddress();
+        loop.submit(() -> Transport.connect(bootstrap(NioSocketChannel::new), loop, to, listener)
                         .close())
                 .get();
-        assertTold("failed StacklessClosedChannelException", "ended");
+        assertEvents("failed StacklessClosedChannelException", "ended");
     }
 
     @Test
-    void aConnectionIsToldAndSoIsItsEnd() throws Exception {
+    void aConnectionAndItsEndAreReported() throws Exception {
         try (ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            assertNotNull(connect(over(NioSocketChannel::new), listening.getLocalSocketAddress()));
+            assertNotNull(connect(bootstrap(NioSocketChannel::new), listening.getLocalSocketAddress()));
             Socket other = listening.accept();
-            assertTold("opened");
+            assertEvents("opened");
             other.close();
-            assertTold("ended");
+            assertEvents("ended");
         }
     }
 
-    /** For the errors that come behind a connect in progress, as {@code ETIMEDOUT} and {@code EHOSTUNREACH} do. */
+    /** Covers errors that end a connect in progress, such as {@code ETIMEDOUT} and {@code EHOSTUNREACH}. */
     @Test
-    void aConnectThatFailsLaterIsToldAndEnds() throws Exception {
+    void aConnectThatFailsLaterIsReported() throws Exception {
         FailingSockets sockets = new FailingSockets().failFinishing(new ConnectException("Connection timed out"));
         try (ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            connect(over(sockets), listening.getLocalSocketAddress());
-            assertTold("failed AnnotatedConnectException", "ended");
+            connect(bootstrap(sockets), listening.getLocalSocketAddress());
+            assertEvents("failed AnnotatedConnectException", "ended");
         }
     }
 }
