--- a/src/test/java/rushpin/net/CounterConnectTest.java
+++ b/src/test/java/rushpin/net/CounterConnectTest.java
@@ -30,17 +30,18 @@
 import org.junit.jupiter.api.Timeout;
 import rushpin.membership.Names;
 
-/** Calls to a counter whose connections cannot be made, or take no more bytes. */
+/** Tests calls to a counter whose connections can't be established or accept no more bytes. */
 @Timeout(60)
 class CounterConnectTest {
-    private static final long LIFE_NANOS = 4_000_000_000L, LONG_NANOS = 30_000_000_000L;
+    private static final long LIFE_NANOS = 4_000_000_000L;
+    private static final long LONG_NANOS = 30_000_000_000L;
     private static final int TURNS = 20;
-    /** Makes each call so long that a few fill the smallest buffers. */
+    /** A long prefix, so that a few calls fill the smallest buffers. */
     private static final String PREFIX = "p".repeat(200);
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
     private final FailingSockets sockets = new FailingSockets();
     private final Bootstrap bootstrap = new Bootstrap().group(loop).channelFactory(sockets);
     private ServerSocket counter;
@@ -76,7 +77,7 @@
                             String where = loop.inEventLoop()
                                     ? ""
                                     : " on " + Thread.currentThread().getName();
-                            told.add(name + " " + outcome + where);
+                            outcomes.add(name + " " + outcome + where);
                         },
                         loop,
                         upstream,
@@ -97,12 +98,12 @@
         loop.submit(() -> client.move(to)).get();
     }
 
-    private void assertTold(String... all) throws InterruptedException {
-        List<String> heard = new ArrayList<>();
+    private void assertOutcomes(String... all) throws InterruptedException {
+        List<String> actual = new ArrayList<>();
         for (int i = 0; i < all.length; i++) {
-            heard.add(told.poll(30, TimeUnit.SECONDS));
+            actual.add(outcomes.poll(30, TimeUnit.SECONDS));
         }
-        assertEquals(List.of(all), heard);
+        assertEquals(List.of(all), actual);
     }
 
     private void drain() throws Exception {
@@ -111,8 +112,8 @@
         }
     }
 
-    /** The next connection, when a whole call has been read from it. */
-    private static Socket called(ServerSocket by) throws IOException {
+    /** Accepts the next connection and reads one call from it. */
+    private static Socket acceptCall(ServerSocket by) throws IOException {
         Socket made = by.accept();
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -125,58 +126,64 @@
         to.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n7".getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Names 4, 8 and 12 have one place. */
+    /** Names 4, 8 and 12 belong to one partition. */
     private void assertFailsOnceAndRecovers() throws Exception {
         client(LONG_NANOS);
         count(4, 8, 12);
-        assertTold("4 CONNECT_FAILED", "8 CONNECT_FAILED", "12 CONNECT_FAILED");
+        assertOutcomes("4 CONNECT_FAILED", "8 CONNECT_FAILED", "12 CONNECT_FAILED");
         drain();
-        assertTrue(told.isEmpty(), "told once more: " + told);
-        assertEquals(1, sockets.sockets.get(), "tried again though nobody calls");
+        assertTrue(outcomes.isEmpty(), "reported again: " + outcomes);
+        assertEquals(1, sockets.sockets.get(), "reconnected without a call");
         sockets.succeed();
         count(4);
-        answer(called(counter));
-        assertTold("4 OK");
+        answer(acceptCall(counter));
+        assertOutcomes("4 OK");
     }
 
     @Test
-    void aLineThatHadNoSocketAddsNothingAndTheNextCallHasAnother() throws Exception {
+    void withoutASocketNothingIsAddedAndTheNextCallReconnects() throws Exception {
         sockets.refuseSockets();
         assertFailsOnceAndRecovers();
     }
 
     @Test
-    void aLineWhoseConnectFailsInTheCallAddsNothingAndTheNextCallHasAnother() throws Exception {
+    void afterAFailedConnectNothingIsAddedAndTheNextCallReconnects() throws Exception {
         sockets.failConnects(new ConnectException("Network is unreachable"));
         assertFailsOnceAndRecovers();
     }
 
-    /** Behind a move a name's earlier call may still be out on the old line: told before it, the order was lost. */
+    /**
+     * After a move an earlier call of a name may still be in flight on the old connection. The later call must not be
+     * reported before it.
+     */
     @Test
-    void aLineThatCannotBeMadeBehindAMoveKeepsTheOrder() throws Exception {
+    void aFailedConnectAfterAMoveKeepsTheOrder() throws Exception {
         client(LONG_NANOS);
         count(4);
-        Socket old = called(counter);
+        Socket old = acceptCall(counter);
         sockets.failConnects(new ConnectException("Network is unreachable"));
-        // In one turn of the loop: a call that comes when the new line has failed rightly tries another.
+        // In one turn of the loop: a call made after the new connection has failed would rightly open another.
         loop.submit(() -> {
                     client.move(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
                     client.count(4, 1, LIFE_NANOS);
                 })
                 .get();
         drain();
-        assertTrue(told.isEmpty(), "told before the call that is out: " + told);
-        assertEquals(2, sockets.sockets.get(), "tried again though nothing may be written");
+        assertTrue(outcomes.isEmpty(), "reported before the call in flight: " + outcomes);
+        assertEquals(2, sockets.sockets.get(), "reconnected though nothing may be written");
         answer(old);
-        assertTold("4 OK", "4 CONNECT_FAILED");
+        assertOutcomes("4 OK", "4 CONNECT_FAILED");
     }
 
-    /** While a call is out on the old line nothing may be written to the new one: to make it again is no use. */
+    /**
+     * While a call is in flight on the old connection nothing may be written to the new one, so it must not be opened
+     * again and again.
+     */
     @Test
-    void aLineThatIsEndedAtOnceBehindAMoveIsNotMadeRoundAndRound() throws Exception {
+    void aConnectionClosedAfterAMoveIsNotReopenedInALoop() throws Exception {
         client(LONG_NANOS);
         count(4);
-        Socket old = called(counter);
+        Socket old = acceptCall(counter);
         try (ServerSocket elsewhere = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             move(elsewhere.getLocalSocketAddress());
             count(4);
@@ -186,44 +193,47 @@
             drain();
             assertEquals(2, sockets.sockets.get());
             answer(old);
-            assertTold("4 OK");
-            answer(called(elsewhere));
-            assertTold("4 OK");
+            assertOutcomes("4 OK");
+            answer(acceptCall(elsewhere));
+            assertOutcomes("4 OK");
         }
     }
 
     @Test
-    void howMuchWaitsForACallOnTheOldLineIsBounded() throws Exception {
+    void theQueueBehindACallOnTheOldConnectionIsBounded() throws Exception {
         client(LONG_NANOS);
         count(0);
-        called(counter);
+        acceptCall(counter);
         sockets.failConnects(new ConnectException("Network is unreachable"));
         move(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
         long[] names = LongStream.rangeClosed(1, 300).map(i -> 4 * i).toArray();
         count(names);
-        assertTold("0 TIMEOUT");
+        assertOutcomes("0 TIMEOUT");
         for (long name : names) {
-            assertTold(name + " CONNECT_FAILED");
+            assertOutcomes(name + " CONNECT_FAILED");
         }
     }
 
     @Test
-    void whatWaitsForACallOnTheOldLineEndsBehindItsTimeOut() throws Exception {
+    void callsQueuedBehindACallOnTheOldConnectionEndAfterItsTimeout() throws Exception {
         client(200_000_000L);
         count(4);
-        Socket old = called(counter);
+        Socket old = acceptCall(counter);
         sockets.failConnects(new ConnectException("Network is unreachable"));
         move(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
         count(4, 8, 12);
-        assertTold("4 TIMEOUT", "4 CONNECT_FAILED", "8 CONNECT_FAILED", "12 CONNECT_FAILED");
+        assertOutcomes("4 TIMEOUT", "4 CONNECT_FAILED", "8 CONNECT_FAILED", "12 CONNECT_FAILED");
         while (old.getInputStream().read() >= 0) {
-            // The request, and then the end: the old line is of no more use.
+            // Reads the request and then the end: the old connection is closed.
         }
     }
 
-    /** What a full buffer has not taken was not written: the counter never gets it whole, also if it reads on. */
+    /**
+     * A call that a full buffer has not accepted was not written: the counter never gets all of it, even if it reads
+     * on.
+     */
     @Test
-    void onlyWhatWasWrittenWholeMayHaveBeenAdded() throws Exception {
+    void onlyCompletelyWrittenCallsMayHaveBeenAdded() throws Exception {
         bootstrap.option(ChannelOption.SO_SNDBUF, 1);
         client(500_000_000L);
         int calls = 200;
@@ -233,10 +243,11 @@
         }
         count(names);
         Socket slow = counter.accept();
-        List<String> added = new ArrayList<>(), unknown = new ArrayList<>();
+        List<String> added = new ArrayList<>();
+        List<String> unknown = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
-            String end = told.poll(30, TimeUnit.SECONDS);
-            assertTrue(end != null && end.startsWith(names[i] + " "), "call " + i + " was told as " + end);
+            String end = outcomes.poll(30, TimeUnit.SECONDS);
+            assertTrue(end != null && end.startsWith(names[i] + " "), "call " + i + " was reported as " + end);
             if (!end.endsWith(" CONNECT_FAILED")) {
                 unknown.add(Long.toString(names[i]));
             }
--- a/src/test/java/rushpin/net/DiscoveryClientTest.java
+++ b/src/test/java/rushpin/net/DiscoveryClientTest.java
@@ -30,32 +30,33 @@
 import org.junit.jupiter.api.Timeout;
 import rushpin.membership.Names;
 
-/** A watch that ends, hangs or falls silent, on loopback sockets and by short spans. */
+/** Tests watches that end, hang or become silent, on loopback sockets and with short timeouts. */
 @Timeout(120)
 class DiscoveryClientTest {
     private static final Names NAMES = new Names(List.of(), List.of(), List.of(), List.of());
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private record Asked(String first, Socket socket) {
-        void say(String text) throws IOException {
+    /** A watch as the server sees it: the first line of its request, and its connection. */
+    private record WatchRequest(String requestLine, Socket socket) {
+        void send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** Returns once the other side has ended it. */
-        void ended() throws IOException {
+        /** Returns when the client has closed the connection. */
+        void awaitClosed() throws IOException {
             try {
                 assertEquals(-1, socket.getInputStream().read());
             } catch (java.net.SocketException e) {
-                // Reset, because it had bytes to read: ended too.
+                // A reset, because the client had unread bytes: closed too.
             }
         }
     }
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Long> heard = new LinkedBlockingQueue<>();
-    private volatile Runnable still = () -> {};
+    private final BlockingQueue<WatchRequest> requests = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> revisions = new LinkedBlockingQueue<>();
+    private volatile Runnable onRevision8 = () -> {};
     private ServerSocket listening;
     private DiscoveryClient client;
     private final FailingSockets sockets = new FailingSockets();
@@ -74,7 +75,7 @@
                     for (String line = first; line != null && !line.isEmpty(); ) {
                         line = in.readLine();
                     }
-                    asked.add(new Asked(first, socket));
+                    requests.add(new WatchRequest(first, socket));
                 }
             } catch (IOException e) {
                 // The test is over.
@@ -96,23 +97,23 @@
     private void watch(long silence, long answer) throws Exception {
         client = new DiscoveryClient(
                 (roll, kind) -> {
-                    heard.add(roll.revision());
+                    revisions.add(roll.revision());
                     if (roll.revision() == 8) {
-                        still.run();
+                        onRevision8.run();
                     }
                 },
                 loop,
                 NAMES,
                 listening.getLocalSocketAddress(),
-                new DiscoveryClient.Spans(silence, answer, 20, 60_000),
+                new DiscoveryClient.Timeouts(silence, answer, 20, 60_000),
                 new Bootstrap().group(loop).channelFactory(sockets));
         loop.submit(() -> client.start(5)).get();
     }
 
-    private Asked next(String after) throws Exception {
-        Asked next = asked.poll(60, TimeUnit.SECONDS);
+    private WatchRequest next(String after) throws Exception {
+        WatchRequest next = requests.poll(60, TimeUnit.SECONDS);
         assertNotNull(next, "no further watch");
-        assertTrue(next.first.endsWith("after=" + after + " HTTP/1.1"), next.first);
+        assertTrue(next.requestLine.endsWith("after=" + after + " HTTP/1.1"), next.requestLine);
         return next;
     }
 
@@ -121,77 +122,94 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private void assertHeard(long revision) throws InterruptedException {
-        assertEquals(revision, heard.poll(60, TimeUnit.SECONDS));
+    private void assertRevision(long revision) throws InterruptedException {
+        assertEquals(revision, revisions.poll(60, TimeUnit.SECONDS));
     }
 
-    /** A byte read late by a pause, the span, a second pause, one try in vain and the one that speaks: below 6 s. */
+    /**
+     * A byte read late because of a pause, the timeout, a second pause, one failed watch and one that answers take
+     * less than 6 s.
+     */
     @Test
-    void aSilentWatchIsMadeUpForBeforeItCountsAsTold() {
-        DiscoveryClient.Spans spans = DiscoveryClient.Spans.USUAL;
-        long pause = 1_000,
-                sum = pause + spans.silence() + pause + spans.settling() + spans.answer() + spans.settling();
-        assertTrue(sum <= 6_000 - 100, "the new watch may speak only after " + sum + " ms");
-        assertTrue(spans.silence() * 9 / 10 >= 2_000 + spans.answer(), "a line every 2 s is no silence");
+    void aSilentWatchIsReplacedBeforeTheNodeCountsAsNotified() {
+        DiscoveryClient.Timeouts timeouts = DiscoveryClient.Timeouts.DEFAULT;
+        long pause = 1_000;
+        long sum = pause
+                + timeouts.silence()
+                + pause
+                + timeouts.readDelay()
+                + timeouts.firstAnswer()
+                + timeouts.readDelay();
+        assertTrue(sum <= 6_000 - 100, "the new watch may answer only after " + sum + " ms");
+        assertTrue(
+                timeouts.silence() * 9 / 10 >= 2_000 + timeouts.firstAnswer(),
+                "a line every 2 s must not count as silence");
     }
 
-    /** Held up at each step, by an agent that takes a second: one try is given up, and the one behind it is answered. */
+    /**
+     * With a delay at each step and an agent that takes a second, one watch is given up and the next one is answered
+     * in time.
+     */
     @Test
-    void aSlowAgentIsHeardBeforeItCountsAsTold() {
-        DiscoveryClient.Spans spans = DiscoveryClient.Spans.USUAL;
-        long hold = 150, agent = 1_000;
-        long lookedAt = hold + spans.settling() + hold;
+    void aSlowAgentAnswersBeforeTheNodeCountsAsNotified() {
+        DiscoveryClient.Timeouts timeouts = DiscoveryClient.Timeouts.DEFAULT;
+        long hold = 150;
+        long agent = 1_000;
+        long lookedAt = hold + timeouts.readDelay() + hold;
         long answered = hold + hold + agent;
-        double silent = hold + DiscoveryClient.MOST_PART * spans.silence() + lookedAt;
-        double givenUp = DiscoveryClient.MOST_PART * spans.answer() + lookedAt;
+        double silent = hold + DiscoveryClient.MAX_JITTER_FACTOR * timeouts.silence() + lookedAt;
+        double givenUp = DiscoveryClient.MAX_JITTER_FACTOR * timeouts.firstAnswer() + lookedAt;
         double sum = silent + givenUp + answered + hold;
-        assertTrue(sum <= 6_000 - 100, "heard " + sum + " ms after the last byte came");
-        double least = DiscoveryClient.LEAST_PART * 2 * spans.answer() + spans.settling();
+        assertTrue(sum <= 6_000 - 100, "notified " + sum + " ms after the last byte");
+        double least = DiscoveryClient.MIN_JITTER_FACTOR * 2 * timeouts.firstAnswer() + timeouts.readDelay();
         assertTrue(least >= answered, "the second try would be given up too");
-        assertEquals(0.9, DiscoveryClient.LEAST_PART, "the other sums count on this");
+        assertEquals(0.9, DiscoveryClient.MIN_JITTER_FACTOR, "the other sums rely on this");
     }
 
     @Test
-    void aWatchThatFellSilentIsBegunAnewAndItsLateLinesAreNothing() throws Exception {
+    void aSilentWatchIsReplacedAndItsLateLinesAreDiscarded() throws Exception {
         watch(300, 60_000);
-        Asked old = next("5");
-        old.say(HEAD + list(8));
-        assertHeard(8);
-        Asked fresh = next("8");
+        WatchRequest old = next("5");
+        old.send(HEAD + list(8));
+        assertRevision(8);
+        WatchRequest fresh = next("8");
         try {
-            old.say(list(7) + list(9));
+            old.send(list(7) + list(9));
         } catch (IOException e) {
             // It was closed.
         }
-        old.ended();
-        fresh.say(HEAD + list(10));
-        assertHeard(10);
-        assertTrue(heard.isEmpty(), heard.toString());
+        old.awaitClosed();
+        fresh.send(HEAD + list(10));
+        assertRevision(10);
+        assertTrue(revisions.isEmpty(), revisions.toString());
     }
 
-    /** A head is no word. Of two watches an agent may tell only the newer one: kept beside it, the older heard nothing. */
+    /**
+     * A response head does not count as an answer. An agent may notify only the newer of two watches, so an old watch
+     * that was kept open would receive nothing.
+     */
     @Test
-    void oneThatNeverSpeaksIsBegunAnewAndThereIsOnlyOne() throws Exception {
+    void aWatchThatNeverAnswersIsReplacedAndClosed() throws Exception {
         watch(60_000, 500);
-        Asked first = next("5");
-        first.say(HEAD);
-        Asked second = next("5");
-        first.ended();
-        Asked third = next("5");
-        second.ended();
-        third.say(HEAD + list(8));
-        assertHeard(8);
-        third.say(list(9));
-        assertHeard(9);
-        assertTrue(asked.isEmpty(), "one watch that speaks is enough");
+        WatchRequest first = next("5");
+        first.send(HEAD);
+        WatchRequest second = next("5");
+        first.awaitClosed();
+        WatchRequest third = next("5");
+        second.awaitClosed();
+        third.send(HEAD + list(8));
+        assertRevision(8);
+        third.send(list(9));
+        assertRevision(9);
+        assertTrue(requests.isEmpty(), "opened a watch beside one that answers");
     }
 
     @Test
-    void aPauseOfThisProcessIsNotTheSilenceOfAnother() throws Exception {
+    void aPauseOfThisProcessDoesNotCountAsSilence() throws Exception {
         long silence = 400;
         CountDownLatch stands = new CountDownLatch(1);
-        still = () -> {
-            // The claim is about time that passes between a read and the timers that are due behind it.
+        onRevision8 = () -> {
+            // The pause has to lie between a read and the timers that are due after it.
             stands.countDown();
             long until = System.nanoTime() + 2 * TimeUnit.MILLISECONDS.toNanos(silence);
             for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
@@ -199,118 +217,118 @@
             }
         };
         watch(silence, 60_000);
-        Asked first = next("5");
-        first.say(HEAD + list(8));
+        WatchRequest first = next("5");
+        first.send(HEAD + list(8));
         stands.await();
-        first.say(list(9));
-        assertHeard(8);
-        assertHeard(9);
-        assertTrue(asked.isEmpty(), "begun anew though it had spoken");
+        first.send(list(9));
+        assertRevision(8);
+        assertRevision(9);
+        assertTrue(requests.isEmpty(), "replaced though it had answered");
     }
 
-    /** With the saved list's revision still the newest there is nothing to wait for. */
+    /** If the saved list's revision is still the newest, the client has nothing to wait for. */
     @Test
-    void anEmptyFirstLineSaysThatNothingHasChanged() throws Exception {
+    void anEmptyFirstLineMeansNoChanges() throws Exception {
         watch(60_000, 60_000);
-        Asked first = next("5");
+        WatchRequest first = next("5");
         assertFalse(client.isReady());
-        first.say(HEAD + "1\r\n\n\r\n" + "1\r\n{\r\n");
+        first.send(HEAD + "1\r\n\n\r\n" + "1\r\n{\r\n");
         while (!client.isReady()) {
             Thread.onSpinWait();
         }
-        assertTrue(heard.isEmpty());
+        assertTrue(revisions.isEmpty());
     }
 
     @Test
-    void whatIsNoListEndsTheWatchAndNothingElse() throws Exception {
+    void anInvalidListEndsOnlyTheWatch() throws Exception {
         watch(60_000, 60_000);
-        Asked bad = next("5");
-        bad.say(HEAD + list(8) + "2\r\nx\n\r\n" + list(9));
-        bad.ended();
-        assertHeard(8);
-        next("8").say(HEAD + list(10));
-        assertHeard(10);
+        WatchRequest bad = next("5");
+        bad.send(HEAD + list(8) + "2\r\nx\n\r\n" + list(9));
+        bad.awaitClosed();
+        assertRevision(8);
+        next("8").send(HEAD + list(10));
+        assertRevision(10);
     }
 
-    /** No span is so short that it could help: only the wait behind an end leads to a further try. */
-    private void assertTriedAgainUntilItSucceeds() throws Exception {
+    /** The timeouts are so long that only the backoff after an end leads to another try. */
+    private void assertRetriedUntilItSucceeds() throws Exception {
         int tries = 8;
-        // The waits' lower bounds: half of 100 ms, of 200 ms, and of 250 ms from then on.
+        // Lower bounds of the backoffs: half of 100 ms, of 200 ms, and of 250 ms from then on.
         long least = TimeUnit.MILLISECONDS.toNanos(50 + 100 + (tries - 3) * 125);
         long begun = System.nanoTime();
         watch(600_000, 600_000);
         while (sockets.sockets.get() < tries) {
-            assertTrue(System.nanoTime() - begun < TimeUnit.SECONDS.toNanos(30), "tried no more");
+            assertTrue(System.nanoTime() - begun < TimeUnit.SECONDS.toNanos(30), "stopped trying");
             Thread.onSpinWait();
         }
-        assertTrue(System.nanoTime() - begun >= least, "tried in a hot loop");
+        assertTrue(System.nanoTime() - begun >= least, "tried without a backoff");
         sockets.succeed();
-        Asked only = next("5");
-        only.say(HEAD + list(8));
-        assertHeard(8);
-        assertTrue(asked.isEmpty(), "one watch is enough");
+        WatchRequest only = next("5");
+        only.send(HEAD + list(8));
+        assertRevision(8);
+        assertTrue(requests.isEmpty(), "opened a second watch");
     }
 
     @Test
-    void aWatchThatHadNoSocketIsTriedAgain() throws Exception {
+    void aWatchWithoutASocketIsRetried() throws Exception {
         sockets.refuseSockets();
-        assertTriedAgainUntilItSucceeds();
+        assertRetriedUntilItSucceeds();
     }
 
     @Test
-    void aWatchWhoseConnectFailsInTheCallIsTriedAgain() throws Exception {
+    void aWatchWhoseConnectFailsInTheCallIsRetried() throws Exception {
         sockets.failConnects(new ConnectException("Network is unreachable"));
-        assertTriedAgainUntilItSucceeds();
+        assertRetriedUntilItSucceeds();
     }
 
-    /** Each look at such a watch closes it; that must not be the last look. */
+    /** Each timeout check closes a watch without a socket; the checks must go on afterwards. */
     @Test
-    void aWatchThatHadNoSocketMayBeFoundSilent() throws Exception {
+    void aWatchWithoutASocketMayTimeOut() throws Exception {
         watch(60_000, 40);
-        Asked first = next("5");
-        first.say(HEAD);
+        WatchRequest first = next("5");
+        first.send(HEAD);
         sockets.refuseSockets();
-        first.ended();
+        first.awaitClosed();
         sockets.succeed();
-        next("5").say(HEAD + list(8));
-        assertHeard(8);
+        next("5").send(HEAD + list(8));
+        assertRevision(8);
     }
 
     @Test
-    void aReadThatFailsEndsTheWatchAndItIsOpenedAnew() throws Exception {
+    void aFailedReadEndsTheWatchAndAnotherIsOpened() throws Exception {
         watch(600_000, 600_000);
-        Asked broken = next("5");
-        broken.say(HEAD + list(8));
-        assertHeard(8);
+        WatchRequest broken = next("5");
+        broken.send(HEAD + list(8));
+        assertRevision(8);
         sockets.failNextRead(new IOException("Connection timed out"));
-        broken.say(list(9));
-        next("8").say(HEAD + list(10));
-        assertHeard(10);
-        broken.ended();
+        broken.send(list(9));
+        next("8").send(HEAD + list(10));
+        assertRevision(10);
+        broken.awaitClosed();
     }
 
     @Test
-    void aWatchThatEndsWithinAMessageHasNotToldIt() throws Exception {
+    void aMessageCutOffByTheEndOfTheWatchIsDiscarded() throws Exception {
         watch(600_000, 600_000);
-        Asked cut = next("5");
+        WatchRequest cut = next("5");
         String half = list(9);
-        cut.say(HEAD + list(8) + half.substring(0, half.length() / 2));
-        assertHeard(8);
+        cut.send(HEAD + list(8) + half.substring(0, half.length() / 2));
+        assertRevision(8);
         cut.socket.close();
-        next("8").say(HEAD + list(9));
-        assertHeard(9);
+        next("8").send(HEAD + list(9));
+        assertRevision(9);
     }
 
     @Test
-    void ofSeveralMovesOnlyTheLastOneLeavesAWatch() throws Exception {
+    void afterSeveralMovesOnlyTheLastWatchIsOpen() throws Exception {
         SocketAddress nobody;
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = gone.getLocalSocketAddress();
         }
         watch(600_000, 600_000);
-        Asked left = next("5");
-        left.say(HEAD + list(8));
-        assertHeard(8);
+        WatchRequest left = next("5");
+        left.send(HEAD + list(8));
+        assertRevision(8);
         loop.submit(() -> client.move(nobody)).get();
         loop.submit(() -> {
                     client.move(listening.getLocalSocketAddress());
@@ -318,13 +336,13 @@
                     client.move(listening.getLocalSocketAddress());
                 })
                 .get();
-        left.ended();
-        // A discovery that has begun anew counts from a lower revision.
-        Asked last = next("8");
-        last.say(HEAD + list(3));
-        assertHeard(3);
-        last.say(list(4));
-        assertHeard(4);
-        assertTrue(asked.isEmpty(), "one watch is enough");
+        left.awaitClosed();
+        // A restarted discovery counts from a lower revision.
+        WatchRequest last = next("8");
+        last.send(HEAD + list(3));
+        assertRevision(3);
+        last.send(list(4));
+        assertRevision(4);
+        assertTrue(requests.isEmpty(), "opened a second watch");
     }
 }
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -47,23 +47,28 @@
 import rushpin.membership.ServerListUpdate;
 import rushpin.pooling.Permit;
 
-/** A pool that keeps to a permit, and servers that count what is open at their side. */
+/** Tests a pool limited by a connection grant, with servers that count the connections open at their side. */
 @Timeout(60)
 class GroupGateTest {
-    private static final long MS = 1_000_000L, LONG = 60_000 * MS;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    private static final long LONG = 60_000 * NANOS_PER_MS;
+
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next(), far = group.next();
-    private final AtomicInteger open = new AtomicInteger(), mostOpen = new AtomicInteger();
+    private final EventLoop loop = group.next();
+    private final EventLoop serverLoop = group.next();
+    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger maxOpen = new AtomicInteger();
     private final List<Channel> listening = new ArrayList<>();
-    /** Requests that wait at the servers for their answers, and how attempts ended. */
-    private final BlockingQueue<ChannelHandlerContext> held = new LinkedBlockingQueue<>();
+    /** Requests that the servers have received and not answered. */
+    private final BlockingQueue<ChannelHandlerContext> unanswered = new LinkedBlockingQueue<>();
 
+    /** Ids and outcomes of the attempts that have ended. */
     private final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
-    /** Whether servers hear that the other side has closed. */
-    private volatile boolean deaf;
+    /** Whether servers ignore that the client has closed its side of a connection. */
+    private volatile boolean ignoreClose;
 
-    private final BlockingQueue<ChannelHandlerContext> unheard = new LinkedBlockingQueue<>();
-    private long longest = LONG;
+    private final BlockingQueue<ChannelHandlerContext> ignoredCloses = new LinkedBlockingQueue<>();
+    private long gracePeriod = LONG;
     private ServerPool servers;
     private GroupGate gate;
 
@@ -72,14 +77,14 @@
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             Channel made = new ServerBootstrap()
-                    .group(far)
+                    .group(serverLoop)
                     .channel(NioServerSocketChannel.class)
                     .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                     .childHandler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            mostOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
-                            channel.pipeline().addLast(new HttpServerCodec(), new Side());
+                            maxOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
+                            channel.pipeline().addLast(new HttpServerCodec(), new ServerHandler());
                         }
                     })
                     .bind(InetAddress.getLoopbackAddress(), 0)
@@ -92,16 +97,16 @@
         Upstream upstream = new Upstream(
                 null,
                 null,
-                MS,
-                1_000 * MS,
+                NANOS_PER_MS,
+                1_000 * NANOS_PER_MS,
                 LONG,
                 8,
                 new Names(List.of("c"), List.of("a", "b"), List.of("z"), List.of("k")),
                 "",
                 null);
         call(() -> {
-            servers = new ServerPool(new Ends(), loop, upstream, new Slots());
-            gate = servers.joinGroup(LONG, longest, request -> request.plan() == 0 ? "a" : "b");
+            servers = new ServerPool(new OutcomeListener(), loop, upstream, new Slots());
+            gate = servers.joinGroup(LONG, gracePeriod, request -> request.plan() == 0 ? "a" : "b");
             servers.update(new ServerListUpdate(1, true, members), true);
             return null;
         });
@@ -120,10 +125,10 @@
         return loop.submit(what).get(30, TimeUnit.SECONDS);
     }
 
-    private void permit(int most, long lease, int own, Map<String, Integer> tenants) throws Exception {
+    private void grant(int max, long lease, int own, Map<String, Integer> tenants) throws Exception {
         long now = System.nanoTime();
         call(() -> {
-            gate.setGrant(new Permit(most, own, now + lease, now + LONG, tenants));
+            gate.setGrant(new Permit(max, own, now + lease, now + LONG, tenants));
             return null;
         });
     }
@@ -139,36 +144,40 @@
     }
 
     private void answer() throws Exception {
-        ChannelHandlerContext at = held.take();
+        ChannelHandlerContext at = unanswered.take();
         DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         answer.headers().set("Content-Length", 0);
         at.writeAndFlush(answer);
     }
 
-    /** The lines of the loop's count, until it is as expected. */
+    /** Waits until the gate counts the expected number of connections. */
     private void awaitOpen(int expected) throws Exception {
         while (call(() -> gate.usage().open()) != expected) {
             Thread.onSpinWait();
         }
     }
 
-    /** Nothing without a permit; then as many as it says, the rest waits, each tenant within its part. */
+    /**
+     * Without a grant nothing is opened. With one, at most that number is open and the rest waits, each tenant within
+     * its share.
+     */
     @Test
-    void opensWhatThePermitSaysAndServesTenantsInTurn() throws Exception {
+    void opensWhatTheGrantAllowsAndServesTenantsInTurn() throws Exception {
         send("early", 0, "s0", LONG);
         assertEquals("early NOT_SENT", ended.take());
-        permit(3, LONG, 0, Map.of("a", 2, "b", 2));
+        grant(3, LONG, 0, Map.of("a", 2, "b", 2));
         for (int i = 0; i < 4; i++) {
             send("a" + i, 0, "s" + i % 2, LONG);
         }
-        held.add(held.take());
-        held.add(held.take());
+        unanswered.add(unanswered.take());
+        unanswered.add(unanswered.take());
         send("b0", 1, "s0", LONG);
         send("b1", 1, "s1", LONG);
-        // Both of a's and one of b's; b1 waits for a connection, a's others for their part.
+        // Open are both connections of a and one of b; b1 waits for a connection, the other attempts of a for their
+        // share.
         assertEquals(3, call(() -> gate.usage().open()));
         assertEquals(3, call(() -> gate.usage().waiting()));
-        send("hasty", 0, "s0", 20 * MS);
+        send("hasty", 0, "s0", 20 * NANOS_PER_MS);
         assertEquals("hasty NOT_SENT", ended.take());
         for (int i = 0; i < 2 * ConnectionBudget.MAX_WAITING_PER_CONNECTION - 2; i++) {
             send("more", 0, "s0", LONG);
@@ -179,44 +188,50 @@
             answer();
             ended.take();
         }
-        assertEquals(3, mostOpen.get());
+        assertEquals(3, maxOpen.get());
     }
 
-    /** Idle ones go at once, one that carries a request after it; a close counts until the other side has ended. */
+    /**
+     * Idle connections are closed now, one in use after its request. A closed connection counts until the peer has
+     * closed it.
+     */
     @Test
-    void closesDownWithoutTakingARequestsConnection() throws Exception {
-        permit(2, LONG, 0, Map.of("a", 2));
+    void closesDownWithoutCuttingARequest() throws Exception {
+        grant(2, LONG, 0, Map.of("a", 2));
         send("one", 0, "s0", LONG);
         send("two", 0, "s1", LONG);
-        ChannelHandlerContext first = held.take();
+        ChannelHandlerContext first = unanswered.take();
         answer();
         String idle = ended.take();
-        deaf = true;
-        permit(0, LONG, 0, Map.of());
-        ChannelHandlerContext closing = unheard.take();
+        ignoreClose = true;
+        grant(0, LONG, 0, Map.of());
+        ChannelHandlerContext closing = ignoredCloses.take();
         assertTrue(closing != first, idle);
         assertEquals(2, call(() -> gate.usage().open()));
-        permit(2, LONG, 0, Map.of("a", 2));
+        grant(2, LONG, 0, Map.of("a", 2));
         send("three", 0, "s1", LONG);
-        // The one that carries a request is open, and the other side has not ended the idle one: there is no room.
+        // One connection is in use and the peer has not closed the idle one: there is no room.
         assertEquals(1, call(() -> gate.usage().waiting()));
-        assertEquals(2, mostOpen.get());
-        deaf = false;
+        assertEquals(2, maxOpen.get());
+        ignoreClose = false;
         open.decrementAndGet();
         closing.close();
-        held.add(first);
+        unanswered.add(first);
         ended.clear();
         answer();
         assertTrue(ended.take().endsWith(" OK"));
         answer();
         assertTrue(ended.take().startsWith("three OK"));
-        assertEquals(2, mostOpen.get());
+        assertEquals(2, maxOpen.get());
     }
 
-    /** At the end of the lease, without any word, it closes down to its own part, and opens no more than that. */
+    /**
+     * At the end of the lease, without a message, the pool closes connections down to its own part and opens no more
+     * than that.
+     */
     @Test
-    void theLeasesEndNeedsNoWord() throws Exception {
-        permit(2, LONG, 1, Map.of("a", 2));
+    void theEndOfTheLeaseNeedsNoMessage() throws Exception {
+        grant(2, LONG, 1, Map.of("a", 2));
         send("one", 0, "s0", LONG);
         send("two", 0, "s1", LONG);
         answer();
@@ -224,89 +239,95 @@
         ended.take();
         ended.take();
         awaitOpen(2);
-        permit(2, 50 * MS, 1, Map.of("a", 2));
+        grant(2, 50 * NANOS_PER_MS, 1, Map.of("a", 2));
         awaitOpen(1);
         send("three", 0, "s0", LONG);
         answer();
         assertEquals("three OK", ended.take());
         awaitOpen(1);
-        assertEquals(2, mostOpen.get());
+        assertEquals(2, maxOpen.get());
     }
 
-    /** Whoever waits is tried at each turn, and only what is carried is remembered. */
+    /** Queued attempts are tried at each turn, and only the uses of connections are kept. */
     @Test
-    void waitingLeavesNothingBehind() throws Exception {
-        permit(1, LONG, 0, Map.of("a", 1));
+    void queuedAttemptsLeaveNoUses() throws Exception {
+        grant(1, LONG, 0, Map.of("a", 1));
         send("one", 0, "s0", LONG);
         send("two", 0, "s0", LONG);
         for (int i = 0; i < 100; i++) {
-            permit(1, LONG, 0, Map.of("a", 1));
+            grant(1, LONG, 0, Map.of("a", 1));
         }
-        assertEquals(1, call(() -> gate.carrying()));
+        assertEquals(1, call(() -> gate.activeUses()));
         answer();
         assertEquals("one OK", ended.take());
         answer();
         assertEquals("two OK", ended.take());
-        assertEquals(1, mostOpen.get());
+        assertEquals(1, maxOpen.get());
     }
 
-    /** Who comes while the only connection rests behind an answer has it when it has rested, with no other event to help. */
+    /**
+     * An attempt that arrives during the reuse delay of the only connection gets it after the delay, without any other
+     * event.
+     */
     @Test
-    void aConnectionThatRestsIsUsedNext() throws Exception {
-        permit(1, LONG, 0, Map.of("a", 1));
+    void aConnectionIsUsedAgainAfterTheReuseDelay() throws Exception {
+        grant(1, LONG, 0, Map.of("a", 1));
         for (int i = 0; i < 20; i++) {
-            send("back" + i, 0, "s0", 2_000 * MS);
+            send("back" + i, 0, "s0", 2_000 * NANOS_PER_MS);
             answer();
             assertEquals("back" + i + " OK", ended.take());
         }
-        assertEquals(1, mostOpen.get());
+        assertEquals(1, maxOpen.get());
     }
 
-    /** The part that is kept behind a lease ends with the process's membership: what it carries is cut as well. */
+    /**
+     * The part that remains after a lease ends with the process's membership: connections in use are then closed too.
+     */
     @Test
-    void whatIsCarriedByTheOwnPartIsCutBehindItsEnd() throws Exception {
-        longest = 300 * MS;
+    void usesOfTheOwnPartAreCutAfterItsEnd() throws Exception {
+        gracePeriod = 300 * NANOS_PER_MS;
         begin();
-        long now = System.nanoTime(), forget = now + 3_000 * MS;
+        long now = System.nanoTime();
+        long forget = now + 3_000 * NANOS_PER_MS;
         call(() -> {
             gate.setGrant(new Permit(1, 1, now, forget, Map.of("a", 1)));
             return null;
         });
         send("one", 0, "s0", LONG);
-        held.take();
+        unanswered.take();
         awaitOpen(0);
-        assertTrue(System.nanoTime() - forget >= 300 * MS);
+        assertTrue(System.nanoTime() - forget >= 300 * NANOS_PER_MS);
         assertEquals("one RESET", ended.take());
     }
 
-    /** What is carried at the lease's end is waited for, but for no longer than the fleet waits. */
+    /** Requests in flight at the end of a lease may finish, but within the grace period. */
     @Test
-    void aRequestThatIsLongerThanAnyIsCutAfterTheLease() throws Exception {
-        longest = 300 * MS;
+    void aRequestLongerThanTheGracePeriodIsCut() throws Exception {
+        gracePeriod = 300 * NANOS_PER_MS;
         begin();
-        permit(1, LONG, 0, Map.of("a", 1));
+        grant(1, LONG, 0, Map.of("a", 1));
         send("one", 0, "s0", LONG);
-        held.take();
+        unanswered.take();
         long now = System.nanoTime();
-        permit(1, 50 * MS, 0, Map.of("a", 1));
+        grant(1, 50 * NANOS_PER_MS, 0, Map.of("a", 1));
         awaitOpen(0);
-        assertTrue(System.nanoTime() - now >= 350 * MS);
+        assertTrue(System.nanoTime() - now >= 350 * NANOS_PER_MS);
         assertEquals("one RESET", ended.take());
     }
 
-    private final class Side extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ServerHandler extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
             if (message instanceof HttpRequest) {
-                held.add(context);
+                unanswered.add(context);
             }
         }
 
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof ChannelInputShutdownEvent) {
-                if (deaf) {
-                    unheard.add(context);
+                if (ignoreClose) {
+                    ignoredCloses.add(context);
                 } else {
                     open.decrementAndGet();
                     context.close();
@@ -315,7 +336,7 @@
         }
     }
 
-    private final class Ends implements ServerPool.Listener {
+    private final class OutcomeListener implements ServerPool.Listener {
         @Override
         public void attemptEnded(
                 OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
@@ -323,8 +344,9 @@
         }
 
         @Override
-        public void answerStarted(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
-            throw new AssertionError("no long answers here");
+        public void answerStarted(
+                OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
+            throw new AssertionError("unexpected long answer");
         }
 
         @Override
@@ -334,7 +356,7 @@
 
         @Override
         public void bodyGone(OpenRequest of) {
-            // No long bodies here.
+            // No long bodies in these tests.
         }
     }
 
@@ -346,7 +368,7 @@
 
         @Override
         public void releaseConnection() {
-            // As many as there are.
+            // No limit.
         }
 
         @Override
@@ -356,7 +378,7 @@
 
         @Override
         public void releaseConnect() {
-            // As many as there are.
+            // No limit.
         }
 
         @Override
--- a/src/test/java/rushpin/net/NumberParserTest.java
+++ b/src/test/java/rushpin/net/NumberParserTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** NumberParser that a peer wrote. */
+/** Tests the parsing of numbers that a peer has sent. */
 class NumberParserTest {
     @Test
-    void onlyPlainFiguresWithinBoundsCount() {
+    void onlyPlainNumbersWithinBoundsAreAccepted() {
         assertEquals(3, NumberParser.parsePositive("3", 8));
         assertEquals(2.5, NumberParser.parsePositive("2.5", 8));
         for (String bad :
--- a/src/test/java/rushpin/net/ServerConnectTest.java
+++ b/src/test/java/rushpin/net/ServerConnectTest.java
@@ -39,7 +39,10 @@
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
 
-/** Attempts whose system calls fail: each ends once, on the loop, as one that never ran, and gives its place back. */
+/**
+ * Tests attempts whose system calls fail: each ends once, on the event loop, as one that never ran, and releases its
+ * connection slot.
+ */
 @Timeout(60)
 class ServerConnectTest {
     private static final long LONG = 30_000_000_000L;
@@ -72,7 +75,7 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), listening.getLocalPort()));
         onLoop(() -> {
             servers = new ServerPool(
-                    new Ends(),
+                    new OutcomeListener(),
                     loop,
                     upstream,
                     slots,
@@ -103,28 +106,31 @@
 
     @ParameterizedTest
     @MethodSource("failures")
-    void anAttemptThatCannotConnectGivesItsPlaceBack(Consumer<FailingSockets> failure) throws Exception {
+    void anAttemptThatCannotConnectReleasesItsSlot(Consumer<FailingSockets> failure) throws Exception {
         failure.accept(sockets);
         for (int i = 0; i < ATTEMPTS; i++) {
             send("r" + i);
             assertEquals(Outcome.CONNECT_FAILED, ended.poll(30, TimeUnit.SECONDS));
         }
         assertEquals(0, ended.size());
-        assertEquals(ATTEMPTS, sockets.sockets.get(), "nothing below the module tries again");
+        assertEquals(ATTEMPTS, sockets.sockets.get(), "only the gateway retries");
         assertEquals("0 connections, 0 connects", onLoop(slots::toString));
-        assertTrue(!endedElsewhere, "an attempt ended on a foreign thread");
+        assertTrue(!endedElsewhere, "an attempt ended on another thread");
 
         sockets.succeed();
-        Thread closing = new Thread(this::closeAllThatCome);
+        Thread closing = new Thread(this::closeAcceptedConnections);
         closing.setDaemon(true);
         closing.start();
         send("last");
         assertEquals(Outcome.RESET, ended.poll(30, TimeUnit.SECONDS));
     }
 
-    /** The connection is up, and the attempt was decided in time; when it could be written servers had forgotten its key. */
+    /**
+     * The connection was established and the attempt was decided in time, but by the time it could be written the
+     * servers had forgotten its idempotency key.
+     */
     @Test
-    void whatMayOnlyBeginForAMomentIsNotWrittenBehindIt() throws Exception {
+    void anAttemptIsNotWrittenAfterItsStartTimeout() throws Exception {
         long moment = TimeUnit.MILLISECONDS.toNanos(1);
         onLoop(() -> {
             servers.send(request("late"), "s0", LONG, moment);
@@ -139,11 +145,11 @@
             servers.close();
             return null;
         });
-        assertEquals(-1, made.getInputStream().read(), "a byte of it was written");
+        assertEquals(-1, made.getInputStream().read(), "a byte of the request was written");
     }
 
-    /** Those of attempts that failed at this side only, too. */
-    private void closeAllThatCome() {
+    /** Also closes connections of attempts that failed on the client's side only. */
+    private void closeAcceptedConnections() {
         try {
             while (true) {
                 listening.accept().close();
@@ -170,18 +176,19 @@
         return loop.submit(work).get(30, TimeUnit.SECONDS);
     }
 
-    private final class Ends implements ServerPool.Listener {
+    private final class OutcomeListener implements ServerPool.Listener {
         @Override
         public void attemptEnded(
                 OpenRequest of, Outcome outcome, long took, String server, double units, ByteBuf body) {
             endedElsewhere |= !loop.inEventLoop();
-            // Behind the end of the channel, which gives the place back.
+            // Runs after the end of the channel, which releases the slot.
             loop.execute(() -> ended.add(outcome));
         }
 
         @Override
-        public void answerStarted(OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
-            throw new AssertionError("no answer is long here");
+        public void answerStarted(
+                OpenRequest of, long took, String server, double units, BodyStream passage, long length) {
+            throw new AssertionError("unexpected long answer");
         }
 
         @Override
@@ -191,7 +198,7 @@
 
         @Override
         public void bodyGone(OpenRequest of) {
-            throw new AssertionError("no body is long here");
+            throw new AssertionError("unexpected long body");
         }
     }
 
