--- a/src/test/java/rushpin/node/ClockStepTest.java
+++ b/src/test/java/rushpin/node/ClockStepTest.java
@@ -17,23 +17,29 @@
 import rushpin.config.Config;
 
 /**
- * The machine's clock is set at each of the moments that matter. A list that comes by the open watch makes the node look
- * at the clock, so that the order of events is the test's.
+ * Steps of the machine's wall clock at different points of a request's life: they must not change how long a request
+ * may run, nor keep a node from serving. A server list pushed through the open watch makes the node read the clock, so
+ * the test controls the order of events.
  */
 class ClockStepTest extends Stage {
-    /** Beyond the ramp of the settings: hardly anything is sent to a cold server. */
+    /** A server's uptime beyond the slow-start ramp in the settings; a cold server gets almost no requests. */
     private static final long WARM_MS = 60_000;
 
-    private static final int EXPIRES_MS = 20_000, SOON_MS = 2_500;
-    /** What a node keeps back of its client's time, and what lies between this side's reading of the time and the node's. */
+    private static final int EXPIRY_MS = 20_000;
+    private static final int SHORT_EXPIRY_MS = 2_500;
+    /**
+     * The part of the client's time that the node reserves for itself, plus the time between the test's reading of the
+     * clock and the node's.
+     */
     private static final long MARGIN_MS = 500;
 
-    private final AtomicLong set = new AtomicLong();
+    private final AtomicLong clockOffsetMs = new AtomicLong();
     private final List<Peer.Message> watches = new ArrayList<>();
-    private String told = "";
+    /** The last pushed list as an HTTP chunk; a watch that opens later starts with it. */
+    private String lastPush = "";
 
     private long wallMs() {
-        return System.currentTimeMillis() + set.get();
+        return System.currentTimeMillis() + clockOffsetMs.get();
     }
 
     private EdgeNode node(Clock clock, String... members) throws Exception {
@@ -43,35 +49,35 @@
         return node;
     }
 
-    private void watched() throws IOException {
+    private void acceptWatches() throws IOException {
         discovery = peer(m -> {
             synchronized (watches) {
-                m.answer(UNCHANGED + told);
+                m.answer(UNCHANGED + lastPush);
                 watches.add(m);
                 watches.notifyAll();
             }
         });
     }
 
-    /** By each watch, also one that is begun later. */
-    private void tell(String... members) throws InterruptedException {
+    /** Sends a server list on every open watch, and on those opened later. */
+    private void pushServerList(String... members) throws InterruptedException {
         String line = "{\"revision\":8,\"complete\":true,\"members\":[" + String.join(",", members) + "]}\n";
         synchronized (watches) {
             while (watches.isEmpty()) {
                 watches.wait();
             }
-            told = Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
+            lastPush = Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
             for (Peer.Message watch : watches) {
                 try {
-                    watch.answer(told);
+                    watch.answer(lastPush);
                 } catch (IOException e) {
-                    // One that was left before: the node reads another.
+                    // The node has closed this watch and reads a newer one.
                 }
             }
         }
     }
 
-    /** Until a list has come, which replaces the one server by another. */
+    /** Sends requests until one is answered with this body, so by the server that the new list contains. */
     private static void awaitBody(Socket client, String body) throws IOException {
         for (int i = 0; ; i++) {
             order(client, body + "-" + i);
@@ -83,82 +89,88 @@
         }
     }
 
-    private static long passedMs(long since) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - since);
+    private static long elapsedMs(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
-    /** The same request is repeated after the step, with the time that its client has left; the watch is believed on. */
+    /** After the step the request is retried with the client's remaining time, and the watch still counts as live. */
     @ParameterizedTest
     @ValueSource(longs = {1_000, -1_000, 10_000, -10_000, 3_600_000, -3_600_000})
-    void anOpenRequestKeepsItsTimeAndItsRepeatWhileTheListChanges(long step) throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>();
+    void anInFlightRequestKeepsItsDeadlineAndItsRetryWhileTheListChanges(long step) throws Exception {
+        CompletableFuture<Void> breakConnection = new CompletableFuture<>();
         Peer old = peer(m -> {
             if (m.headers().get("x-trace-id").equals("held")) {
-                go.join();
+                breakConnection.join();
                 m.socket().close();
             } else {
                 m.answer(Peer.ok("", "old"));
             }
         });
         Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
-        watched();
+        acceptWatches();
         EdgeNode node = node(new Clock(this::wallMs), member("s-0", old.address(), "Ready", wallMs() - WARM_MS));
-        Socket held = client(node), other = client(node);
-        long asked = System.nanoTime();
-        write(held, "POST /api?slot=4", headers("held", "order", Integer.toString(EXPIRES_MS)), "book");
+        Socket held = client(node);
+        Socket other = client(node);
+        long sentNanos = System.nanoTime();
+        write(held, "POST /api?slot=4", headers("held", "order", Integer.toString(EXPIRY_MS)), "book");
         old.next();
-        set.set(step);
-        tell(
+        clockOffsetMs.set(step);
+        pushServerList(
                 member("s-0", old.address(), "Terminating", wallMs() - WARM_MS - step),
                 member("s-1", fresh.address(), "Ready", wallMs() - WARM_MS));
         awaitBody(other, "new");
         fresh.seen.clear();
-        go.complete(null);
-        Peer.Message repeated = fresh.next();
-        long passed = passedMs(asked);
-        assertEquals("held", repeated.headers().get("x-trace-id"));
-        long left = Long.parseLong(repeated.headers().get("x-expires-in-ms"));
-        assertTrue(left <= EXPIRES_MS && left >= EXPIRES_MS - passed - MARGIN_MS, left + " ms left after " + passed);
+        breakConnection.complete(null);
+        Peer.Message retried = fresh.next();
+        long elapsed = elapsedMs(sentNanos);
+        assertEquals("held", retried.headers().get("x-trace-id"));
+        long remaining = Long.parseLong(retried.headers().get("x-expires-in-ms"));
+        assertTrue(
+                remaining <= EXPIRY_MS && remaining >= EXPIRY_MS - elapsed - MARGIN_MS,
+                remaining + " ms left after " + elapsed);
         Peer.Message answer = Peer.read(held);
         assertEquals("200 new", status(answer) + " " + answer.body());
     }
 
-    /** Its client's time goes by the clock that was not set: it is neither failed early nor left without an answer. */
+    /** The deadline follows the monotonic clock: the request neither fails early nor stays without an answer. */
     @ParameterizedTest
     @ValueSource(longs = {1_000, -1_000, 10_000, -10_000, 3_600_000, -3_600_000})
-    void aRequestThatIsNotServedIsAnsweredAtItsOwnTime(long step) throws Exception {
+    void aRequestThatNoServerAnswersFailsAtItsDeadline(long step) throws Exception {
         Peer silent = peer(m -> {});
         Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
-        watched();
+        acceptWatches();
         EdgeNode node = node(new Clock(this::wallMs), member("s-0", silent.address(), "Ready", 0));
-        Socket client = client(node), other = client(node);
-        long asked = System.nanoTime();
-        Map<String, String> headers = headers("strict", "strict", Integer.toString(SOON_MS));
+        Socket client = client(node);
+        Socket other = client(node);
+        long sentNanos = System.nanoTime();
+        Map<String, String> headers = headers("strict", "strict", Integer.toString(SHORT_EXPIRY_MS));
         write(client, "POST /api", headers, "book");
         silent.next();
-        set.set(step);
-        tell(member("s-1", fresh.address(), "Ready", 0));
+        clockOffsetMs.set(step);
+        pushServerList(member("s-1", fresh.address(), "Ready", 0));
         awaitBody(other, "new");
         assertNotEquals("200", status(Peer.read(client)));
-        assertTrue(passedMs(asked) >= SOON_MS - MARGIN_MS, "failed early, after " + passedMs(asked) + " ms");
+        assertTrue(
+                elapsedMs(sentNanos) >= SHORT_EXPIRY_MS - MARGIN_MS,
+                "failed early, after " + elapsedMs(sentNanos) + " ms");
     }
 
-    /** Before the first list, between it and a request, and at the next start of all objects by the clock that was set. */
+    /** The step comes before the first list, between it and a request, or between two starts with the same clock. */
     @ParameterizedTest
     @ValueSource(longs = {1_000, -1_000, 10_000, -10_000, 3_600_000, -3_600_000})
-    void aStepAroundAStartKeepsNobodyFromBeingServed(long step) throws Exception {
+    void aStepAroundAStartKeepsNoRequestFromBeingServed(long step) throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         Clock clock = new Clock(this::wallMs);
-        set.set(step);
-        assertEquals("200", ask(client(node(clock, warm(server))), "before-the-list"));
-        set.set(2 * step);
-        assertEquals("200", ask(client(node(clock, warm(server))), "the-next-start"));
-        EdgeNode between = node(new Clock(this::wallMs), warm(server));
-        set.set(0);
+        clockOffsetMs.set(step);
+        assertEquals("200", ask(client(node(clock, warmMember(server))), "before-the-list"));
+        clockOffsetMs.set(2 * step);
+        assertEquals("200", ask(client(node(clock, warmMember(server))), "the-next-start"));
+        EdgeNode between = node(new Clock(this::wallMs), warmMember(server));
+        clockOffsetMs.set(0);
         assertEquals("200", ask(client(between), "between-list-and-request"));
     }
 
-    private String warm(Peer server) {
+    private String warmMember(Peer server) {
         return member("s-0", server.address(), "Ready", wallMs() - WARM_MS);
     }
 }
--- a/src/test/java/rushpin/node/SpoiltAnswerTest.java
+++ b/src/test/java/rushpin/node/MalformedAnswerTest.java
@@ -11,26 +11,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** App servers whose answers are spoilt, or bring more than belongs to them. */
+/** App servers that send malformed answers, or bytes beyond the end of an answer. */
 @Timeout(120)
-class SpoiltAnswerTest extends Stage {
-    /** What stood behind an answer was once taken for the next request's answer, because the pool had it by then. */
+class MalformedAnswerTest extends Stage {
+    /**
+     * Bytes behind an answer must not be read as the next request's answer, which happened when the connection went
+     * back to the pool before they were seen.
+     */
     @Test
-    void whatStandsBehindAnAnswerIsNobodysAnswer() throws Exception {
-        for (String behind : List.of(
+    void bytesAfterAnAnswerAreNotTheNextAnswer() throws Exception {
+        for (String extra : List.of(
                 "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
                 "HTTP/1.1 200 O",
                 "\r\n",
                 "noise",
                 "HTTP/1.1 100 Continue\r\n\r\n")) {
-            Peer server = peer(m -> m.answer(Peer.ok("", m.headers().get("x-trace-id")) + behind));
+            Peer server = peer(m -> m.answer(Peer.ok("", m.headers().get("x-trace-id")) + extra));
             Socket client = client(node(server));
             for (String id : List.of("t-1", "t-2", "t-3")) {
                 order(client, id);
                 Peer.Message answer = Peer.read(client);
-                assertEquals("200", status(answer), behind);
-                assertEquals(id, answer.body(), behind);
-                assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "a connection that is not clean must go");
+                assertEquals("200", status(answer), extra);
+                assertEquals(id, answer.body(), extra);
+                assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "a connection with extra bytes must be closed");
             }
         }
     }
@@ -45,13 +48,13 @@
         });
         assertEquals("200", ask(client(node(server)), "t-1"));
         go.complete(null);
-        assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "bytes that belong to no request were kept");
+        assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "unexpected bytes must close the connection");
     }
 
-    /** The connection stays open: to wait for more would take all of the request's time. */
+    /** The server keeps the connection open, so waiting for more bytes would use up the request's deadline. */
     @Test
-    void aSpoiltAnswerIsAFailedAttemptAtOnce() throws Exception {
-        for (String spoilt : List.of(
+    void aMalformedAnswerFailsItsAttemptImmediately() throws Exception {
+        for (String malformed : List.of(
                 "noise",
                 "\u0001\u0002",
                 "\r\n\r\n",
@@ -69,25 +72,25 @@
                 "HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
             Peer[] server = new Peer[1];
-            server[0] = peer(m -> m.answer(server[0].seen.size() == 1 ? spoilt : Peer.ok("", "good")));
+            server[0] = peer(m -> m.answer(server[0].seen.size() == 1 ? malformed : Peer.ok("", "good")));
             Socket client = client(node(server[0]));
             client.setSoTimeout(9_000);
             order(client, "t-1");
             Peer.Message answer = Peer.read(client);
-            assertEquals("200", status(answer), spoilt);
-            assertEquals("good", answer.body(), spoilt);
-            // It may have run: a request that must not run twice is not sent again.
-            Peer strict = peer(m -> m.answer(spoilt));
+            assertEquals("200", status(answer), malformed);
+            assertEquals("good", answer.body(), malformed);
+            // The attempt may have run, so a request that must not run twice is not retried.
+            Peer strict = peer(m -> m.answer(malformed));
             Socket other = client(node(strict));
             write(other, "POST /api", headers("t-2", "strict", "20000"), "book");
-            assertEquals("502", status(Peer.read(other)), spoilt);
+            assertEquals("502", status(Peer.read(other)), malformed);
             strict.next();
-            assertTrue(strict.seen.isEmpty(), "it must have been sent once: " + spoilt);
+            assertTrue(strict.seen.isEmpty(), "the request must be sent only once: " + malformed);
         }
     }
 
     @Test
-    void whatComesAheadOfAnAnswerIsPassedOver() throws Exception {
+    void informationalResponsesBeforeAnAnswerAreSkipped() throws Exception {
         Peer server = peer(m -> m.answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: </x>\r\n\r\n"
                 + Peer.ok("X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n", "good")));
         Socket client = client(node(server));
--- a/src/test/java/rushpin/node/RudeClientTest.java
+++ b/src/test/java/rushpin/node/MisbehavingClientTest.java
@@ -18,40 +18,40 @@
 import org.junit.jupiter.api.Timeout;
 import rushpin.net.ByteBudget;
 
-/** Clients that send what is no request, too much, too little or nothing. */
+/** Clients that send malformed, too large or incomplete requests, pipeline too far ahead, or stay silent. */
 @Timeout(120)
-class RudeClientTest extends Stage {
-    private static void send(Socket to, String text) throws IOException {
+class MisbehavingClientTest extends Stage {
+    private static void writeText(Socket to, String text) throws IOException {
         to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String head(Map<String, String> headers, String first) {
+    private static String headOf(Map<String, String> headers, String first) {
         StringBuilder text = new StringBuilder(first).append(" HTTP/1.1\r\n");
         headers.forEach(
                 (name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
         return text.toString();
     }
 
-    /** An error and a close, or, where much is left unread, at least the close. */
-    private static void assertRefused(Socket client, String status, String what) throws IOException {
+    /** Expects this status and a close; a reset will do where the node closes with much unread. */
+    private static void assertRefused(Socket client, String status, String message) throws IOException {
         try {
             Peer.Message answer = Peer.read(client);
-            assertEquals(status, status(answer), what);
-            assertEquals("close", answer.headers().get("connection"), what);
-            assertNull(Peer.read(client), what);
+            assertEquals(status, status(answer), message);
+            assertEquals("close", answer.headers().get("connection"), message);
+            assertNull(Peer.read(client), message);
         } catch (SocketException e) {
-            assertTrue(e.getMessage().contains("reset"), what + ": " + e);
+            assertTrue(e.getMessage().contains("reset"), message + ": " + e);
         }
     }
 
-    /** What stands behind a refused message may be a part of it: one edge's body is another's request. */
+    /** Request smuggling: bytes after a rejected message may belong to its body and must not be read as a request. */
     @Test
-    void nothingBehindARefusedMessageIsRead() throws Exception {
+    void nothingAfterARejectedMessageIsRead() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         EdgeNode node = node(server);
-        String good = head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 0\r\n\r\n";
-        String head = head(headers("t-1", "order", "20000"), "POST /api");
-        for (String bad : List.of(
+        String validRequest = headOf(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 0\r\n\r\n";
+        String head = headOf(headers("t-1", "order", "20000"), "POST /api");
+        for (String malformed : List.of(
                 head + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 head + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n",
                 head + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbook",
@@ -74,29 +74,29 @@
                 "nonsense\r\n\r\n",
                 "\u0000\u0001\u0002\r\n\r\n")) {
             Socket client = client(node);
-            send(client, bad + good);
-            assertRefused(client, "400", bad);
+            writeText(client, malformed + validRequest);
+            assertRefused(client, "400", malformed);
         }
         assertTrue(server.seen.isEmpty(), "none of these may reach an app server");
     }
 
     @Test
-    void aBodyTooLargeIsTurnedAwayUnread() throws Exception {
+    void aBodyThatIsTooLargeIsRejectedUnread() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         EdgeNode node = node(server);
-        String head = head(headers("t-1", "order", "20000"), "POST /api");
-        for (String bad :
+        String head = headOf(headers("t-1", "order", "20000"), "POST /api");
+        for (String lengthAndBody :
                 List.of("Content-Length: 40000001\r\n\r\n", "Content-Length: 60000000\r\n\r\n" + "x".repeat(9_000))) {
             Socket client = client(node);
-            send(client, head + bad);
-            assertRefused(client, "413", bad.substring(0, 24));
+            writeText(client, head + lengthAndBody);
+            assertRefused(client, "413", lengthAndBody.substring(0, 24));
         }
         assertTrue(server.seen.isEmpty());
     }
 
-    /** Without limits on time, connections that bring nothing would stay for ever. */
+    /** Read and idle timeouts close connections that send nothing more, but not one with a request in flight. */
     @Test
-    void silenceAndHalfARequestEndInTimeAndAnOpenRequestDoesNot() throws Exception {
+    void silentAndHalfRequestsTimeOutAndARequestInFlightDoesNot() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         Peer server = peer(after(go));
         EdgeNode node = node(server);
@@ -104,25 +104,26 @@
         order(busy, "t-1");
         server.next();
         Socket halfHead = client(node);
-        send(halfHead, "POST /api HTTP/1.1\r\nX-");
+        writeText(halfHead, "POST /api HTTP/1.1\r\nX-");
         Socket halfBody = client(node);
-        send(halfBody, head(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 9\r\n\r\nhalf");
+        writeText(halfBody, headOf(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 9\r\n\r\nhalf");
         Socket silent = client(node);
-        assertRefused(halfHead, "408", "half a head");
-        assertRefused(halfBody, "408", "half a body");
+        assertRefused(halfHead, "408", "incomplete head");
+        assertRefused(halfBody, "408", "incomplete body");
         assertNull(Peer.read(silent));
-        // The request has been open for longer than all of these.
+        // The request has been in flight for longer than all of these timeouts.
         go.complete(null);
         assertEquals("200", status(Peer.read(busy)));
-        assertNull(Peer.read(busy), "then it is idle, and closes");
+        assertNull(Peer.read(busy), "the connection is idle then and must be closed");
     }
 
     /**
-     * Requests sent ahead were once decoded as they came, and filled the memory from many connections. While a client is so
-     * far ahead that it may have left unseen, each is refused, in its turn, and none of these is forwarded.
+     * Pipelined requests must stay unread: decoding them on arrival would let many connections fill the memory. While a
+     * client is so far ahead that its disconnect could go unnoticed, each of its requests is rejected in order and not
+     * forwarded.
      */
     @Test
-    void whatIsSentAheadWaitsUnread() throws Exception {
+    void pipelinedRequestsStayUnread() throws Exception {
         int count = 400;
         CompletableFuture<Void> go = new CompletableFuture<>();
         Peer server = peer(m -> {
@@ -130,46 +131,49 @@
             m.answer(Peer.ok("", m.headers().get("x-trace-id")));
         });
         EdgeNode node = node(server);
-        Socket ahead = client(node);
+        Socket pipelining = client(node);
         String body = "x".repeat(64 * 1024);
         CompletableFuture<Void> written = CompletableFuture.runAsync(() -> {
             try {
                 for (int i = 0; i < count; i++) {
-                    write(ahead, "POST /api", headers("a-" + i, "order", "20000"), body);
+                    write(pipelining, "POST /api", headers("a-" + i, "order", "20000"), body);
                 }
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         });
         assertEquals("a-0", server.next().headers().get("x-trace-id"));
-        Socket usual = client(node);
-        order(usual, "t-1");
+        Socket other = client(node);
+        order(other, "t-1");
         server.next();
-        assertFalse(written.isDone(), "all of 25 MB was read ahead");
+        assertFalse(written.isDone(), "the node has read all 25 MB ahead");
         go.complete(null);
-        assertEquals("200", status(Peer.read(usual)));
-        assertEquals("a-0", Peer.read(ahead).body());
+        assertEquals("200", status(Peer.read(other)));
+        assertEquals("a-0", Peer.read(pipelining).body());
         List<String> served = new ArrayList<>();
         for (int i = 1; i < count; i++) {
-            Peer.Message answer = Peer.read(ahead);
+            Peer.Message answer = Peer.read(pipelining);
             if (!status(answer).equals("503")) {
                 assertEquals("a-" + i, answer.body());
                 served.add("a-" + i);
             }
         }
         written.join();
-        assertFalse(served.contains("a-1"), "more was unread behind it than is read ahead");
-        assertEquals("200", ask(ahead, "a-last"), "it is ahead no more");
+        assertFalse(served.contains("a-1"), "a-1 had more unread bytes behind it than the node reads ahead");
+        assertEquals("200", ask(pipelining, "a-last"), "the client is no longer ahead");
         served.add("a-last");
         for (String id : served) {
             assertEquals(id, server.next().headers().get("x-trace-id"));
         }
-        assertTrue(server.seen.isEmpty(), "what was refused is forwarded to nobody");
+        assertTrue(server.seen.isEmpty(), "a rejected request must not be forwarded");
     }
 
-    /** Behind so much that is unread its leaving isn't seen: what it sent was forwarded one by one. */
+    /**
+     * Unread pipelined requests hide the client's disconnect from the node, which must not forward them one by one for
+     * a client that is gone.
+     */
     @Test
-    void whoSendsFarAheadAndLeavesIsServedNoFurther() throws Exception {
+    void aClientThatPipelinesFarAheadAndDisconnectsIsNotServed() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         Peer server = peer(m -> {
             if (!m.headers().get("x-trace-id").equals("first")) {
@@ -178,32 +182,33 @@
             m.answer(Peer.ok("", "x"));
         });
         EdgeNode node = node(server);
-        Socket ahead = client(node);
-        // A node that has just started stands still over its first request, and then looks before it forwards.
-        assertEquals("200", ask(ahead, "first"));
+        Socket pipelining = client(node);
+        // The first request after a start stalls the loop, and after a stall the node reads sockets before it forwards.
+        assertEquals("200", ask(pipelining, "first"));
         server.next();
         for (int i = 0; i < 500; i++) {
-            order(ahead, "a-" + i);
+            order(pipelining, "a-" + i);
         }
         server.next();
-        // Each pass of the loop reads more than a connection holds ahead: by now it is read from no more.
+        // Each pass of the loop reads more than the read-ahead of a connection, so by now the node has stopped reading.
         for (int pass = 0; pass < 3; pass++) {
             node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get();
         }
-        ahead.close();
+        pipelining.close();
         go.complete(null);
         while (node.connections() > 0) {
             Thread.onSpinWait();
         }
         assertEquals("200", ask(client(node), "t-1"));
-        assertEquals("t-1", server.next().headers().get("x-trace-id"), "a client that had left was served");
+        assertEquals("t-1", server.next().headers().get("x-trace-id"), "a client that had disconnected was served");
         assertTrue(server.seen.isEmpty());
     }
 
-    /** All of it lies in sockets when the node looks again: the answer, the next request, and the client's end. */
+    /** The answer, the next request and the client's disconnect all wait in sockets when the loop runs again. */
     @Test
-    void whoLeavesBehindItsNextRequestIsServedNoFurther() throws Exception {
-        CompletableFuture<Void> go = new CompletableFuture<>(), answered = new CompletableFuture<>();
+    void aClientThatDisconnectsAfterItsNextRequestIsNotServed() throws Exception {
+        CompletableFuture<Void> go = new CompletableFuture<>();
+        CompletableFuture<Void> answered = new CompletableFuture<>();
         Peer server = peer(m -> {
             go.join();
             m.answer(Peer.ok("", "x"));
@@ -213,7 +218,8 @@
         Socket leaving = client(node);
         order(leaving, "a-0");
         server.next();
-        CompletableFuture<Void> held = new CompletableFuture<>(), done = new CompletableFuture<>();
+        CompletableFuture<Void> held = new CompletableFuture<>();
+        CompletableFuture<Void> done = new CompletableFuture<>();
         node.loop().execute(() -> {
             held.complete(null);
             done.join();
@@ -228,11 +234,11 @@
             Thread.onSpinWait();
         }
         assertEquals("200", ask(client(node), "t-1"));
-        assertEquals("t-1", server.next().headers().get("x-trace-id"), "a client that had left was served");
+        assertEquals("t-1", server.next().headers().get("x-trace-id"), "a client that had disconnected was served");
     }
 
     @Test
-    void bodiesShareOneBudgetAndSmallOnesHaveTheLastQuarter() {
+    void theLastQuarterOfTheBodyBudgetIsReservedForSmallBodies() {
         ByteBudget budget = new ByteBudget(16 << 20);
         assertTrue(budget.allows(64 * 1024));
         budget.change(800_000);
@@ -244,9 +250,9 @@
         assertEquals(0, budget.used());
     }
 
-    /** Clients that keep a connection after one request once left the others none. */
+    /** Guards against clients that hold idle connections until none are left for others. */
     @Test
-    void ofManyIdleConnectionsNoMoreAreKept() throws Exception {
+    void idleConnectionsAreLimited() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "done")));
         EdgeNode node =
                 start(config(member("s-0", server.address(), "Ready", 0)).replace("1024", "96"));
@@ -257,11 +263,11 @@
             Peer.Message answer = Peer.read(last);
             assertEquals("200", status(answer));
             if (i == 20) {
-                assertEquals("close", answer.headers().get("connection"), "one that is ended must be told so");
+                assertEquals("close", answer.headers().get("connection"), "the answer must announce the close");
                 assertEquals(-1, last.getInputStream().read());
             }
         }
-        assertTrue(node.connections() <= 17, "connections kept: " + node.connections());
+        assertTrue(node.connections() <= 17, "open connections: " + node.connections());
         assertEquals("200", ask(client(node), "k-30"));
     }
 }
--- a/src/test/java/rushpin/node/PausedLoopTest.java
+++ b/src/test/java/rushpin/node/PausedLoopTest.java
@@ -9,11 +9,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The process has no core for a moment, shorter than a stop that anybody would notice. All that happened meanwhile lies in its
- * sockets, in the order in which it came, and is decided upon one by one.
+ * Pauses of the event loop that are too short to count as a stall, such as when the process gets no core for a moment.
+ * Events of the meantime wait in the sockets and are handled one by one afterwards; the node must not act on an early
+ * one as if a later one had not happened.
  */
 class PausedLoopTest extends Stage {
-    /** Longer than the 100 ms after which a client that left binds, and shorter than any drain's usual grace. */
+    /**
+     * Longer than the 100 ms after which a client's disconnect is binding, and shorter than the usual grace period of a
+     * drain.
+     */
     private static final long PAUSE_MS = 300;
 
     private static void pause() {
@@ -24,8 +28,8 @@
         }
     }
 
-    /** Each server breaks off the request that names it; another one is answered. */
-    private Peer breakingOff(CompletableFuture<Void> go, CompletableFuture<Void> broken) throws Exception {
+    /** A server that closes the connection of the request "left" when {@code go} completes, and answers all others. */
+    private Peer breakingServer(CompletableFuture<Void> go, CompletableFuture<Void> broken) throws Exception {
         return peer(m -> {
             if (m.headers().get("x-trace-id").equals("left")) {
                 go.join();
@@ -38,14 +42,14 @@
     }
 
     @Test
-    void anAttemptThatBrokeJustBeforeItsClientLeftIsNotRepeated() throws Exception {
+    void anAttemptThatBrokeJustBeforeItsClientDisconnectedIsNotRetried() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         CompletableFuture<Void> broken = new CompletableFuture<>();
-        Peer first = breakingOff(go, broken);
-        Peer second = breakingOff(go, broken);
+        Peer first = breakingServer(go, broken);
+        Peer second = breakingServer(go, broken);
         EdgeNode node = node(first, second);
-        // The first request of all loads what it needs, and is a pause by itself.
-        assertEquals("200", status(ask(node, "warm")));
+        // The first request loads classes, which is a pause by itself.
+        assertEquals("200", status(sendAndRead(node, "warm")));
         first.seen.clear();
         second.seen.clear();
         Socket client = client(node);
@@ -63,42 +67,42 @@
         while (node.connections() > 1) {
             Thread.sleep(1);
         }
-        // What the node would send again it has sent by the time that this one is answered.
-        assertEquals("200", status(ask(node, "after")));
-        long attempts = countOf("left", first) + countOf("left", second);
-        assertEquals(1, attempts, "attempts for a client that had left");
-        assertEquals(1, countOf("after", first) + countOf("after", second));
+        // A retry would have been sent before this request is answered.
+        assertEquals("200", status(sendAndRead(node, "after")));
+        long attempts = attemptsOf("left", first) + attemptsOf("left", second);
+        assertEquals(1, attempts, "attempts for a client that had disconnected");
+        assertEquals(1, attemptsOf("after", first) + attemptsOf("after", second));
     }
 
-    /** Where all passes of the loop are pauses, one waiting for news behind each would never be sent. */
+    /** Guards against a request that is never sent because the node defers it after every slow pass of the loop. */
     @Test
-    void aRequestIsSentThoughEachPassOfTheLoopIsSlow() throws Exception {
+    void aRequestIsSentEvenIfEachPassOfTheLoopIsSlow() throws Exception {
         EdgeNode node = node(peer(m -> m.answer(Peer.ok("", "x"))));
-        assertEquals("200", status(ask(node, "warm")));
-        AtomicBoolean over = new AtomicBoolean();
-        slowDown(node, over);
+        assertEquals("200", status(sendAndRead(node, "warm")));
+        AtomicBoolean stopped = new AtomicBoolean();
+        slowDownLoop(node, stopped);
         try {
-            assertEquals("200", status(ask(node, "slow")));
+            assertEquals("200", status(sendAndRead(node, "slow")));
         } finally {
-            over.set(true);
+            stopped.set(true);
         }
     }
 
-    private static void slowDown(EdgeNode node, AtomicBoolean over) {
+    private static void slowDownLoop(EdgeNode node, AtomicBoolean stopped) {
         node.loop()
                 .schedule(
                         () -> {
                             pause();
-                            if (!over.get()) {
-                                slowDown(node, over);
+                            if (!stopped.get()) {
+                                slowDownLoop(node, stopped);
                             }
                         },
                         1,
                         TimeUnit.NANOSECONDS);
     }
 
-    private static long countOf(String id, Peer at) {
-        return at.seen.stream()
+    private static long attemptsOf(String id, Peer server) {
+        return server.seen.stream()
                 .filter(m -> m.headers().get("x-trace-id").equals(id))
                 .count();
     }
@@ -114,7 +118,7 @@
         }
     }
 
-    private Peer.Message ask(EdgeNode node, String id) throws Exception {
+    private Peer.Message sendAndRead(EdgeNode node, String id) throws Exception {
         Socket socket = client(node);
         order(socket, id);
         return Peer.read(socket);
--- a/src/test/java/rushpin/node/RecordsNodeTest.java
+++ b/src/test/java/rushpin/node/RecordsNodeTest.java
@@ -17,7 +17,7 @@
 import rushpin.traffic.Entry.End;
 import rushpin.traffic.Recorded;
 
-/** What a node on sockets writes of the requests that it takes. */
+/** The traffic records that a node on real sockets writes. */
 class RecordsNodeTest extends Stage {
     private static final String POOL = "[[pool]]\nname = \"p\"\nsettings = \"platform\"\n[[route]]\npool = \"p\"\n";
 
@@ -25,25 +25,25 @@
     Path folder;
 
     private EdgeNode start(String operator, String config) throws Exception {
-        Config read = Config.parse(config);
-        EdgeNode node = new EdgeNode(read, OperatorFile.parse(operator, folder, read));
+        Config platform = Config.parse(config);
+        EdgeNode node = new EdgeNode(platform, OperatorFile.parse(operator, folder, platform));
         node.start();
         return node;
     }
 
-    private String records() throws Exception {
+    private String recordsConfig() throws Exception {
         Files.writeString(folder.resolve("key"), "sixteen bytes or more");
         return "[records]\nfolder = \"records\"\npseudonym-key = \"key\"\n" + POOL;
     }
 
     @Test
-    void eachRequestStandsThereOnceWithItsAttemptsAndItsEndAndNoSecret() throws Exception {
+    void eachRequestIsRecordedOnceWithItsAttemptsAndItsEndAndNoSecret() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         Peer server = peer(m -> m.answer(
                 m.first().startsWith("GET") && calls.getAndIncrement() == 0
                         ? "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
                         : Peer.ok("", "x")));
-        EdgeNode node = start(records(), config(member("s-0", server.address(), "Ready", 0)));
+        EdgeNode node = start(recordsConfig(), config(member("s-0", server.address(), "Ready", 0)));
         try {
             Socket client = client(node);
             assertEquals("200", ask(client, "secret-id-1"));
@@ -53,13 +53,13 @@
             node.drain().get();
             node.close();
         }
-        List<Entry> read = Recorded.read(folder.resolve("records")).entries();
-        assertEquals(2, read.size(), read.toString());
-        Entry order = read.stream()
+        List<Entry> entries = Recorded.read(folder.resolve("records")).entries();
+        assertEquals(2, entries.size(), entries.toString());
+        Entry order = entries.stream()
                 .filter(e -> e.requestClass().equals("order"))
                 .findFirst()
                 .orElseThrow();
-        Entry lookup = read.stream()
+        Entry lookup = entries.stream()
                 .filter(e -> e.requestClass().equals("lookup"))
                 .findFirst()
                 .orElseThrow();
@@ -75,35 +75,35 @@
         assertTrue(lookup.took() >= lookup.tries().get(1).after());
         assertEquals(order.customer(), lookup.customer());
         assertTrue(Math.abs(order.at() / 1_000 - System.currentTimeMillis()) < 120_000, "Unix time: " + order.at());
-        assertFalse(read.toString().contains("secret"), read.toString());
-        assertFalse(read.toString().contains("customer=7,"), "a customer's number");
+        assertFalse(entries.toString().contains("secret"), entries.toString());
+        assertFalse(entries.toString().contains("customer=7,"), "a customer number must be pseudonymised");
     }
 
     @Test
-    void aRefusalAndAFailureAreToldApart() throws Exception {
+    void refusalsAndFailuresAreRecordedAsSuch() throws Exception {
         Peer broken = peer(m -> m.answer("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"));
-        EdgeNode node = start(records(), config(member("s-0", broken.address(), "Ready", 0)));
+        EdgeNode node = start(recordsConfig(), config(member("s-0", broken.address(), "Ready", 0)));
         try {
             Socket client = client(node);
             write(client, "POST /api", headers("t-1", "strict", "20000"), "x");
-            assertEquals("502", status(Peer.read(client)), "it may have run");
+            assertEquals("502", status(Peer.read(client)), "the attempt may have run");
             write(client, "POST /api", headers("t-2", "order", "20"), "x");
             Peer.read(client);
         } finally {
             node.drain().get();
             node.close();
         }
-        List<Entry> read = Recorded.read(folder.resolve("records")).entries();
-        assertEquals(2, read.size(), read.toString());
-        assertEquals(End.FAILED, read.get(0).end());
+        List<Entry> entries = Recorded.read(folder.resolve("records")).entries();
+        assertEquals(2, entries.size(), entries.toString());
+        assertEquals(End.FAILED, entries.get(0).end());
         assertEquals(
                 List.of("ERROR"),
-                read.get(0).tries().stream().map(Entry.Try::outcome).toList());
-        assertTrue(read.get(1).end() == End.REFUSED || read.get(1).end() == End.FAILED, read.toString());
+                entries.get(0).tries().stream().map(Entry.Try::outcome).toList());
+        assertTrue(entries.get(1).end() == End.REFUSED || entries.get(1).end() == End.FAILED, entries.toString());
     }
 
     @Test
-    void withoutItsTableNothingIsWrittenAndNoThreadBegins() throws Exception {
+    void withoutTheRecordsTableNothingIsWrittenAndNoThreadStarts() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
         EdgeNode node = start(POOL, config(member("s-0", server.address(), "Ready", 0)));
         try {
--- a/src/test/java/rushpin/node/XdsPoolTest.java
+++ b/src/test/java/rushpin/node/XdsPoolTest.java
@@ -52,7 +52,7 @@
 import rushpin.net.xds.ServerListCache;
 import rushpin.rig.ManagementServer;
 
-/** A pool whose servers a management server or a file tells, on real sockets. */
+/** A pool whose servers come over xDS, from a management server or a file, on real sockets. */
 class XdsPoolTest extends Stage {
     private static final String CDS = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
     private static final String EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
@@ -62,7 +62,7 @@
 
     private ManagementServer server;
 
-    private ManagementServer management() throws Exception {
+    private ManagementServer startManagementServer() throws Exception {
         server = new ManagementServer();
         toClose.add(server);
         return server;
@@ -82,8 +82,8 @@
         return made;
     }
 
-    private EdgeNode node(String form, String more) throws Exception {
-        return node("servers = [\"" + server.address() + "\"]\nform = \"" + form + "\"\n" + more);
+    private EdgeNode node(String form, String extraKeys) throws Exception {
+        return node("servers = [\"" + server.address() + "\"]\nform = \"" + form + "\"\n" + extraKeys);
     }
 
     static Cluster cluster(String name) {
@@ -95,10 +95,10 @@
                 .build();
     }
 
-    private static LbEndpoint endpoint(Peer of, HealthStatus health) {
-        String address = of.address();
+    private static LbEndpoint endpoint(Peer server, HealthStatus health) {
+        String address = server.address();
         int colon = address.lastIndexOf(':');
-        // Warm: a server that is new to the list is cold, and has hardly anything for its ramp's time.
+        // Marked as warm: a server new to the list is cold and gets almost no requests during slow start.
         Struct warm = Struct.newBuilder()
                 .putFields("started_ms", Value.newBuilder().setNumberValue(0).build())
                 .build();
@@ -113,11 +113,11 @@
                 .build();
     }
 
-    private static ClusterLoadAssignment at(LbEndpoint... of) {
+    private static ClusterLoadAssignment assignment(LbEndpoint... endpoints) {
         LocalityLbEndpoints.Builder locality = LocalityLbEndpoints.newBuilder()
                 .setLocality(Locality.newBuilder().setZone("a"));
-        for (LbEndpoint each : of) {
-            locality.addLbEndpoints(each);
+        for (LbEndpoint endpoint : endpoints) {
+            locality.addLbEndpoints(endpoint);
         }
         return ClusterLoadAssignment.newBuilder()
                 .setClusterName("a")
@@ -125,7 +125,7 @@
                 .build();
     }
 
-    private ManagementServer.Reply reply(String type) throws InterruptedException {
+    private ManagementServer.Reply awaitReply(String type) throws InterruptedException {
         ManagementServer.Reply next = server.replies().poll(60, TimeUnit.SECONDS);
         while (next != null && !next.type().equals(type)) {
             next = server.replies().poll(60, TimeUnit.SECONDS);
@@ -140,40 +140,40 @@
         return status(answer).equals("200") ? answer.body() : status(answer);
     }
 
-    /** Asks until the answer is the wanted one: a push takes its time, and no longer than the test's. */
-    private void until(EdgeNode node, String wanted) throws Exception {
+    /** Sends requests until the answer is the expected one, for at most a minute: a push takes effect with a delay. */
+    private void awaitBody(EdgeNode node, String expected) throws Exception {
         String seen = "";
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        for (int i = 0; !seen.equals(wanted); i++) {
-            assertTrue(System.nanoTime() < end, "after a minute it is still " + seen + " and not " + wanted);
+        for (int i = 0; !seen.equals(expected); i++) {
+            assertTrue(System.nanoTime() < end, "after a minute the answer is still " + seen + " and not " + expected);
             try (Socket client = client(node)) {
-                seen = body(client, "u-" + wanted + i);
+                seen = body(client, "u-" + expected + i);
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"sotw", "delta"})
-    void serversComeAndGoByPushesAndABadOneChangesNothing(String form) throws Exception {
-        management();
+    void pushesChangeTheServersAndAnInvalidOneChangesNothing(String form) throws Exception {
+        startManagementServer();
         Peer old = peer(m -> m.answer(Peer.ok("", "old")));
         Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
         server.set("a", cluster("a"));
-        server.set("a", at(endpoint(old, HealthStatus.HEALTHY)));
+        server.set("a", assignment(endpoint(old, HealthStatus.HEALTHY)));
         EdgeNode node = node(form, "");
-        until(node, "old");
-        assertNull(reply(CDS).error());
-        assertNull(reply(EDS).error());
-        LbEndpoint bad = LbEndpoint.newBuilder()
+        awaitBody(node, "old");
+        assertNull(awaitReply(CDS).error());
+        assertNull(awaitReply(EDS).error());
+        LbEndpoint invalid = LbEndpoint.newBuilder()
                 .setEndpoint(Endpoint.newBuilder()
                         .setAddress(Address.newBuilder()
                                 .setSocketAddress(SocketAddress.newBuilder()
                                         .setAddress("127.0.0.1")
                                         .setPortValue(0))))
                 .build();
-        server.set("a", at(bad));
-        ManagementServer.Reply refusal = reply(EDS);
-        assertTrue(refusal.error().startsWith("a: port_value"), refusal.error());
+        server.set("a", assignment(invalid));
+        ManagementServer.Reply rejection = awaitReply(EDS);
+        assertTrue(rejection.error().startsWith("a: port_value"), rejection.error());
         server.say(
                 EDS,
                 Map.of(
@@ -182,51 +182,51 @@
                                 .setTypeUrl(EDS)
                                 .setValue(ByteString.copyFromUtf8("\n\tx"))
                                 .build()));
-        assertNotNull(reply(EDS).error());
-        until(node, "old");
-        server.set("a", at(endpoint(old, HealthStatus.DRAINING), endpoint(fresh, HealthStatus.HEALTHY)));
-        assertNull(reply(EDS).error());
-        until(node, "new");
+        assertNotNull(awaitReply(EDS).error());
+        awaitBody(node, "old");
+        server.set("a", assignment(endpoint(old, HealthStatus.DRAINING), endpoint(fresh, HealthStatus.HEALTHY)));
+        assertNull(awaitReply(EDS).error());
+        awaitBody(node, "new");
         old.seen.clear();
         for (int i = 0; i < 20; i++) {
             try (Socket client = client(node)) {
                 assertEquals("new", body(client, "d-" + i));
             }
         }
-        assertTrue(old.seen.isEmpty(), "sent to one that drains");
+        assertTrue(old.seen.isEmpty(), "a draining server must get no requests");
     }
 
-    /** The cluster "a" at a management server, with one app server that answers "x". */
-    private Peer listed() throws Exception {
-        management();
+    /** Starts a management server with the cluster "a" and one app server that answers "x". */
+    private Peer startOneServerCluster() throws Exception {
+        startManagementServer();
         Peer app = peer(m -> m.answer(Peer.ok("", "x")));
         server.set("a", cluster("a"));
-        server.set("a", at(endpoint(app, HealthStatus.HEALTHY)));
+        server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         return app;
     }
 
     @Test
-    void whatWasHadLastStaysInForceAndComesBackAfterARestart() throws Exception {
-        Peer app = listed();
+    void theLastServerListStaysInForceAndSurvivesARestart() throws Exception {
+        Peer app = startOneServerCluster();
         EdgeNode first = node("delta", "");
-        until(first, "x");
+        awaitBody(first, "x");
         server.kill();
-        until(first, "x");
-        Path kept = folder.resolve("state/xds-a.json");
-        while (!Files.exists(kept)) {
+        awaitBody(first, "x");
+        Path cached = folder.resolve("state/xds-a.json");
+        while (!Files.exists(cached)) {
             Thread.onSpinWait();
         }
         EdgeNode second = node("delta", "");
-        until(second, "x");
-        // The server is back with the same world under version 1.
+        awaitBody(second, "x");
+        // The management server is back with the same resources under version 1.
         server.again();
-        assertNull(reply(EDS).error());
-        until(second, "x");
+        assertNull(awaitReply(EDS).error());
+        awaitBody(second, "x");
     }
 
     @Test
-    void anEmptyClusterTurnsAwayAtOnceWhatIsInFlightEndsAndTheNextUpdateHeals() throws Exception {
-        management();
+    void anEmptyClusterRejectsNewRequestsCompletesThoseInFlightAndRecovers() throws Exception {
+        startManagementServer();
         CompletableFuture<Void> go = new CompletableFuture<>();
         Peer app = peer(m -> {
             if (m.first().contains("slot=4") && m.headers().get("x-trace-id").equals("held")) {
@@ -235,34 +235,34 @@
             m.answer(Peer.ok("", "x"));
         });
         server.set("a", cluster("a"));
-        server.set("a", at(endpoint(app, HealthStatus.HEALTHY)));
+        server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         EdgeNode node = node("sotw", "");
-        until(node, "x");
+        awaitBody(node, "x");
         app.seen.clear();
         Socket held = client(node);
         order(held, "held");
         app.next();
         server.remove(CDS, "a");
-        until(node, "429");
+        awaitBody(node, "429");
         go.complete(null);
-        assertEquals("200", status(Peer.read(held)), "what is in flight ends");
+        assertEquals("200", status(Peer.read(held)), "a request in flight must complete");
         server.set("a", cluster("a"));
-        server.set("a", at(endpoint(app, HealthStatus.HEALTHY)));
-        until(node, "x");
+        server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
+        awaitBody(node, "x");
     }
 
     @Test
-    void theNextServerIsAskedWhereTheFirstIsAway() throws Exception {
-        Peer app = listed();
+    void theNextManagementServerIsUsedWhenTheFirstIsUnreachable() throws Exception {
+        Peer app = startOneServerCluster();
         EdgeNode node = node("servers = [\"127.0.0.1:" + Daemon.free() + "\", \"" + server.address() + "\"]\n");
-        until(node, "x");
+        awaitBody(node, "x");
     }
 
     @Test
-    void aMessageBeyondItsBoundEndsTheStreamAndNothingElse() throws Exception {
-        Peer app = listed();
+    void aMessageBeyondTheSizeLimitEndsOnlyTheStream() throws Exception {
+        Peer app = startOneServerCluster();
         EdgeNode node = node("delta", "most-message = 100000\n");
-        until(node, "x");
+        awaitBody(node, "x");
         server.say(
                 EDS,
                 Map.of(
@@ -271,14 +271,14 @@
                                 .setTypeUrl(EDS)
                                 .setValue(ByteString.copyFrom(new byte[1 << 20]))
                                 .build()));
-        until(node, "x");
-        // A new stream is opened, and says that all is had.
+        awaitBody(node, "x");
+        // The node opens a new stream and reports on it the versions that it has.
         server.set(
                 "a",
-                at(
+                assignment(
                         endpoint(app, HealthStatus.HEALTHY),
                         endpoint(peer(m -> m.answer(Peer.ok("", "y"))), HealthStatus.HEALTHY)));
-        until(node, "y");
+        awaitBody(node, "y");
     }
 
     @ParameterizedTest
@@ -287,93 +287,93 @@
         Peer old = peer(m -> m.answer(Peer.ok("", "old")));
         Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
         Path file = folder.resolve("servers." + form);
-        Files.writeString(file, text(form, at(endpoint(old, HealthStatus.HEALTHY))));
+        Files.writeString(file, fileContent(form, assignment(endpoint(old, HealthStatus.HEALTHY))));
         EdgeNode node = node("path = \"servers." + form + "\"\n");
-        until(node, "old");
-        replace(file, "{ this is nothing");
-        replace(file, text(form, at(endpoint(fresh, HealthStatus.HEALTHY))));
-        until(node, "new");
+        awaitBody(node, "old");
+        replace(file, "{ invalid");
+        replace(file, fileContent(form, assignment(endpoint(fresh, HealthStatus.HEALTHY))));
+        awaitBody(node, "new");
     }
 
     @Test
-    void twoServersThatDisagreeAreHeardOneAtATime() throws Exception {
+    void ofTwoDisagreeingManagementServersOneIsUsedAtATime() throws Exception {
         Peer old = peer(m -> m.answer(Peer.ok("", "old")));
         Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
-        management();
+        startManagementServer();
         ManagementServer second = new ManagementServer();
         toClose.add(second);
         server.set("a", cluster("a"));
-        server.set("a", at(endpoint(old, HealthStatus.HEALTHY)));
+        server.set("a", assignment(endpoint(old, HealthStatus.HEALTHY)));
         second.set("a", cluster("a"));
-        second.set("a", at(endpoint(fresh, HealthStatus.HEALTHY)));
+        second.set("a", assignment(endpoint(fresh, HealthStatus.HEALTHY)));
         EdgeNode node = node("servers = [\"" + server.address() + "\", \"" + second.address() + "\"]\n");
-        until(node, "old");
-        assertEquals(0, second.streams(), "the second is not asked while the first answers");
+        awaitBody(node, "old");
+        assertEquals(0, second.streams(), "the second server must not be used while the first answers");
         server.kill();
-        until(node, "new");
+        awaitBody(node, "new");
         second.kill();
         server.again();
-        until(node, "old");
+        awaitBody(node, "old");
     }
 
     @Test
-    void aServerThatProvesItselfIsTrustedAndOneThatDoesNotIsNot() throws Exception {
+    void onlyAManagementServerWithATrustedCertificateIsUsed() throws Exception {
         X509Bundle ca = new CertificateBuilder()
-                .subject("CN=yard")
+                .subject("CN=test-ca")
                 .setIsCertificateAuthority(true)
                 .buildSelfSigned();
-        X509Bundle own = new CertificateBuilder()
+        X509Bundle serverCertificate = new CertificateBuilder()
                 .subject("CN=localhost")
                 .addSanIpAddress("127.0.0.1")
                 .buildIssuedBy(ca);
-        X509Bundle node = new CertificateBuilder().subject("CN=node").buildIssuedBy(ca);
+        X509Bundle nodeCertificate = new CertificateBuilder().subject("CN=node").buildIssuedBy(ca);
         Files.writeString(folder.resolve("ca.pem"), ca.getCertificatePEM());
-        Files.writeString(folder.resolve("node.pem"), node.getCertificatePathPEM());
-        Files.writeString(folder.resolve("node.key"), node.getPrivateKeyPEM());
-        X509Bundle stranger = new CertificateBuilder()
+        Files.writeString(folder.resolve("node.pem"), nodeCertificate.getCertificatePathPEM());
+        Files.writeString(folder.resolve("node.key"), nodeCertificate.getPrivateKeyPEM());
+        X509Bundle untrustedCertificate = new CertificateBuilder()
                 .subject("CN=localhost")
                 .addSanIpAddress("127.0.0.1")
                 .setIsCertificateAuthority(true)
                 .buildSelfSigned();
         Peer app = peer(m -> m.answer(Peer.ok("", "x")));
-        Peer lured = peer(m -> m.answer(Peer.ok("", "lured")));
-        ManagementServer imposter = new ManagementServer(GrpcSslContexts.configure(
-                        SslContextBuilder.forServer(stranger.getKeyPair().getPrivate(), stranger.getCertificatePath()))
+        Peer impostorApp = peer(m -> m.answer(Peer.ok("", "impostor")));
+        ManagementServer impostor = new ManagementServer(GrpcSslContexts.configure(SslContextBuilder.forServer(
+                        untrustedCertificate.getKeyPair().getPrivate(), untrustedCertificate.getCertificatePath()))
                 .build());
-        toClose.add(imposter);
-        imposter.set("a", cluster("a"));
-        imposter.set("a", at(endpoint(lured, HealthStatus.HEALTHY)));
-        server = new ManagementServer(GrpcSslContexts.configure(
-                        SslContextBuilder.forServer(own.getKeyPair().getPrivate(), own.getCertificatePath()))
+        toClose.add(impostor);
+        impostor.set("a", cluster("a"));
+        impostor.set("a", assignment(endpoint(impostorApp, HealthStatus.HEALTHY)));
+        server = new ManagementServer(GrpcSslContexts.configure(SslContextBuilder.forServer(
+                        serverCertificate.getKeyPair().getPrivate(), serverCertificate.getCertificatePath()))
                 .trustManager(ca.getCertificate())
                 .clientAuth(ClientAuth.REQUIRE)
                 .build());
         toClose.add(server);
         server.set("a", cluster("a"));
-        server.set("a", at(endpoint(app, HealthStatus.HEALTHY)));
-        EdgeNode edge = node("servers = [\"" + imposter.address() + "\", \"" + server.address()
+        server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
+        EdgeNode edge = node("servers = [\"" + impostor.address() + "\", \"" + server.address()
                 + "\"]\nca = \"ca.pem\"\n" + "certificate = \"node.pem\"\nkey = \"node.key\"\n");
-        until(edge, "x");
-        assertTrue(lured.seen.isEmpty());
+        awaitBody(edge, "x");
+        assertTrue(impostorApp.seen.isEmpty());
     }
 
     @Test
-    void thePartThatIsToBeDroppedIsRefusedEvenly() throws Exception {
-        Peer app = listed();
+    void theDropPercentageOfRequestsIsRejectedEvenly() throws Exception {
+        Peer app = startOneServerCluster();
         EdgeNode node = node("delta", "");
-        until(node, "x");
-        reply(EDS);
+        awaitBody(node, "x");
+        awaitReply(EDS);
         server.set(
                 "a",
-                at(endpoint(app, HealthStatus.HEALTHY)).toBuilder()
+                assignment(endpoint(app, HealthStatus.HEALTHY)).toBuilder()
                         .setPolicy(ClusterLoadAssignment.Policy.newBuilder()
                                 .addDropOverloads(ClusterLoadAssignment.Policy.DropOverload.newBuilder()
                                         .setCategory("all")
                                         .setDropPercentage(
                                                 FractionalPercent.newBuilder().setNumerator(25))))
                         .build());
-        reply(EDS);
-        until(node, "429");
+        awaitReply(EDS);
+        awaitBody(node, "429");
         int dropped = 0;
         for (int i = 0; i < 40; i++) {
             try (Socket client = client(node)) {
@@ -384,8 +384,8 @@
     }
 
     @Test
-    void theClustersBoundOnRequestsRefusesWhatIsBeyond() throws Exception {
-        management();
+    void requestsBeyondTheClustersMaxRequestsAreRejected() throws Exception {
+        startManagementServer();
         CompletableFuture<Void> go = new CompletableFuture<>();
         Peer app = peer(m -> {
             if (m.headers().get("x-trace-id").equals("held")) {
@@ -400,9 +400,9 @@
                                 .addThresholds(
                                         CircuitBreakers.Thresholds.newBuilder().setMaxRequests(UInt32Value.of(1))))
                         .build());
-        server.set("a", at(endpoint(app, HealthStatus.HEALTHY)));
+        server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         EdgeNode node = node("delta", "");
-        until(node, "x");
+        awaitBody(node, "x");
         app.seen.clear();
         Socket held = client(node);
         order(held, "held");
@@ -412,20 +412,24 @@
         }
         go.complete(null);
         assertEquals("200", status(Peer.read(held)));
-        until(node, "x");
+        awaitBody(node, "x");
     }
 
-    /** The pool that had an address keeps it until it lets go; then the other one has it, with its own health. */
+    /**
+     * An address stays with the pool that had it first until that pool removes it; then the other pool gets it, with a
+     * health state of its own.
+     */
     @Test
     void anEndpointMovesFromOnePoolToAnother() throws Exception {
-        management();
-        Peer one = peer(m -> m.answer(Peer.ok("", "one"))), moving = peer(m -> m.answer(Peer.ok("", "moving")));
+        startManagementServer();
+        Peer one = peer(m -> m.answer(Peer.ok("", "one")));
+        Peer moving = peer(m -> m.answer(Peer.ok("", "moving")));
         server.set("a", cluster("a"));
         server.set("b", cluster("b"));
-        server.set("a", at(endpoint(moving, HealthStatus.HEALTHY)));
+        server.set("a", assignment(endpoint(moving, HealthStatus.HEALTHY)));
         server.set(
                 "b",
-                at(endpoint(one, HealthStatus.HEALTHY)).toBuilder()
+                assignment(endpoint(one, HealthStatus.HEALTHY)).toBuilder()
                         .setClusterName("b")
                         .build());
         Config config = Config.parse(config());
@@ -436,27 +440,29 @@
                 OperatorFile.parse(pool.formatted("a", "a", "a") + pool.formatted("b", "b", "b"), folder, config));
         toClose.add(node);
         node.start();
-        untilAt(node, "a.svc", "moving");
-        untilAt(node, "b.svc", "one");
+        awaitBodyAt(node, "a.svc", "moving");
+        awaitBodyAt(node, "b.svc", "one");
         server.set(
                 "b",
-                at(endpoint(moving, HealthStatus.HEALTHY)).toBuilder()
+                assignment(endpoint(moving, HealthStatus.HEALTHY)).toBuilder()
                         .setClusterName("b")
                         .build());
-        untilAt(node, "b.svc", "429");
-        untilAt(node, "a.svc", "moving");
-        server.set("a", at(endpoint(one, HealthStatus.HEALTHY)));
-        untilAt(node, "b.svc", "moving");
-        untilAt(node, "a.svc", "one");
+        awaitBodyAt(node, "b.svc", "429");
+        awaitBodyAt(node, "a.svc", "moving");
+        server.set("a", assignment(endpoint(one, HealthStatus.HEALTHY)));
+        awaitBodyAt(node, "b.svc", "moving");
+        awaitBodyAt(node, "a.svc", "one");
     }
 
-    private void untilAt(EdgeNode node, String host, String wanted) throws Exception {
+    private void awaitBodyAt(EdgeNode node, String host, String expected) throws Exception {
         String seen = "";
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        for (int i = 0; !seen.equals(wanted); i++) {
-            assertTrue(System.nanoTime() < end, host + ": after a minute it is still " + seen + " and not " + wanted);
+        for (int i = 0; !seen.equals(expected); i++) {
+            assertTrue(
+                    System.nanoTime() < end,
+                    host + ": after a minute the answer is still " + seen + " and not " + expected);
             try (Socket client = client(node)) {
-                Map<String, String> headers = headers("h-" + host + wanted + i, "order", "20000");
+                Map<String, String> headers = headers("h-" + host + expected + i, "order", "20000");
                 headers.put("Host", host);
                 write(client, "POST /api", headers, "book");
                 Peer.Message answer = Peer.read(client);
@@ -465,56 +471,58 @@
         }
     }
 
-    /** A key that is being replaced is no reason to ask no more. */
+    /** A certificate file that is unreadable while it is being replaced must not stop the reconnects. */
     @Test
-    void aFileThatHoldsNoCertificateIsReadAgainWithTheNextTry() throws Exception {
+    void aFileWithoutACertificateIsReadAgainOnTheNextConnect() throws Exception {
         X509Bundle ca = new CertificateBuilder()
-                .subject("CN=yard")
+                .subject("CN=test-ca")
                 .setIsCertificateAuthority(true)
                 .buildSelfSigned();
-        X509Bundle own = new CertificateBuilder()
+        X509Bundle serverCertificate = new CertificateBuilder()
                 .subject("CN=localhost")
                 .addSanIpAddress("127.0.0.1")
                 .buildIssuedBy(ca);
-        server = new ManagementServer(GrpcSslContexts.configure(
-                        SslContextBuilder.forServer(own.getKeyPair().getPrivate(), own.getCertificatePath()))
+        server = new ManagementServer(GrpcSslContexts.configure(SslContextBuilder.forServer(
+                        serverCertificate.getKeyPair().getPrivate(), serverCertificate.getCertificatePath()))
                 .build());
         toClose.add(server);
         Peer app = peer(m -> m.answer(Peer.ok("", "x")));
         server.set("a", cluster("a"));
-        server.set("a", at(endpoint(app, HealthStatus.HEALTHY)));
+        server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         Files.writeString(folder.resolve("ca.pem"), "half a file");
-        PrintStream before = System.out;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
+        PrintStream originalOut = System.out;
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
         try {
             EdgeNode node = node("delta", "ca = \"ca.pem\"\n");
-            // Not before it has been read once as it is: else nothing is shown.
+            // Wait until the node has read the invalid file, else the test would prove nothing.
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-            while (!said.toString(StandardCharsets.UTF_8).contains("cannot be asked")) {
-                assertTrue(System.nanoTime() < end, "a minute has passed: " + said.toString(StandardCharsets.UTF_8));
+            while (!output.toString(StandardCharsets.UTF_8).contains("cannot be asked")) {
+                assertTrue(
+                        System.nanoTime() < end,
+                        "no failed connect logged within a minute: " + output.toString(StandardCharsets.UTF_8));
                 Thread.sleep(10);
             }
             replace(folder.resolve("ca.pem"), ca.getCertificatePEM());
-            until(node, "x");
+            awaitBody(node, "x");
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
     }
 
-    /** It says the same again and again without being asked: each is read in its turn, and the pool notices nothing. */
+    /** A management server repeats the same resources unasked: each message is read, and the pool is unaffected. */
     @ParameterizedTest
     @ValueSource(strings = {"sotw", "delta"})
-    void aFloodThatNobodyAskedForDisturbsNobody(String form) throws Exception {
-        management();
+    void aFloodOfUnrequestedResponsesDoesNotDisturbThePool(String form) throws Exception {
+        startManagementServer();
         Peer app = peer(m -> m.answer(Peer.ok("", "x")));
         server.set("a", cluster("a"));
-        ClusterLoadAssignment world = at(endpoint(app, HealthStatus.HEALTHY));
-        server.set("a", world);
+        ClusterLoadAssignment assignment = assignment(endpoint(app, HealthStatus.HEALTHY));
+        server.set("a", assignment);
         EdgeNode node = node(form, "");
-        until(node, "x");
+        awaitBody(node, "x");
         for (int i = 0; i < 300; i++) {
-            server.say(EDS, Map.of("a", Any.pack(world)));
+            server.say(EDS, Map.of("a", Any.pack(assignment)));
             server.say(
                     "type.googleapis.com/no.such.Type",
                     Map.of("a", Any.newBuilder().setTypeUrl("x/no.such.Type").build()));
@@ -527,34 +535,38 @@
     }
 
     @Test
-    void aTornListFromBeforeIsOneLineAndNoList() throws Exception {
+    void aTornCachedListIsLoggedOnceAndIgnored() throws Exception {
         Files.createDirectories(folder.resolve("state"));
-        List<String> said = new ArrayList<>();
+        List<String> logged = new ArrayList<>();
         Names names = new Names(List.of(), List.of(), List.of("a"), List.of());
-        ServerListCache kept = new ServerListCache(folder.resolve("state"), "a", names);
-        assertEquals(List.of(), kept.read(said::add), "none yet");
-        assertEquals(List.of(), said);
+        ServerListCache cache = new ServerListCache(folder.resolve("state"), "a", names);
+        assertEquals(List.of(), cache.read(logged::add), "no list is cached yet");
+        assertEquals(List.of(), logged);
         for (String torn : List.of(
                 "", "{\"revision\":0,\"members\":[{\"id\":\"s\"", "{}", "[1]", "{\"revision\":0,\"members\":[{}]}")) {
-            said.clear();
+            logged.clear();
             Files.writeString(folder.resolve("state/xds-a.json"), torn);
-            assertEquals(List.of(), kept.read(said::add), torn);
-            assertEquals(1, said.size(), torn);
+            assertEquals(List.of(), cache.read(logged::add), torn);
+            assertEquals(1, logged.size(), torn);
         }
     }
 
-    private static String text(String form, ClusterLoadAssignment of) throws Exception {
+    private static String fileContent(String form, ClusterLoadAssignment assignment) throws Exception {
         if (form.equals("json")) {
             JsonFormat.TypeRegistry types = JsonFormat.TypeRegistry.newBuilder()
                     .add(Cluster.getDescriptor())
                     .add(ClusterLoadAssignment.getDescriptor())
                     .build();
             JsonFormat.Printer printer = JsonFormat.printer().usingTypeRegistry(types);
-            return "{\"version_info\":\"1\",\"resources\":[" + printer.print(Any.pack(of)) + ","
+            return "{\"version_info\":\"1\",\"resources\":[" + printer.print(Any.pack(assignment)) + ","
                     + printer.print(Any.pack(cluster("a"))) + "]}";
         }
-        SocketAddress address =
-                of.getEndpoints(0).getLbEndpoints(0).getEndpoint().getAddress().getSocketAddress();
+        SocketAddress address = assignment
+                .getEndpoints(0)
+                .getLbEndpoints(0)
+                .getEndpoint()
+                .getAddress()
+                .getSocketAddress();
         return """
             version_info: "1"
             resources:
