--- a/src/test/java/rushpin/node/BehindAStopTest.java
+++ b/src/test/java/rushpin/node/BehindAStopTest.java
@@ -14,7 +14,7 @@
  * The process was stopped and goes on, but gets no core for longer than any span that it might wait by the clock: what
  * came during the stop is read before anything is sent all the same.
  */
-class BehindAStopTest extends Stage {
+class BehindAStopTest extends NodeTestBase {
     private static final long STOP_MS = 300;
     /** Longer than a client waits that says {@link #SHORT_MS}. */
     private static final long LONG_STOP_MS = 2_100;
--- a/src/test/java/rushpin/node/BesideTest.java
+++ b/src/test/java/rushpin/node/BesideTest.java
@@ -17,7 +17,7 @@
 import rushpin.config.OperatorFile;
 
 /** Nodes that share an address have a backlog each: connections in the backlog of a node that drains are not lost. */
-class ProcessRegistryTest extends Stage {
+class ProcessRegistryTest extends NodeTestBase {
     @Test
     void connectionsInTheBacklogAreAcceptedBeforeTheSocketCloses() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("", "x")));
--- a/src/test/java/rushpin/node/ClockStepTest.java
+++ b/src/test/java/rushpin/node/ClockStepTest.java
@@ -21,7 +21,7 @@
  * may run, nor keep a node from serving. A server list pushed through the open watch makes the node read the clock, so
  * the test controls the order of events.
  */
-class ClockStepTest extends Stage {
+class ClockStepTest extends NodeTestBase {
     /** A server's uptime beyond the slow-start ramp in the settings; a cold server gets almost no requests. */
     private static final long WARM_MS = 60_000;
 
--- a/src/test/java/rushpin/node/ClockTest.java
+++ b/src/test/java/rushpin/node/ClockTest.java
@@ -13,7 +13,7 @@
 import rushpin.config.Config;
 
 /** The wall clock is set while a node runs. */
-class ClockTest extends Stage {
+class ClockTest extends NodeTestBase {
     private static final long HOUR_MS = 3_600_000;
     private final AtomicLong clockStepMs = new AtomicLong();
     private final Clock clock = new Clock(() -> System.currentTimeMillis() + clockStepMs.get());
--- a/src/test/java/rushpin/node/ConsoleTest.java
+++ b/src/test/java/rushpin/node/ConsoleTest.java
@@ -23,7 +23,7 @@
 import rushpin.config.OperatorFile;
 
 /** Console calls over a real socket to a node with scripted app servers. */
-class ConsoleTest extends Stage {
+class ConsoleTest extends NodeTestBase {
     @TempDir
     Path folder;
 
--- a/src/test/java/rushpin/node/CounterClientTest.java
+++ b/src/test/java/rushpin/node/CounterClientTest.java
@@ -22,7 +22,7 @@
 
 /** Calls to a counter that is late, spoils its answers or moves. */
 @Timeout(120)
-class CounterClientTest extends Stage {
+class CounterClientTest extends NodeTestBase {
     private static final long LIFE = 4_000_000_000L;
     private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
     private EventLoop loop;
--- a/src/test/java/rushpin/node/DescriptorsProcessTest.java
+++ b/src/test/java/rushpin/node/DescriptorsProcessTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real process whose descriptors are all in use. */
-class DescriptorsProcessTest extends Stage {
+class DescriptorsProcessTest extends NodeTestBase {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: n0\r\n\r\n";
 
     @TempDir
--- a/src/test/java/rushpin/node/EdgeNodeTest.java
+++ b/src/test/java/rushpin/node/EdgeNodeTest.java
@@ -20,7 +20,7 @@
 
 /** An edge node between scripted peers on loopback sockets; tests wait for events, not for fixed times. */
 @Timeout(120)
-class EdgeNodeTest extends Stage {
+class EdgeNodeTest extends NodeTestBase {
     @Test
     void forwardsRequestsAndAnswersOverOneConnection() throws Exception {
         Peer server = peer(m -> m.answer(Peer.ok("X-Units-Charged: 3\r\n", "done")));
--- a/src/test/java/rushpin/node/FleetProcessTest.java
+++ b/src/test/java/rushpin/node/FleetProcessTest.java
@@ -18,7 +18,7 @@
 
 /** A daemon as a real process: started twice, ended early, killed hard. */
 @Tag("long")
-class FleetProcessTest extends Stage {
+class FleetProcessTest extends NodeTestBase {
     @TempDir
     Path folder;
 
--- a/src/test/java/rushpin/node/FrozenProcessTest.java
+++ b/src/test/java/rushpin/node/FrozenProcessTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A process that was stopped by a signal and goes on: what it believed is as old as the stop. */
-class FrozenProcessTest extends Stage {
+class FrozenProcessTest extends NodeTestBase {
     /** Connections of those who stay, and as many of those who leave: many passes of a loop that accepts a few in each. */
     private static final int MANY = 200;
 
--- a/src/test/java/rushpin/node/HangupAtStartTest.java
+++ b/src/test/java/rushpin/node/HangupAtStartTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A signal that comes while a process starts, after it has read its files for the last time. */
-class HangupAtStartTest extends Stage {
+class HangupAtStartTest extends NodeTestBase {
     @TempDir
     Path folder;
 
--- a/src/test/java/rushpin/node/HangupIgnoredTest.java
+++ b/src/test/java/rushpin/node/HangupIgnoredTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Guards against a process that hears no reload, since it was started with SIGHUP ignored, and says nothing of it. */
-class HangupIgnoredTest extends Stage {
+class HangupIgnoredTest extends NodeTestBase {
     private static final String TOLD = "SIGHUP is ignored";
 
     @TempDir
--- a/src/test/java/rushpin/node/HeldSocketProcessTest.java
+++ b/src/test/java/rushpin/node/HeldSocketProcessTest.java
@@ -17,7 +17,7 @@
 
 /** Requests that wait in the queue of a listening socket which outlives the processes that accept at it. */
 @Tag("long")
-class HeldSocketProcessTest extends Stage {
+class HeldSocketProcessTest extends NodeTestBase {
     private static final int CLIENTS = 40;
     private static final String EXPIRES_MS = "2000";
     /** The claim is about time that passes: longer than a client waits. */
--- a/src/test/java/rushpin/node/KilledProcessTest.java
+++ b/src/test/java/rushpin/node/KilledProcessTest.java
@@ -18,7 +18,7 @@
 
 /** Real processes with a record of use, killed or told to end at the worst moments. */
 @Tag("long")
-class KilledProcessTest extends Stage {
+class KilledProcessTest extends NodeTestBase {
     private static final String STATE = Daemon.operator("state = \"state\"\n");
 
     @TempDir
--- a/src/test/java/rushpin/node/LastAnswerTest.java
+++ b/src/test/java/rushpin/node/LastAnswerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The last answer on a connection, which the node ends behind it though its client has sent more. */
-class LastAnswerTest extends Stage {
+class LastAnswerTest extends NodeTestBase {
     private static final int LONG = 60 * 1024;
     /** Less than an answer: the kernel of the node's side keeps the rest until the client reads. */
     private static final int RECEIVE_BUFFER = 16 * 1024;
--- a/src/test/java/rushpin/node/LateConnectTest.java
+++ b/src/test/java/rushpin/node/LateConnectTest.java
@@ -30,7 +30,7 @@
  * A connection to an app server that comes up late. The server's queue of connections is kept full, so that the kernel
  * answers the node's connect only when the test takes from that queue: what has changed meanwhile is certain.
  */
-class LateConnectTest extends Stage {
+class LateConnectTest extends NodeTestBase {
     /** The kernel asks again one second after a connect that found the queue full. */
     private static final String CONNECT_TIMEOUT = "\"connect-timeout-ns\": 20000000000";
     /** Half of it is the longest that the node lets a connection rest. */
--- a/src/test/java/rushpin/node/LeakTest.java
+++ b/src/test/java/rushpin/node/LeakTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Buffers on the paths that end early, with the collector made to look for them. */
-class LeakTest extends Stage {
+class LeakTest extends NodeTestBase {
     @Test
     void whatClientsAndServersBreakOffIsReleased() throws Exception {
         Peer spoilt = peer(m -> m.answer("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\npart"));
--- a/src/test/java/rushpin/node/LongBodyTest.java
+++ b/src/test/java/rushpin/node/LongBodyTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Request and response bodies larger than the node's buffer, and peers that send or read slowly. */
-class LongBodyTest extends Stage {
+class LongBodyTest extends NodeTestBase {
     private static byte[] randomBytes(int size, long seed) {
         byte[] bytes = new byte[size];
         new Random(seed).nextBytes(bytes);
--- a/src/test/java/rushpin/node/MalformedAnswerTest.java
+++ b/src/test/java/rushpin/node/MalformedAnswerTest.java
@@ -13,7 +13,7 @@
 
 /** App servers that send malformed answers, or bytes beyond the end of an answer. */
 @Timeout(120)
-class MalformedAnswerTest extends Stage {
+class MalformedAnswerTest extends NodeTestBase {
     /**
      * Bytes behind an answer must not be read as the next request's answer, which happened when the connection went
      * back to the pool before they were seen.
--- a/src/test/java/rushpin/node/MisbehavingClientTest.java
+++ b/src/test/java/rushpin/node/MisbehavingClientTest.java
@@ -20,7 +20,7 @@
 
 /** Clients that send malformed, too large or incomplete requests, pipeline too far ahead, or stay silent. */
 @Timeout(120)
-class MisbehavingClientTest extends Stage {
+class MisbehavingClientTest extends NodeTestBase {
     private static void writeText(Socket to, String text) throws IOException {
         to.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/test/java/rushpin/node/Stage.java
+++ b/src/test/java/rushpin/node/NodeTestBase.java
@@ -22,7 +22,7 @@
 
 /** What the tests of a node share: scripted peers on loopback sockets, a node between them, and its clients. */
 @Timeout(120)
-abstract class Stage {
+abstract class NodeTestBase {
     static final String UNCHANGED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
     final List<AutoCloseable> toClose = new ArrayList<>();
     Peer discovery;
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -16,7 +16,7 @@
 
 /** The operator's file in a real process: at its start, and by signals while it serves. */
 @Tag("long")
-class OperatorProcessTest extends Stage {
+class OperatorProcessTest extends NodeTestBase {
     private static final String ONE = "[[pool]]\nname = \"%1$s\"\nsettings = \"platform\"\n[[route]]\npool = \"%1$s\"\n"
             + "host = \"%1$s.example\"\n";
 
--- a/src/test/java/rushpin/node/PausedLoopTest.java
+++ b/src/test/java/rushpin/node/PausedLoopTest.java
@@ -13,7 +13,7 @@
  * Events of the meantime wait in the sockets and are handled one by one afterwards; the node must not act on an early
  * one as if a later one had not happened.
  */
-class PausedLoopTest extends Stage {
+class PausedLoopTest extends NodeTestBase {
     /**
      * Longer than the 100 ms after which a client's disconnect is binding, and shorter than the usual grace period of a
      * drain.
--- a/src/test/java/rushpin/node/PlanProcessTest.java
+++ b/src/test/java/rushpin/node/PlanProcessTest.java
@@ -24,7 +24,7 @@
 /** Six real processes, two in each of three zones, with servers there: requests go where the plan says. */
 @Tag("long")
 @Timeout(300)
-class PlanProcessTest extends Stage {
+class PlanProcessTest extends NodeTestBase {
     private static final int LEASE = 2_000, EFFECT = 500, SENDS = 200;
     private static final List<String> ZONES = List.of("a", "b", "c");
 
--- a/src/test/java/rushpin/node/PoolsTest.java
+++ b/src/test/java/rushpin/node/PoolsTest.java
@@ -25,7 +25,7 @@
 
 /** Several pools in one node, each on its own event loop; {@link PoolsOnOneLoopTest} runs the same on one loop. */
 @Timeout(120)
-class PoolsTest extends Stage {
+class PoolsTest extends NodeTestBase {
     @TempDir
     Path folder;
 
--- a/src/test/java/rushpin/node/RecordsNodeTest.java
+++ b/src/test/java/rushpin/node/RecordsNodeTest.java
@@ -18,7 +18,7 @@
 import rushpin.traffic.Recorded;
 
 /** The traffic records that a node on real sockets writes. */
-class RecordsNodeTest extends Stage {
+class RecordsNodeTest extends NodeTestBase {
     private static final String POOL = "[[pool]]\nname = \"p\"\nsettings = \"platform\"\n[[route]]\npool = \"p\"\n";
 
     @TempDir
--- a/src/test/java/rushpin/node/ReloadTest.java
+++ b/src/test/java/rushpin/node/ReloadTest.java
@@ -16,7 +16,7 @@
 
 /** A new configuration while the node serves. */
 @Timeout(120)
-class ReloadTest extends Stage {
+class ReloadTest extends NodeTestBase {
     @TempDir
     Path folder;
 
--- a/src/test/java/rushpin/node/RetuneNodeTest.java
+++ b/src/test/java/rushpin/node/RetuneNodeTest.java
@@ -15,7 +15,7 @@
 import rushpin.config.Config;
 
 /** Settings that change under clients: over real sockets, and as a real process that is sent SIGHUP. */
-class RetuneNodeTest extends Stage {
+class RetuneNodeTest extends NodeTestBase {
     @TempDir
     Path folder;
 
--- a/src/test/java/rushpin/node/ShutdownPhasesTest.java
+++ b/src/test/java/rushpin/node/ShutdownPhasesTest.java
@@ -21,7 +21,7 @@
  * What happens to a request in each phase in which it may be when the grace period after SIGTERM ends, on real sockets.
  * The event loop is blocked while clients write, as if the process had no core, so that their bytes wait in the kernel.
  */
-class ShutdownPhasesTest extends Stage {
+class ShutdownPhasesTest extends NodeTestBase {
     private static final String HEALTH = "GET /_health HTTP/1.1\r\nHost: n0\r\n\r\n";
     /** Completes when the app server may answer. */
     private final CompletableFuture<Void> go = new CompletableFuture<>();
--- a/src/test/java/rushpin/node/TogetherProcessTest.java
+++ b/src/test/java/rushpin/node/TogetherProcessTest.java
@@ -19,7 +19,7 @@
 /** Five real processes, three of them voters, with faults between them. */
 @Tag("long")
 @Timeout(300)
-class TogetherProcessTest extends Stage {
+class TogetherProcessTest extends NodeTestBase {
     private static final int LEASE = 3_000, EFFECT = 500;
     /** Entries, of which some eight come a second. */
     private static final int MORE = 20;
--- a/src/test/java/rushpin/node/UpgradeTest.java
+++ b/src/test/java/rushpin/node/UpgradeTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The program is replaced while it serves: two real processes at one address, one folder, and clients all along. */
-class UpgradeTest extends Stage {
+class UpgradeTest extends NodeTestBase {
     @TempDir
     Path folder;
 
--- a/src/test/java/rushpin/node/WarmUpTest.java
+++ b/src/test/java/rushpin/node/WarmUpTest.java
@@ -17,7 +17,7 @@
 import rushpin.config.Config;
 
 /** The warm-up of a node, which must not contact other processes. */
-class WarmUpTest extends Stage {
+class WarmUpTest extends NodeTestBase {
     @TempDir
     Path folder;
 
--- a/src/test/java/rushpin/node/XdsPoolTest.java
+++ b/src/test/java/rushpin/node/XdsPoolTest.java
@@ -53,7 +53,7 @@
 import rushpin.rig.ManagementServer;
 
 /** A pool whose servers come over xDS, from a management server or a file, on real sockets. */
-class XdsPoolTest extends Stage {
+class XdsPoolTest extends NodeTestBase {
     private static final String CDS = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
     private static final String EDS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 
