--- a/src/test/java/rushpin/node/BehindAStopTest.java
+++ b/src/test/java/rushpin/node/BehindAStopTest.java
@@ -25,7 +25,7 @@
 
     private static final int CLIENTS = 8;
 
-    private final List<Peer.Message> watches = new ArrayList<>();
+    private final List<StubServer.Message> watches = new ArrayList<>();
 
     private static void sleep(long ms) {
         try {
@@ -36,7 +36,7 @@
     }
 
     private void watched() throws IOException {
-        discovery = peer(m -> {
+        discovery = stubServer(m -> {
             m.answer(UNCHANGED);
             synchronized (watches) {
                 watches.add(m);
@@ -45,7 +45,7 @@
         });
     }
 
-    private Peer.Message awaitWatch() throws InterruptedException {
+    private StubServer.Message awaitWatch() throws InterruptedException {
         synchronized (watches) {
             while (watches.isEmpty()) {
                 watches.wait();
@@ -80,11 +80,11 @@
     @Test
     void aDrainThatWasToldDuringAStopIsReadBeforeAnythingIsSent() throws Exception {
         watched();
-        Peer gone = peer(m -> m.answer(Peer.ok("", "old")));
-        Peer there = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer gone = stubServer(m -> m.answer(StubServer.ok("", "old")));
+        StubServer there = stubServer(m -> m.answer(StubServer.ok("", "new")));
         EdgeNode node = start(config(member("s-0", gone.address(), "Ready", 0)));
         Socket[] clients = clients(node);
-        Peer.Message watch = awaitWatch();
+        StubServer.Message watch = awaitWatch();
         gone.seen.clear();
         stopped(node, STOP_MS, () -> {
             // Requests first and the list after them: whoever reads in this order sends by what it knew.
@@ -96,7 +96,7 @@
                             + "," + member("s-1", there.address(), "Ready", 0) + "]}"));
         });
         for (Socket client : clients) {
-            assertEquals("new", Peer.read(client).body());
+            assertEquals("new", StubServer.read(client).body());
         }
         assertTrue(gone.seen.isEmpty(), "sent to a server that had drained: " + gone.seen);
     }
@@ -104,7 +104,7 @@
     /** Guards against requests that are sent on with their client's end right behind them, a connection being at hand. */
     @Test
     void aRequestWhoseClientLeftDuringTheStopIsNotSent() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = node(server);
         Socket[] clients = clients(node);
         server.seen.clear();
@@ -127,7 +127,7 @@
     /** Guards against requests that are sent on after their time, since their wait in the kernel did not count. */
     @Test
     void aRequestThatWaitedLongerThanItsClientDoesIsTurnedAway() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = node(server);
         Socket[] clients = clients(node);
         server.seen.clear();
@@ -137,7 +137,7 @@
             }
         });
         for (Socket client : clients) {
-            assertEquals("429", status(Peer.read(client)), "to come again is harmless");
+            assertEquals("429", status(StubServer.read(client)), "to come again is harmless");
         }
         assertTrue(server.seen.isEmpty(), server.seen.size() + " were sent on after their time");
     }
--- a/src/test/java/rushpin/node/BesideTest.java
+++ b/src/test/java/rushpin/node/BesideTest.java
@@ -20,7 +20,7 @@
 class ProcessRegistryTest extends NodeTestBase {
     @Test
     void connectionsInTheBacklogAreAcceptedBeforeTheSocketCloses() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
         EdgeNode node = new EdgeNode(
                 config, OperatorFile.parse(Daemon.operator("listener = \"reuseport\"\n"), Path.of("."), config));
@@ -48,7 +48,7 @@
         CompletableFuture<Integer> drained = node.drain();
         connected.countDown();
         for (Socket client : clients) {
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertNotNull(answer, "the connection was reset with the listening socket");
             assertEquals("close", answer.headers().get("connection"));
         }
--- a/src/test/java/rushpin/node/ClockStepTest.java
+++ b/src/test/java/rushpin/node/ClockStepTest.java
@@ -34,7 +34,7 @@
     private static final long MARGIN_MS = 500;
 
     private final AtomicLong clockOffsetMs = new AtomicLong();
-    private final List<Peer.Message> watches = new ArrayList<>();
+    private final List<StubServer.Message> watches = new ArrayList<>();
     /** The last pushed list as an HTTP chunk; a watch that opens later starts with it. */
     private String lastPush = "";
 
@@ -50,7 +50,7 @@
     }
 
     private void acceptWatches() throws IOException {
-        discovery = peer(m -> {
+        discovery = stubServer(m -> {
             synchronized (watches) {
                 m.answer(UNCHANGED + lastPush);
                 watches.add(m);
@@ -67,7 +67,7 @@
                 watches.wait();
             }
             lastPush = Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
-            for (Peer.Message watch : watches) {
+            for (StubServer.Message watch : watches) {
                 try {
                     watch.answer(lastPush);
                 } catch (IOException e) {
@@ -81,7 +81,7 @@
     private static void awaitBody(Socket client, String body) throws IOException {
         for (int i = 0; ; i++) {
             order(client, body + "-" + i);
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertEquals("200", status(answer));
             if (answer.body().equals(body)) {
                 return;
@@ -98,15 +98,15 @@
     @ValueSource(longs = {1_000, -1_000, 10_000, -10_000, 3_600_000, -3_600_000})
     void anInFlightRequestKeepsItsDeadlineAndItsRetryWhileTheListChanges(long step) throws Exception {
         CompletableFuture<Void> breakConnection = new CompletableFuture<>();
-        Peer old = peer(m -> {
+        StubServer old = stubServer(m -> {
             if (m.headers().get("x-trace-id").equals("held")) {
                 breakConnection.join();
                 m.socket().close();
             } else {
-                m.answer(Peer.ok("", "old"));
+                m.answer(StubServer.ok("", "old"));
             }
         });
-        Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer fresh = stubServer(m -> m.answer(StubServer.ok("", "new")));
         acceptWatches();
         EdgeNode node = node(new Clock(this::wallMs), member("s-0", old.address(), "Ready", wallMs() - WARM_MS));
         Socket held = client(node);
@@ -121,14 +121,14 @@
         awaitBody(other, "new");
         fresh.seen.clear();
         breakConnection.complete(null);
-        Peer.Message retried = fresh.next();
+        StubServer.Message retried = fresh.next();
         long elapsed = elapsedMs(sentNanos);
         assertEquals("held", retried.headers().get("x-trace-id"));
         long remaining = Long.parseLong(retried.headers().get("x-expires-in-ms"));
         assertTrue(
                 remaining <= EXPIRY_MS && remaining >= EXPIRY_MS - elapsed - MARGIN_MS,
                 remaining + " ms left after " + elapsed);
-        Peer.Message answer = Peer.read(held);
+        StubServer.Message answer = StubServer.read(held);
         assertEquals("200 new", status(answer) + " " + answer.body());
     }
 
@@ -136,8 +136,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1_000, -1_000, 10_000, -10_000, 3_600_000, -3_600_000})
     void aRequestThatNoServerAnswersFailsAtItsDeadline(long step) throws Exception {
-        Peer silent = peer(m -> {});
-        Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer silent = stubServer(m -> {});
+        StubServer fresh = stubServer(m -> m.answer(StubServer.ok("", "new")));
         acceptWatches();
         EdgeNode node = node(new Clock(this::wallMs), member("s-0", silent.address(), "Ready", 0));
         Socket client = client(node);
@@ -149,7 +149,7 @@
         clockOffsetMs.set(step);
         pushServerList(member("s-1", fresh.address(), "Ready", 0));
         awaitBody(other, "new");
-        assertNotEquals("200", status(Peer.read(client)));
+        assertNotEquals("200", status(StubServer.read(client)));
         assertTrue(
                 elapsedMs(sentNanos) >= SHORT_EXPIRY_MS - MARGIN_MS,
                 "failed early, after " + elapsedMs(sentNanos) + " ms");
@@ -159,7 +159,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1_000, -1_000, 10_000, -10_000, 3_600_000, -3_600_000})
     void aStepAroundAStartKeepsNoRequestFromBeingServed(long step) throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Clock clock = new Clock(this::wallMs);
         clockOffsetMs.set(step);
         assertEquals("200", ask(client(node(clock, warmMember(server))), "before-the-list"));
@@ -170,7 +170,7 @@
         assertEquals("200", ask(client(between), "between-list-and-request"));
     }
 
-    private String warmMember(Peer server) {
+    private String warmMember(StubServer server) {
         return member("s-0", server.address(), "Ready", wallMs() - WARM_MS);
     }
 }
--- a/src/test/java/rushpin/node/ClockTest.java
+++ b/src/test/java/rushpin/node/ClockTest.java
@@ -56,11 +56,11 @@
     @ValueSource(longs = {HOUR_MS, -HOUR_MS})
     void aNodeServesAcrossAJump(long jump) throws Exception {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             if (m.headers().get("x-trace-id").equals("held")) {
                 release.join();
             }
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         });
         EdgeNode node = new EdgeNode(Config.parse(config(member("s-0", server.address(), "Ready", 0))), null, clock);
         toClose.add(node);
@@ -77,6 +77,6 @@
         TimeUnit.MILLISECONDS.sleep(1_200);
         assertEquals("200", ask(other, "after"));
         release.complete(null);
-        assertEquals("200", status(Peer.read(held)));
+        assertEquals("200", status(StubServer.read(held)));
     }
 }
--- a/src/test/java/rushpin/node/ConsoleTest.java
+++ b/src/test/java/rushpin/node/ConsoleTest.java
@@ -71,13 +71,13 @@
     void aDisabledServerGetsNoRequestsUntilItIsEnabled() throws Exception {
         AtomicInteger first = new AtomicInteger();
         AtomicInteger second = new AtomicInteger();
-        Peer a = peer(m -> {
+        StubServer a = stubServer(m -> {
             first.incrementAndGet();
-            m.answer(Peer.ok("", "a"));
+            m.answer(StubServer.ok("", "a"));
         });
-        Peer b = peer(m -> {
+        StubServer b = stubServer(m -> {
             second.incrementAndGet();
-            m.answer(Peer.ok("", "b"));
+            m.answer(StubServer.ok("", "b"));
         });
         serve(config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0)));
         assertEquals("done\n", call("READY"));
@@ -107,12 +107,12 @@
     @Test
     void metricsCountWhatClientsAndServersSaw() throws Exception {
         AtomicInteger tries = new AtomicInteger();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             tries.incrementAndGet();
             m.answer(
                     m.headers().get("x-trace-id").startsWith("bad")
                             ? "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
-                            : Peer.ok("", "x"));
+                            : StubServer.ok("", "x"));
         });
         serve(config(member("s-0", server.address(), "Ready", 0)));
         Socket client = client(node);
@@ -138,20 +138,20 @@
     @Test
     void openRequestsAreActive() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             try {
                 release.await(60, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         });
         serve(config(member("s-0", server.address(), "Ready", 0)));
         Socket client = client(node);
         order(client, "held");
         await("node.active:1|g");
         release.countDown();
-        assertEquals("200", status(Peer.read(client)));
+        assertEquals("200", status(StubServer.read(client)));
         await("node.active:0|g");
         order(client, "left");
         client.close();
@@ -181,11 +181,11 @@
     @Test
     void poolsOfAnOperatorsFileFollowConsoleCalls() throws Exception {
         AtomicInteger first = new AtomicInteger();
-        Peer a = peer(m -> {
+        StubServer a = stubServer(m -> {
             first.incrementAndGet();
-            m.answer(Peer.ok("", "a"));
+            m.answer(StubServer.ok("", "a"));
         });
-        Peer b = peer(m -> m.answer(Peer.ok("", "b")));
+        StubServer b = stubServer(m -> m.answer(StubServer.ok("", "b")));
         Config config =
                 Config.parse(config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0)));
         OperatorState state = OperatorState.in(folder);
@@ -220,11 +220,11 @@
     @Test
     void anUnusableFolderEnablesNoServerAndStopsNothing() throws Exception {
         AtomicInteger first = new AtomicInteger();
-        Peer a = peer(m -> {
+        StubServer a = stubServer(m -> {
             first.incrementAndGet();
-            m.answer(Peer.ok("", "a"));
+            m.answer(StubServer.ok("", "a"));
         });
-        Peer b = peer(m -> m.answer(Peer.ok("", "b")));
+        StubServer b = stubServer(m -> m.answer(StubServer.ok("", "b")));
         serve(config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0)));
         Files.write(folder.resolve("out-%zz"), new byte[0]);
         assertEquals("done\n", call("DISABLE s-0"));
@@ -248,8 +248,8 @@
     /** Processes that share a folder: a call to one binds the others, and one that starts later. */
     @Test
     void aServerIsDisabledForAllProcessesOfTheNode() throws Exception {
-        Peer a = peer(m -> m.answer(Peer.ok("", "a")));
-        Peer b = peer(m -> m.answer(Peer.ok("", "b")));
+        StubServer a = stubServer(m -> m.answer(StubServer.ok("", "a")));
+        StubServer b = stubServer(m -> m.answer(StubServer.ok("", "b")));
         String config = config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0));
         OperatorState other = OperatorState.in(folder);
         EdgeNode before = new EdgeNode(Config.parse(config), null, other);
--- a/src/test/java/rushpin/node/CounterClientTest.java
+++ b/src/test/java/rushpin/node/CounterClientTest.java
@@ -41,7 +41,7 @@
                 .get();
     }
 
-    private Config counting(Peer at) throws Exception {
+    private Config counting(StubServer at) throws Exception {
         return Config.parse(config().replace(counter.address(), at.address())
                 .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
     }
@@ -61,9 +61,9 @@
         counting = m -> {
             if (counter.seen.size() == 1) {
                 go.join();
-                m.answer(Peer.ok("", "77"));
+                m.answer(StubServer.ok("", "77"));
             } else {
-                m.answer(Peer.ok("", "88"));
+                m.answer(StubServer.ok("", "88"));
             }
         };
         count(4, 1.5);
@@ -80,10 +80,10 @@
     @Test
     void afterAnAnswerThatCannotBeReadTheLineIsReplaced() throws Exception {
         for (String spoilt : List.of(
-                Peer.ok("", "1d"),
-                Peer.ok("", "0x1p3"),
-                Peer.ok("", ""),
-                Peer.ok("", "NaN"),
+                StubServer.ok("", "1d"),
+                StubServer.ok("", "0x1p3"),
+                StubServer.ok("", ""),
+                StubServer.ok("", "NaN"),
                 "noise",
                 "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\n1",
                 "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -93,8 +93,8 @@
             counting = m -> m.answer(spoilt);
             count(4, 1);
             assertTold("4 RESET 0.0");
-            Peer.Message first = counter.next();
-            counting = m -> m.answer(Peer.ok("", "5"));
+            StubServer.Message first = counter.next();
+            counting = m -> m.answer(StubServer.ok("", "5"));
             count(4, 1);
             assertTold("4 OK 5.0");
             assertNotSame(first.socket(), counter.next().socket(), spoilt);
@@ -107,9 +107,9 @@
         CompletableFuture<Void> go = new CompletableFuture<>();
         counting = m -> {
             go.join();
-            m.answer(Peer.ok("", "1"));
+            m.answer(StubServer.ok("", "1"));
         };
-        Peer elsewhere = peer(m -> m.answer(Peer.ok("", "2")));
+        StubServer elsewhere = stubServer(m -> m.answer(StubServer.ok("", "2")));
         count(4, 1);
         counter.next();
         Config moved = counting(elsewhere);
@@ -146,10 +146,10 @@
             if (m.first().contains("/tally/5?")) {
                 // Whose calls go by another connection: its answer waits while the loop is busy with this one's.
                 busy.join();
-                m.answer(Peer.ok("", "5"));
+                m.answer(StubServer.ok("", "5"));
                 second.complete(null);
             } else {
-                m.answer(Peer.ok("", "4"));
+                m.answer(StubServer.ok("", "4"));
             }
         };
         CounterClient slow = loop.submit(() -> new CounterClient(
@@ -182,7 +182,7 @@
         CompletableFuture<Void> go = new CompletableFuture<>();
         counting = m -> {
             go.join();
-            m.answer(Peer.ok("", "5"));
+            m.answer(StubServer.ok("", "5"));
         };
         loop.submit(() -> {
                     client.count(4, 1, LIFE);
--- a/src/test/java/rushpin/node/DescriptorsProcessTest.java
+++ b/src/test/java/rushpin/node/DescriptorsProcessTest.java
@@ -42,13 +42,13 @@
     /** A newcomer waits and is served later; nothing that is said of it ends the event loop, and with it the process. */
     @Test
     void whereNoneIsLeftNewcomersWaitAndTheOthersAreServed() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Daemon daemon = new Daemon(folder, config(member("s-0", server.address(), "Ready", 0)), null);
         toClose.add(daemon);
         int port = daemon.port();
         Socket first = client(port);
         // Until it has heard of its servers it is not ready.
-        while (!status(Peer.read(first)).equals("200")) {
+        while (!status(StubServer.read(first)).equals("200")) {
             write(first);
         }
         // Fewer numbers than newcomers: not all can be taken, however many are free below.
@@ -59,10 +59,10 @@
         }
         daemon.await("a new connection is not taken: java.io.IOException: Too many open files");
         write(first);
-        assertEquals("200", status(Peer.read(first)));
+        assertEquals("200", status(StubServer.read(first)));
         room(daemon.process, 1_000);
         for (Socket newcomer : newcomers) {
-            assertEquals("200", status(Peer.read(newcomer)));
+            assertEquals("200", status(StubServer.read(newcomer)));
         }
         daemon.signal("TERM");
         assertEquals(0, daemon.ended());
--- a/src/test/java/rushpin/node/EdgeNodeTest.java
+++ b/src/test/java/rushpin/node/EdgeNodeTest.java
@@ -23,14 +23,14 @@
 class EdgeNodeTest extends NodeTestBase {
     @Test
     void forwardsRequestsAndAnswersOverOneConnection() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("X-Units-Charged: 3\r\n", "done")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("X-Units-Charged: 3\r\n", "done")));
         Socket client = client(node(server));
         for (String id : List.of("t-1", "t-2")) {
             order(client, id);
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertEquals("200", status(answer));
             assertEquals("done", answer.body());
-            Peer.Message sent = server.next();
+            StubServer.Message sent = server.next();
             assertEquals("POST /api?slot=4 HTTP/1.1", sent.first());
             assertEquals("book", sent.body());
             assertEquals(id, sent.headers().get("x-trace-id"));
@@ -43,12 +43,12 @@
     /** Regression: a null channel in the connect listener failed the first request on every connection. */
     @Test
     void theFirstRequestOnANewConnectionIsServed() throws Exception {
-        assertEquals("200", ask(client(node(peer(m -> m.answer(Peer.ok("", "x"))))), "t-1"));
+        assertEquals("200", ask(client(node(stubServer(m -> m.answer(StubServer.ok("", "x"))))), "t-1"));
     }
 
     @Test
     void invalidRequestsAreRefusedAtOnce() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = node(server);
         Map<String, String> bad = new TreeMap<>(Map.of(
                 "X-Trace-Id",
@@ -70,7 +70,7 @@
             headers.put(one.getKey(), one.getValue());
             Socket client = client(node);
             write(client, "POST /api", headers, "");
-            assertEquals("400", status(Peer.read(client)), one.getKey());
+            assertEquals("400", status(StubServer.read(client)), one.getKey());
         }
         for (String quota : List.of(
                 "units=1,spread=0,first=0",
@@ -82,14 +82,14 @@
             headers.put("X-Quota", quota);
             Socket client = client(node);
             write(client, "POST /api", headers, "");
-            assertEquals("400", status(Peer.read(client)), quota);
+            assertEquals("400", status(StubServer.read(client)), quota);
         }
         Map<String, String> good = headers("t-1", "order", "20000");
         for (Map.Entry<String, String> one :
                 Map.of("GET /api", "405", "POST /elsewhere", "404").entrySet()) {
             Socket client = client(node);
             write(client, one.getKey(), good, "");
-            assertEquals(one.getValue(), status(Peer.read(client)), one.getKey());
+            assertEquals(one.getValue(), status(StubServer.read(client)), one.getKey());
         }
         assertTrue(server.seen.isEmpty(), "no invalid request may reach an app server");
     }
@@ -97,22 +97,22 @@
     @Test
     void aDuplicateOfAnOpenRequestIsRefusedAndTheFirstIsServed() throws Exception {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        Peer server = peer(after(release));
+        StubServer server = stubServer(after(release));
         EdgeNode node = node(server);
         Socket first = client(node);
         order(first, "t-1");
         server.next();
         assertEquals("409", ask(client(node), "t-1"));
         release.complete(null);
-        assertEquals("200", status(Peer.read(first)));
+        assertEquals("200", status(StubServer.read(first)));
     }
 
     @Test
     void aRefusedAttemptIsRetriedElsewhere() throws Exception {
-        Peer full = peer(m -> m.answer("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
-        Peer gone = peer(m -> {});
+        StubServer full = stubServer(m -> m.answer("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"));
+        StubServer gone = stubServer(m -> {});
         gone.close();
-        Peer good = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer good = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Socket client = client(node(full, gone, good));
         for (int i = 0; i < 8; i++) {
             assertEquals("200", ask(client, "t-" + i));
@@ -128,7 +128,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
                 "",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf")) {
-            Peer server = peer(m -> {
+            StubServer server = stubServer(m -> {
                 m.answer(answer);
                 if (!answer.startsWith("HTTP/1.1 50")) {
                     m.socket().close();
@@ -136,7 +136,7 @@
             });
             Socket client = client(node(server));
             write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
-            assertEquals("502", status(Peer.read(client)), answer);
+            assertEquals("502", status(StubServer.read(client)), answer);
             server.next();
             assertTrue(server.seen.isEmpty(), "the request must have been sent only once: " + answer);
         }
@@ -145,10 +145,10 @@
     /** If a server does not answer, the client gets an answer before its deadline, and the attempt ends. */
     @Test
     void aSilentServerTimesOutAndItsConnectionIsClosed() throws Exception {
-        Peer server = peer(m -> {});
+        StubServer server = stubServer(m -> {});
         Socket client = client(node(server));
         write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
-        assertEquals("502", status(Peer.read(client)));
+        assertEquals("502", status(StubServer.read(client)));
         server.next();
         assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
     }
@@ -156,7 +156,7 @@
     /** Regression: silent connections could occupy all sockets for good. */
     @Test
     void silentClientsAreClosedForNewOnes() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = start(
                 config(member("s-0", server.address(), "Ready", 0)).replace("\"sockets\": 1024", "\"sockets\": 16"));
         for (int i = 0; i < 30; i++) {
@@ -168,7 +168,7 @@
     @Test
     void aDrainAnswersAcceptedRequestsAndClosesConnections() throws Exception {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        Peer server = peer(after(release));
+        StubServer server = stubServer(after(release));
         EdgeNode node = node(server);
         Socket busy = client(node);
         order(busy, "t-1");
@@ -181,10 +181,10 @@
         assertFalse(drained.isDone());
         release.complete(null);
         for (Socket client : List.of(busy, late)) {
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertEquals("200", status(answer));
             assertEquals("close", answer.headers().get("connection"));
-            assertNull(Peer.read(client));
+            assertNull(StubServer.read(client));
         }
         drained.get(60, TimeUnit.SECONDS);
         // The kernel closes a listening socket when the selector next runs; until then connects may succeed.
@@ -197,12 +197,12 @@
 
     @Test
     void aWatchThatEndsIsResumedAfterItsLastRevision() throws Exception {
-        Peer moved = peer(m -> m.answer(Peer.ok("", "new")));
-        Peer old = peer(m -> m.answer(Peer.ok("", "old")));
+        StubServer moved = stubServer(m -> m.answer(StubServer.ok("", "new")));
+        StubServer old = stubServer(m -> m.answer(StubServer.ok("", "old")));
         String line = "{\"revision\":8,\"complete\":false,\"members\":["
                 + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000) + "]}\n";
         CompletableFuture<Void> release = new CompletableFuture<>();
-        discovery = peer(m -> {
+        discovery = stubServer(m -> {
             if (m.first().contains("after=5")) {
                 release.join();
                 m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
@@ -212,9 +212,9 @@
         EdgeNode node = node(old);
         Socket client = client(node);
         order(client, "t-1");
-        assertEquals("old", Peer.read(client).body());
+        assertEquals("old", StubServer.read(client).body());
         release.complete(null);
-        Peer.Message watch = discovery.next();
+        StubServer.Message watch = discovery.next();
         assertTrue(watch.first().contains("watch=1&after=5"));
         while (watch.first().contains("after=5")) {
             // A slow watch is duplicated.
@@ -224,14 +224,14 @@
         // The server restarted at another address: connections to the old one are closed, the new one is used.
         assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
         order(client, "t-2");
-        assertEquals("new", Peer.read(client).body());
+        assertEquals("new", StubServer.read(client).body());
     }
 
     /** Drains that discovery knows of bind from the start of a process, whatever the saved list contains. */
     @Test
     void nothingIsSentByTheSavedListBeforeDiscoveryAnswers() throws Exception {
-        Peer gone = peer(m -> m.answer(Peer.ok("", "old")));
-        Peer there = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer gone = stubServer(m -> m.answer(StubServer.ok("", "old")));
+        StubServer there = stubServer(m -> m.answer(StubServer.ok("", "new")));
         String line =
                 "{\"revision\":8,\"complete\":false,\"members\":[" + member("s-0", gone.address(), "Terminating", 0)
                         + "," + member("s-1", there.address(), "Ready", 0) + "]}\n";
@@ -239,7 +239,7 @@
         for (int i = 0; !timely; i++) {
             // The node waits 250 ms for discovery: a round in which the test took longer is repeated.
             CompletableFuture<Void> release = new CompletableFuture<>();
-            discovery = peer(m -> {
+            discovery = stubServer(m -> {
                 release.join();
                 m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                         + "\r\n" + line + "\r\n");
@@ -252,10 +252,10 @@
             // A node that did not wait would have sent the request by the time a second client is answered.
             Socket probe = client(node);
             write(probe, "GET /_health", java.util.Map.of("Host", "app.svc"), "");
-            boolean waits = status(Peer.read(probe)).equals("503");
+            boolean waits = status(StubServer.read(probe)).equals("503");
             release.complete(null);
             timely = waits && System.nanoTime() - began < 200_000_000L;
-            String body = Peer.read(client).body();
+            String body = StubServer.read(client).body();
             if (timely) {
                 assertEquals("new", body);
                 assertTrue(gone.seen.isEmpty(), "sent to a server that drains according to discovery");
@@ -267,9 +267,9 @@
     /** If an address kept its old ID, the new app server there would get requests after its own drain. */
     @Test
     void anAddressBelongsToTheServerThatStartedThereLast() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         List<CompletableFuture<Void>> release = List.of(new CompletableFuture<>(), new CompletableFuture<>());
-        discovery = peer(m -> {
+        discovery = stubServer(m -> {
             StringBuilder head = new StringBuilder("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (int i = 0; i < 2; i++) {
                 release.get(i).join();
@@ -293,7 +293,7 @@
         }
         Socket client = client(node);
         write(client, "POST /api", headers("t-2", "order", "1500"), "");
-        Peer.Message refusal = Peer.read(client);
+        StubServer.Message refusal = StubServer.read(client);
         assertEquals("429", status(refusal));
         double after = Double.parseDouble(refusal.headers().get("retry-after"));
         assertTrue(after > 0 && after <= 0.5, "Retry-After must be present and short enough for the client to follow");
@@ -303,9 +303,9 @@
     /** Regression: an error's body was read as a server list, because closing does not discard data already read. */
     @Test
     void anErrorBodyOfDiscoveryIsNotAServerList() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String list = "{\"revision\":9,\"complete\":true,\"members\":[]}\n";
-        discovery = peer(m -> m.answer("HTTP/1.1 404 No\r\nContent-Length: " + list.length() + "\r\n\r\n" + list));
+        discovery = stubServer(m -> m.answer("HTTP/1.1 404 No\r\nContent-Length: " + list.length() + "\r\n\r\n" + list));
         EdgeNode node = node(server);
         discovery.next();
         assertTrue(discovery.next().first().contains("after=5"), "the revision in an error's body was applied");
--- a/src/test/java/rushpin/node/FleetProcessTest.java
+++ b/src/test/java/rushpin/node/FleetProcessTest.java
@@ -34,7 +34,7 @@
             Map<String, String> headers = headers(id, "order", "20000");
             headers.put("X-Quota", "units=2,spread=" + spread + ",first=0");
             write(client, "POST /api", headers, "book");
-            return status(Peer.read(client));
+            return status(StubServer.read(client));
         }
     }
 
@@ -81,14 +81,14 @@
         while (!health.equals(wanted)) {
             looking.getOutputStream()
                     .write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            health = status(Peer.read(looking));
+            health = status(StubServer.read(looking));
         }
     }
 
     @Test
     void theWordToEndTwiceLosesNothing() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(after(go));
+        StubServer server = stubServer(after(go));
         Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), null);
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port);
@@ -102,7 +102,7 @@
             daemon.process.destroy();
             awaitHealth(looking, "503");
             go.complete(null);
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertNotNull(answer, "what was taken is answered");
             assertEquals("200", status(answer));
             assertEquals("close", answer.headers().get("connection"));
@@ -113,7 +113,7 @@
     /** Killed with use that no call could tell: the next start tells it, once. */
     @Test
     void useThatAKilledProcessHadNotToldIsToldByTheNext() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String config = config(member("s-0", server.address(), "Ready", 0));
         Daemon first = daemon(
                 config.replace(counter.address(), "127.0.0.1:" + Daemon.free()),
@@ -144,7 +144,7 @@
 
     @Test
     void twoProcessesMayServeOneAddressWhereBothSaySo() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String config = config(member("s-0", server.address(), "Ready", 0));
         Daemon first = daemon(config, Daemon.operator("listener = \"reuseport\"\n"));
         int port = first.port();
--- a/src/test/java/rushpin/node/FrozenProcessTest.java
+++ b/src/test/java/rushpin/node/FrozenProcessTest.java
@@ -23,7 +23,7 @@
     @TempDir
     Path folder;
     /** All that there were: one that is not answered in time, as on a crowded machine, is followed by another. */
-    private final List<Peer.Message> watches = new ArrayList<>();
+    private final List<StubServer.Message> watches = new ArrayList<>();
 
     private String told = "";
 
@@ -43,7 +43,7 @@
     }
 
     private void watched() throws Exception {
-        discovery = peer(m -> {
+        discovery = stubServer(m -> {
             synchronized (watches) {
                 m.answer(UNCHANGED + told);
                 watches.add(m);
@@ -64,7 +64,7 @@
     private void tell(String list) {
         synchronized (watches) {
             told = chunk(list);
-            for (Peer.Message watch : watches) {
+            for (StubServer.Message watch : watches) {
                 try {
                     watch.answer(told);
                 } catch (IOException e) {
@@ -90,9 +90,9 @@
     void whatAServerAnsweredInTimeIsNotServedLate() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         CompletableFuture<Void> answered = new CompletableFuture<>();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             go.join();
-            m.answer(Peer.ok("", "late"));
+            m.answer(StubServer.ok("", "late"));
             answered.complete(null);
         });
         Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
@@ -107,7 +107,7 @@
             // The claim is about time that passes: 5 s, well beyond the 2 s that the client waits.
             TimeUnit.SECONDS.sleep(5);
             daemon.signal("CONT");
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertNotEquals("200", status(answer), "answered late as served");
         }
     }
@@ -116,8 +116,8 @@
     @Test
     void nothingGoesToAServerThatDrainedMeanwhile() throws Exception {
         watched();
-        Peer gone = peer(m -> m.answer(Peer.ok("", "old")));
-        Peer there = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer gone = stubServer(m -> m.answer(StubServer.ok("", "old")));
+        StubServer there = stubServer(m -> m.answer(StubServer.ok("", "new")));
         Daemon daemon = daemon(config(member("s-0", gone.address(), "Ready", 0)));
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port);
@@ -125,7 +125,7 @@
             client.setSoTimeout(60_000);
             second.setSoTimeout(60_000);
             order(client, "t-1", 20_000);
-            assertEquals("old", Peer.read(client).body());
+            assertEquals("old", StubServer.read(client).body());
             gone.next();
             awaitWatch();
             stopped(daemon);
@@ -136,8 +136,8 @@
                     + "," + member("s-1", there.address(), "Ready", 0) + "]}");
             TimeUnit.MILLISECONDS.sleep(1_500);
             daemon.signal("CONT");
-            assertEquals("new", Peer.read(client).body());
-            assertEquals("new", Peer.read(second).body());
+            assertEquals("new", StubServer.read(client).body());
+            assertEquals("new", StubServer.read(second).body());
             assertTrue(gone.seen.isEmpty(), "sent to a server that had drained: " + gone.seen);
         }
         daemon.signal("TERM");
@@ -148,19 +148,19 @@
     /** Its client has long given up; it is told at once that nothing was done. */
     @Test
     void aRequestAsOldAsTheStopIsTurnedAwayAndNotSent() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(60_000);
             order(client, "t-1", 20_000);
-            assertEquals("200", status(Peer.read(client)));
+            assertEquals("200", status(StubServer.read(client)));
             server.next();
             stopped(daemon);
             order(client, "t-2", 2_000);
             TimeUnit.MILLISECONDS.sleep(2_100);
             daemon.signal("CONT");
-            assertEquals("429", status(Peer.read(client)), "to come again is harmless");
+            assertEquals("429", status(StubServer.read(client)), "to come again is harmless");
             assertTrue(server.seen.isEmpty());
         }
     }
@@ -168,13 +168,13 @@
     /** Guards against requests that are sent on after their time, since more of them wait than one settling span reads. */
     @Test
     void requestsOnAllNewConnectionsAreAsOldAsTheStop() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(60_000);
             order(client, "warm", 20_000);
-            assertEquals("200", status(Peer.read(client)));
+            assertEquals("200", status(StubServer.read(client)));
         }
         server.next();
         stopped(daemon);
@@ -191,7 +191,7 @@
         TimeUnit.MILLISECONDS.sleep(2_100);
         daemon.signal("CONT");
         for (Socket client : stay) {
-            assertTrue(List.of("429", "503").contains(status(Peer.read(client))), "to come again is harmless");
+            assertTrue(List.of("429", "503").contains(status(StubServer.read(client))), "to come again is harmless");
         }
         assertTrue(server.seen.isEmpty(), server.seen.size() + " were sent on after their time");
     }
--- a/src/test/java/rushpin/node/HangupAtStartTest.java
+++ b/src/test/java/rushpin/node/HangupAtStartTest.java
@@ -21,7 +21,7 @@
     @Test
     void aHangupBehindTheLastReadIsHeardWhenTheNodeHasStarted() throws Exception {
         CompletableFuture<Void> watched = new CompletableFuture<>();
-        Peer moved = peer(m -> {
+        StubServer moved = stubServer(m -> {
             m.answer(UNCHANGED);
             watched.complete(null);
         });
--- a/src/test/java/rushpin/node/HeldSocketProcessTest.java
+++ b/src/test/java/rushpin/node/HeldSocketProcessTest.java
@@ -26,7 +26,7 @@
     @TempDir
     Path folder;
 
-    private SocketHolder holder(Peer server) throws Exception {
+    private SocketHolder holder(StubServer server) throws Exception {
         SocketHolder made = new SocketHolder(folder, config(member("s-0", server.address(), "Ready", 0)));
         toClose.add(made);
         return made;
@@ -47,7 +47,7 @@
     /** Guards against requests that are sent on after their time, since what waited before the start counted as new. */
     @Test
     void whatWaitedForAProcessBeyondItsTimeIsTurnedAway() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         SocketHolder holder = holder(server);
         List<Socket> stay = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -57,19 +57,19 @@
         TimeUnit.MILLISECONDS.sleep(AWAY_MS);
         holder.serve();
         for (Socket client : stay) {
-            assertTrue(Set.of("429", "503").contains(status(Peer.read(client))), "to come again is harmless");
+            assertTrue(Set.of("429", "503").contains(status(StubServer.read(client))), "to come again is harmless");
         }
         assertTrue(server.seen.isEmpty(), server.seen.size() + " were sent on after their time");
         Map<String, String> inTime = headers("in-time", "order", "20000");
         write(stay.get(0), "POST /api", inTime, "book");
         assertEquals(
-                "200", status(Peer.read(stay.get(0))), "the same connection's next request came while somebody read");
+                "200", status(StubServer.read(stay.get(0))), "the same connection's next request came while somebody read");
     }
 
     /** Guards against an effect that happens twice (NO_EFFECT_TWICE of FleetTest): servers have forgotten the key by then. */
     @Test
     void aKeyedRequestThatRanBeforeAKillIsNotSentAgainAfterItsTime() throws Exception {
-        Peer server = peer(m -> {});
+        StubServer server = stubServer(m -> {});
         SocketHolder holder = holder(server);
         ProcessHandle first = holder.serve();
         Socket before = write(holder, "order-1", "20000");
@@ -80,7 +80,7 @@
         Socket again = write(holder, "order-1");
         TimeUnit.MILLISECONDS.sleep(AWAY_MS);
         holder.serve();
-        assertTrue(Set.of("429", "503").contains(status(Peer.read(again))));
+        assertTrue(Set.of("429", "503").contains(status(StubServer.read(again))));
         assertTrue(server.seen.isEmpty(), "it runs again after its time");
     }
 }
--- a/src/test/java/rushpin/node/KilledProcessTest.java
+++ b/src/test/java/rushpin/node/KilledProcessTest.java
@@ -59,7 +59,7 @@
     @Test
     void aKillInTheDrainForgetsNothingThatServersSaw() throws Exception {
         CompletableFuture<Void> never = new CompletableFuture<>();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             if (m.first().contains("half")) {
                 m.answer("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal");
             }
@@ -85,7 +85,7 @@
             while (!health.equals("503")) {
                 looking.getOutputStream()
                         .write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                health = status(Peer.read(looking));
+                health = status(StubServer.read(looking));
             }
         }
         first.process.destroyForcibly();
@@ -101,7 +101,7 @@
     /** A limit on the size of files stands for a disk without room: a write fails in the middle of the record. */
     @Test
     void aDiskWithoutRoomIsOneLineAndServiceGoesOn() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         // 256 blocks of 512 or 1,024 bytes, below the record's mebibyte; the class archive and libraries are only read.
         Daemon daemon = daemon(
                 config(member("s-0", server.address(), "Ready", 0)),
@@ -110,7 +110,7 @@
         for (int i = 0; i < 3; i++) {
             Socket client = client(port);
             ask(client, "t-" + i, 1);
-            assertEquals("200", status(Peer.read(client)));
+            assertEquals("200", status(StubServer.read(client)));
         }
         daemon.signal("TERM");
         assertEquals(0, daemon.ended());
@@ -129,7 +129,7 @@
     @Test
     void theWordToEndAmongReloadsLosesNothing() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(after(go));
+        StubServer server = stubServer(after(go));
         String config = config(member("s-0", server.address(), "Ready", 0));
         Daemon daemon = daemon(config, List.of());
         int port = daemon.port();
@@ -149,7 +149,7 @@
         }
         go.complete(null);
         for (Socket client : clients) {
-            assertEquals("200", status(Peer.read(client)));
+            assertEquals("200", status(StubServer.read(client)));
         }
         assertEquals(0, daemon.ended());
         assertTrue(server.seen.isEmpty(), "nothing is sent twice: " + server.seen);
--- a/src/test/java/rushpin/node/LastAnswerTest.java
+++ b/src/test/java/rushpin/node/LastAnswerTest.java
@@ -49,9 +49,9 @@
     @Test
     void anAnswerThatIsStillOnItsWayComesWholeThoughItsClientSentMore() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             go.join();
-            m.answer(Peer.ok("", "x".repeat(LONG)));
+            m.answer(StubServer.ok("", "x".repeat(LONG)));
         });
         EdgeNode node = node(server);
         Socket client = slowClient(node);
--- a/src/test/java/rushpin/node/LateConnectTest.java
+++ b/src/test/java/rushpin/node/LateConnectTest.java
@@ -91,7 +91,7 @@
             }
             in.skip(Long.parseLong(head.getOrDefault("content-length", "0")));
             heads.add(head);
-            from.getOutputStream().write(Peer.ok("", "x").getBytes(StandardCharsets.US_ASCII));
+            from.getOutputStream().write(StubServer.ok("", "x").getBytes(StandardCharsets.US_ASCII));
         }
         ended.add(from);
     }
@@ -158,11 +158,11 @@
     }
 
     /** Told by the loop itself, behind its next look at the sockets: by then it knows that the connection is up. */
-    private void tellDrain(Iterable<Peer.Message> watches) {
+    private void tellDrain(Iterable<StubServer.Message> watches) {
         String drain = "{\"revision\":6,\"complete\":false,\"members\":[" + member("s-0", connectedTo, "Terminating", 0)
                 + "]}\n";
         try {
-            for (Peer.Message watch : watches) {
+            for (StubServer.Message watch : watches) {
                 watch.answer(Integer.toHexString(drain.length()) + "\r\n" + drain + "\r\n");
             }
         } catch (IOException e) {
@@ -173,8 +173,8 @@
     /** The process has no core while the connection comes up; its server's drain is told just after that. */
     @Test
     void aServerThatDrainsWhileItsConnectionIsMadeGetsNothingBehindAPause() throws Exception {
-        BlockingQueue<Peer.Message> watches = new LinkedBlockingQueue<>();
-        discovery = peer(m -> {
+        BlockingQueue<StubServer.Message> watches = new LinkedBlockingQueue<>();
+        discovery = stubServer(m -> {
             m.answer(UNCHANGED);
             watches.add(m);
         });
--- a/src/test/java/rushpin/node/LeakTest.java
+++ b/src/test/java/rushpin/node/LeakTest.java
@@ -9,14 +9,14 @@
 class LeakTest extends NodeTestBase {
     @Test
     void whatClientsAndServersBreakOffIsReleased() throws Exception {
-        Peer spoilt = peer(m -> m.answer("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\npart"));
-        Peer broken = peer(m -> m.socket().close());
+        StubServer spoilt = stubServer(m -> m.answer("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\npart"));
+        StubServer broken = stubServer(m -> m.socket().close());
         EdgeNode node = node(spoilt, broken);
         for (int i = 0; i < 60; i++) {
             Socket whole = client(node);
             order(whole, "w-" + i);
             if (i % 2 == 0) {
-                Peer.read(whole);
+                StubServer.read(whole);
             }
             whole.close();
             Socket half = client(node);
@@ -28,14 +28,14 @@
             System.gc();
             Socket other = client(node);
             order(other, "x-" + i);
-            Peer.read(other);
+            StubServer.read(other);
         }
         Leaks.assertNone();
     }
 
-    private Peer.Message askElsewhere(EdgeNode node) throws Exception {
+    private StubServer.Message askElsewhere(EdgeNode node) throws Exception {
         Socket client = client(node);
         write(client, "GET /elsewhere", headers("e", "lookup", "20000"), "");
-        return Peer.read(client);
+        return StubServer.read(client);
     }
 }
--- a/src/test/java/rushpin/node/LongBodyTest.java
+++ b/src/test/java/rushpin/node/LongBodyTest.java
@@ -131,7 +131,7 @@
     @ValueSource(strings = {"length", "chunked", "close"})
     void aLongAnswerArrivesUnchangedInEveryFraming(String framing) throws Exception {
         byte[] all = randomBytes(3_000_000, 1);
-        Peer server = peer(m -> writeResponse(m.socket(), framing, all, 50_000, 0));
+        StubServer server = stubServer(m -> writeResponse(m.socket(), framing, all, 50_000, 0));
         Socket client = client(node(server));
         for (int i = 0; i < 3; i++) {
             order(client, "t-" + i);
@@ -145,7 +145,7 @@
     @ValueSource(strings = {"length", "chunked", "close"})
     void aShortAnswerSentInPiecesArrivesInEveryFraming(String framing) throws Exception {
         byte[] all = randomBytes(900, 2);
-        Peer server = peer(m -> writeResponse(m.socket(), framing, all, 250, 90));
+        StubServer server = stubServer(m -> writeResponse(m.socket(), framing, all, 250, 90));
         Socket client = client(node(server));
         for (int i = 0; i < 3; i++) {
             order(client, "t-" + i);
@@ -159,9 +159,9 @@
     void aSlowClientSlowsDownItsServerAndNoOtherRequest() throws Exception {
         byte[] all = randomBytes(16_000_000, 3);
         AtomicLong written = new AtomicLong();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             if (!m.headers().get("x-trace-id").equals("slow")) {
-                m.answer(Peer.ok("", "x"));
+                m.answer(StubServer.ok("", "x"));
                 return;
             }
             writeText(m.socket(), "HTTP/1.1 200 OK\r\nContent-Length: " + all.length + "\r\n\r\n");
@@ -195,7 +195,7 @@
     void anAnswerThatBreaksOffIsVisiblyTruncatedForTheClient(String framing) throws Exception {
         byte[] all = randomBytes(400_000, 4);
         AtomicInteger attempts = new AtomicInteger();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             attempts.incrementAndGet();
             writeText(
                     m.socket(),
@@ -220,7 +220,7 @@
     void aClientThatDisconnectsDuringAnAnswerFreesItsServer() throws Exception {
         byte[] all = randomBytes(64_000, 5);
         CountDownLatch writeEnded = new CountDownLatch(1);
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             writeText(m.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             try {
                 for (int i = 0; i < 100_000; i++) {
@@ -240,7 +240,7 @@
     @Test
     void anEndlessAnswerIsCutAtTheSizeLimit() throws Exception {
         byte[] all = randomBytes(1_000_000, 6);
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             writeText(m.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (int i = 0; i < 60; i++) {
                 writeChunk(m.socket().getOutputStream(), all, 0, all.length);
@@ -253,8 +253,8 @@
     }
 
     /** A server that reads whole request bodies in either framing, adds them to the queue and answers 200. */
-    private Peer bodyCollector(BlockingQueue<byte[]> received, int delayMs) throws IOException {
-        return peer(m -> {
+    private StubServer bodyCollector(BlockingQueue<byte[]> received, int delayMs) throws IOException {
+        return stubServer(m -> {
             InputStream in = m.socket().getInputStream();
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             if ("chunked".equals(m.headers().get("transfer-encoding"))) {
@@ -270,7 +270,7 @@
                 all.write(m.body().getBytes(StandardCharsets.ISO_8859_1));
             }
             received.add(all.toByteArray());
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         });
     }
 
@@ -311,7 +311,7 @@
                 }
                 out.write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             }
-            assertEquals("200", status(Peer.read(client)), framing);
+            assertEquals("200", status(StubServer.read(client)), framing);
             assertArrayEquals(all, received.poll(60, TimeUnit.SECONDS), framing);
         }
     }
@@ -328,14 +328,14 @@
             Thread.sleep(120);
         }
         writeText(client, "0\r\n\r\n");
-        assertEquals("200", status(Peer.read(client)));
+        assertEquals("200", status(StubServer.read(client)));
         assertArrayEquals(all, received.poll(60, TimeUnit.SECONDS));
     }
 
     @Test
     void aServerThatResetsDuringARequestBodyGetsNoSecondAttempt() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             attempts.incrementAndGet();
             m.socket().getInputStream().readNBytes(200_000);
             m.socket().setSoLinger(true, 0);
@@ -355,7 +355,7 @@
             }
         });
         writer.start();
-        String status = status(Peer.read(client));
+        String status = status(StubServer.read(client));
         assertTrue(
                 status.equals("503") || status.equals("429"),
                 "the server never had the last byte, so the request did not run: " + status);
@@ -367,9 +367,9 @@
     void aClientThatDisconnectsDuringItsBodyEndsTheServersRequest() throws Exception {
         CountDownLatch began = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             if (!m.headers().containsKey("transfer-encoding")) {
-                m.answer(Peer.ok("", "x"));
+                m.answer(StubServer.ok("", "x"));
                 return;
             }
             began.countDown();
@@ -404,7 +404,7 @@
                 writeChunk(client.getOutputStream(), all, 0, all.length);
             }
             writeText(client, "0\r\n\r\n");
-            String status = status(Peer.read(client));
+            String status = status(StubServer.read(client));
             assertEquals("413", status);
         } catch (IOException | AssertionError e) {
             // The connection was cut while the client was writing, so there is no response to read.
@@ -417,7 +417,7 @@
     void aClientUnderBackpressureDoesNotRunIntoTheReadTimeout() throws Exception {
         BlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         AtomicInteger pauses = new AtomicInteger();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             InputStream in = m.socket().getInputStream();
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             for (int size = Integer.parseInt(readLine(in), 16); size > 0; size = Integer.parseInt(readLine(in), 16)) {
@@ -429,7 +429,7 @@
             }
             readLine(in);
             received.add(all.toByteArray());
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         });
         Socket client = client(node(server));
         writeHead(client, "t-1", "20000", "Transfer-Encoding: chunked");
@@ -438,26 +438,26 @@
             writeChunk(client.getOutputStream(), all, at, 100_000);
         }
         writeText(client, "0\r\n\r\n");
-        assertEquals("200", status(Peer.read(client)));
+        assertEquals("200", status(StubServer.read(client)));
         assertArrayEquals(all, received.poll(60, TimeUnit.SECONDS));
     }
 
     @Test
     void aHealthCheckWithALargeBodyIsRejected() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Socket client = client(node(server));
         writeText(client, "GET /_health HTTP/1.1\r\nHost: x\r\nContent-Length: 400000\r\n\r\n");
         client.getOutputStream().write(letters(300_000));
-        assertEquals("413", status(Peer.read(client)));
+        assertEquals("413", status(StubServer.read(client)));
     }
 
     /** A request with the id of one in flight on another connection gets 409 before all of its body has arrived. */
     @Test
     void aDuplicateIsRejectedBeforeItsBodyIsComplete() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             release.await(60, TimeUnit.SECONDS);
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         });
         EdgeNode node = node(server);
         Socket first = client(node);
@@ -466,26 +466,26 @@
         server.next();
         writeHead(second, "same", "20000", "Content-Length: 900000");
         second.getOutputStream().write(letters(300_000));
-        assertEquals("409", status(Peer.read(second)));
+        assertEquals("409", status(StubServer.read(second)));
         release.countDown();
-        assertEquals("200", status(Peer.read(first)));
+        assertEquals("200", status(StubServer.read(first)));
     }
 
     @Test
     void aBodyThatStallsTimesOut() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Socket client = client(node(server));
         writeHead(client, "t-1", "20000", "Content-Length: 500000");
         client.getOutputStream().write(letters(300_000));
         // 300,000 bytes are more than the node buffers: the body is being streamed, and the read timeout still applies.
-        assertEquals("408", status(Peer.read(client)));
+        assertEquals("408", status(StubServer.read(client)));
         assertEquals(-1, client.getInputStream().read(), "an incomplete body must not hold a connection forever");
     }
 
     @Test
     void manyConcurrentLargeAnswersAllArrive() throws Exception {
         byte[] all = randomBytes(2_000_000, 9);
-        Peer server = peer(m -> writeResponse(m.socket(), "chunked", all, 20_000, 0));
+        StubServer server = stubServer(m -> writeResponse(m.socket(), "chunked", all, 20_000, 0));
         EdgeNode node = node(server);
         AtomicInteger correct = new AtomicInteger();
         Thread[] threads = new Thread[5];
@@ -509,8 +509,8 @@
     }
 
     /** A server that sends enough for its answer to be streamed, and then nothing until the latch opens. */
-    private Peer stallingServer(CountDownLatch done) throws IOException {
-        return peer(m -> {
+    private StubServer stallingServer(CountDownLatch done) throws IOException {
+        return stubServer(m -> {
             writeText(m.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (int i = 0; i < 6; i++) {
                 writeChunk(m.socket().getOutputStream(), letters(5), 0, 5);
@@ -555,7 +555,7 @@
     @Test
     void anAnswerThatKeepsArrivingMayPassTheClientsDeadline() throws Exception {
         byte[] all = randomBytes(250_000, 11);
-        Peer server = peer(m -> writeResponse(m.socket(), "chunked", all, 25_000, 300));
+        StubServer server = stubServer(m -> writeResponse(m.socket(), "chunked", all, 25_000, 300));
         Socket client = client(node(server));
         write(client, "POST /api", headers("t-1", "order", "2000"), "book");
         assertArrayEquals(all, readBody(client));
--- a/src/test/java/rushpin/node/MalformedAnswerTest.java
+++ b/src/test/java/rushpin/node/MalformedAnswerTest.java
@@ -26,11 +26,11 @@
                 "\r\n",
                 "noise",
                 "HTTP/1.1 100 Continue\r\n\r\n")) {
-            Peer server = peer(m -> m.answer(Peer.ok("", m.headers().get("x-trace-id")) + extra));
+            StubServer server = stubServer(m -> m.answer(StubServer.ok("", m.headers().get("x-trace-id")) + extra));
             Socket client = client(node(server));
             for (String id : List.of("t-1", "t-2", "t-3")) {
                 order(client, id);
-                Peer.Message answer = Peer.read(client);
+                StubServer.Message answer = StubServer.read(client);
                 assertEquals("200", status(answer), extra);
                 assertEquals(id, answer.body(), extra);
                 assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "a connection with extra bytes must be closed");
@@ -41,8 +41,8 @@
     @Test
     void bytesOnAnIdleConnectionCloseIt() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(m -> {
-            m.answer(Peer.ok("", "x"));
+        StubServer server = stubServer(m -> {
+            m.answer(StubServer.ok("", "x"));
             go.join();
             m.answer("H");
         });
@@ -71,19 +71,19 @@
                 "HTTP/1.1 200 OK\r\nX-Open: end",
                 "HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
-            Peer[] server = new Peer[1];
-            server[0] = peer(m -> m.answer(server[0].seen.size() == 1 ? malformed : Peer.ok("", "good")));
+            StubServer[] server = new StubServer[1];
+            server[0] = stubServer(m -> m.answer(server[0].seen.size() == 1 ? malformed : StubServer.ok("", "good")));
             Socket client = client(node(server[0]));
             client.setSoTimeout(9_000);
             order(client, "t-1");
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertEquals("200", status(answer), malformed);
             assertEquals("good", answer.body(), malformed);
             // The attempt may have run, so a request that must not run twice is not retried.
-            Peer strict = peer(m -> m.answer(malformed));
+            StubServer strict = stubServer(m -> m.answer(malformed));
             Socket other = client(node(strict));
             write(other, "POST /api", headers("t-2", "strict", "20000"), "book");
-            assertEquals("502", status(Peer.read(other)), malformed);
+            assertEquals("502", status(StubServer.read(other)), malformed);
             strict.next();
             assertTrue(strict.seen.isEmpty(), "the request must be sent only once: " + malformed);
         }
@@ -91,12 +91,12 @@
 
     @Test
     void informationalResponsesBeforeAnAnswerAreSkipped() throws Exception {
-        Peer server = peer(m -> m.answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: </x>\r\n\r\n"
-                + Peer.ok("X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n", "good")));
+        StubServer server = stubServer(m -> m.answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: </x>\r\n\r\n"
+                + StubServer.ok("X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n", "good")));
         Socket client = client(node(server));
         for (String id : List.of("t-1", "t-2")) {
             order(client, id);
-            assertEquals("good", Peer.read(client).body());
+            assertEquals("good", StubServer.read(client).body());
         }
     }
 }
--- a/src/test/java/rushpin/node/MisbehavingClientTest.java
+++ b/src/test/java/rushpin/node/MisbehavingClientTest.java
@@ -35,10 +35,10 @@
     /** Expects this status and a close; a reset will do where the node closes with much unread. */
     private static void assertRefused(Socket client, String status, String message) throws IOException {
         try {
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertEquals(status, status(answer), message);
             assertEquals("close", answer.headers().get("connection"), message);
-            assertNull(Peer.read(client), message);
+            assertNull(StubServer.read(client), message);
         } catch (SocketException e) {
             assertTrue(e.getMessage().contains("reset"), message + ": " + e);
         }
@@ -47,7 +47,7 @@
     /** Request smuggling: bytes after a rejected message may belong to its body and must not be read as a request. */
     @Test
     void nothingAfterARejectedMessageIsRead() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = node(server);
         String validRequest = headOf(headers("t-2", "order", "20000"), "POST /api") + "Content-Length: 0\r\n\r\n";
         String head = headOf(headers("t-1", "order", "20000"), "POST /api");
@@ -82,7 +82,7 @@
 
     @Test
     void aBodyThatIsTooLargeIsRejectedUnread() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = node(server);
         String head = headOf(headers("t-1", "order", "20000"), "POST /api");
         for (String lengthAndBody :
@@ -98,7 +98,7 @@
     @Test
     void silentAndHalfRequestsTimeOutAndARequestInFlightDoesNot() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(after(go));
+        StubServer server = stubServer(after(go));
         EdgeNode node = node(server);
         Socket busy = client(node);
         order(busy, "t-1");
@@ -110,11 +110,11 @@
         Socket silent = client(node);
         assertRefused(halfHead, "408", "incomplete head");
         assertRefused(halfBody, "408", "incomplete body");
-        assertNull(Peer.read(silent));
+        assertNull(StubServer.read(silent));
         // The request has been in flight for longer than all of these timeouts.
         go.complete(null);
-        assertEquals("200", status(Peer.read(busy)));
-        assertNull(Peer.read(busy), "the connection is idle then and must be closed");
+        assertEquals("200", status(StubServer.read(busy)));
+        assertNull(StubServer.read(busy), "the connection is idle then and must be closed");
     }
 
     /**
@@ -126,9 +126,9 @@
     void pipelinedRequestsStayUnread() throws Exception {
         int count = 400;
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             go.join();
-            m.answer(Peer.ok("", m.headers().get("x-trace-id")));
+            m.answer(StubServer.ok("", m.headers().get("x-trace-id")));
         });
         EdgeNode node = node(server);
         Socket pipelining = client(node);
@@ -148,11 +148,11 @@
         server.next();
         assertFalse(written.isDone(), "the node has read all 25 MB ahead");
         go.complete(null);
-        assertEquals("200", status(Peer.read(other)));
-        assertEquals("a-0", Peer.read(pipelining).body());
+        assertEquals("200", status(StubServer.read(other)));
+        assertEquals("a-0", StubServer.read(pipelining).body());
         List<String> served = new ArrayList<>();
         for (int i = 1; i < count; i++) {
-            Peer.Message answer = Peer.read(pipelining);
+            StubServer.Message answer = StubServer.read(pipelining);
             if (!status(answer).equals("503")) {
                 assertEquals("a-" + i, answer.body());
                 served.add("a-" + i);
@@ -175,11 +175,11 @@
     @Test
     void aClientThatPipelinesFarAheadAndDisconnectsIsNotServed() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             if (!m.headers().get("x-trace-id").equals("first")) {
                 go.join();
             }
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         });
         EdgeNode node = node(server);
         Socket pipelining = client(node);
@@ -209,9 +209,9 @@
     void aClientThatDisconnectsAfterItsNextRequestIsNotServed() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         CompletableFuture<Void> answered = new CompletableFuture<>();
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             go.join();
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
             answered.complete(null);
         });
         EdgeNode node = node(server);
@@ -253,14 +253,14 @@
     /** Guards against clients that hold idle connections until none are left for others. */
     @Test
     void idleConnectionsAreLimited() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "done")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "done")));
         EdgeNode node =
                 start(config(member("s-0", server.address(), "Ready", 0)).replace("1024", "96"));
         Socket last = null;
         for (int i = 0; i < 30; i++) {
             last = client(node);
             order(last, "k-" + i);
-            Peer.Message answer = Peer.read(last);
+            StubServer.Message answer = StubServer.read(last);
             assertEquals("200", status(answer));
             if (i == 20) {
                 assertEquals("close", answer.headers().get("connection"), "the answer must announce the close");
--- a/src/test/java/rushpin/node/NodeTestBase.java
+++ b/src/test/java/rushpin/node/NodeTestBase.java
@@ -25,9 +25,9 @@
 abstract class NodeTestBase {
     static final String UNCHANGED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
     final List<AutoCloseable> toClose = new ArrayList<>();
-    Peer discovery;
-    Peer counter;
-    volatile Peer.Script counting = m -> m.answer(Peer.ok("", "1"));
+    StubServer discovery;
+    StubServer counter;
+    volatile StubServer.Script counting = m -> m.answer(StubServer.ok("", "1"));
 
     static {
         Leaks.watch();
@@ -35,8 +35,8 @@
 
     @BeforeEach
     void peers() throws IOException {
-        discovery = peer(m -> m.answer(UNCHANGED));
-        counter = peer(m -> counting.on(m));
+        discovery = stubServer(m -> m.answer(UNCHANGED));
+        counter = stubServer(m -> counting.on(m));
     }
 
     @AfterEach
@@ -47,8 +47,8 @@
         Leaks.assertNone();
     }
 
-    Peer peer(Peer.Script script) throws IOException {
-        Peer peer = new Peer(script);
+    StubServer stubServer(StubServer.Script script) throws IOException {
+        StubServer peer = new StubServer(script);
         toClose.add(peer);
         return peer;
     }
@@ -66,7 +66,7 @@
                 .replace("MEMBERS", String.join(",", members));
     }
 
-    EdgeNode node(Peer... servers) throws Exception {
+    EdgeNode node(StubServer... servers) throws Exception {
         String[] members = new String[servers.length];
         for (int i = 0; i < members.length; i++) {
             members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
@@ -152,10 +152,10 @@
     }
 
     /** Answers once it may. */
-    static Peer.Script after(CompletableFuture<Void> go) {
+    static StubServer.Script after(CompletableFuture<Void> go) {
         return m -> {
             go.join();
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         };
     }
 
@@ -168,13 +168,13 @@
         }
     }
 
-    static String status(Peer.Message answer) {
+    static String status(StubServer.Message answer) {
         assertNotNull(answer, "the connection ended without an answer");
         return answer.first().split(" ")[1];
     }
 
     static String ask(Socket client, String id) throws IOException {
         order(client, id);
-        return status(Peer.read(client));
+        return status(StubServer.read(client));
     }
 }
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -44,7 +44,7 @@
             Map<String, String> headers = headers(id, "order", "20000");
             headers.put("Host", host);
             write(client, "POST /api", headers, "book");
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertNotNull(answer);
             return status(answer);
         }
@@ -63,7 +63,7 @@
 
     @Test
     void aReloadIsTheWholeNewFileOrNothing() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"));
         Path operator = folder.resolve("rushpin.toml");
         int port = daemon.port();
@@ -115,7 +115,7 @@
     /** The same for what is shared with other processes. */
     @Test
     void withoutATableFleetNothingOfItIsLoaded() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Daemon daemon =
                 daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"), writesClasses());
         assertEquals("200", ask(daemon.port(), "a.example", "t-1"));
--- a/src/test/java/rushpin/node/PausedLoopTest.java
+++ b/src/test/java/rushpin/node/PausedLoopTest.java
@@ -29,14 +29,14 @@
     }
 
     /** A server that closes the connection of the request "left" when {@code go} completes, and answers all others. */
-    private Peer breakingServer(CompletableFuture<Void> go, CompletableFuture<Void> broken) throws Exception {
-        return peer(m -> {
+    private StubServer breakingServer(CompletableFuture<Void> go, CompletableFuture<Void> broken) throws Exception {
+        return stubServer(m -> {
             if (m.headers().get("x-trace-id").equals("left")) {
                 go.join();
                 m.socket().close();
                 broken.complete(null);
             } else {
-                m.answer(Peer.ok("", "x"));
+                m.answer(StubServer.ok("", "x"));
             }
         });
     }
@@ -45,8 +45,8 @@
     void anAttemptThatBrokeJustBeforeItsClientDisconnectedIsNotRetried() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         CompletableFuture<Void> broken = new CompletableFuture<>();
-        Peer first = breakingServer(go, broken);
-        Peer second = breakingServer(go, broken);
+        StubServer first = breakingServer(go, broken);
+        StubServer second = breakingServer(go, broken);
         EdgeNode node = node(first, second);
         // The first request loads classes, which is a pause by itself.
         assertEquals("200", status(sendAndRead(node, "warm")));
@@ -77,7 +77,7 @@
     /** Guards against a request that is never sent because the node defers it after every slow pass of the loop. */
     @Test
     void aRequestIsSentEvenIfEachPassOfTheLoopIsSlow() throws Exception {
-        EdgeNode node = node(peer(m -> m.answer(Peer.ok("", "x"))));
+        EdgeNode node = node(stubServer(m -> m.answer(StubServer.ok("", "x"))));
         assertEquals("200", status(sendAndRead(node, "warm")));
         AtomicBoolean stopped = new AtomicBoolean();
         slowDownLoop(node, stopped);
@@ -101,15 +101,15 @@
                         TimeUnit.NANOSECONDS);
     }
 
-    private static long attemptsOf(String id, Peer server) {
+    private static long attemptsOf(String id, StubServer server) {
         return server.seen.stream()
                 .filter(m -> m.headers().get("x-trace-id").equals(id))
                 .count();
     }
 
-    private static void awaitAttempt(Peer... servers) throws InterruptedException {
+    private static void awaitAttempt(StubServer... servers) throws InterruptedException {
         while (true) {
-            for (Peer server : servers) {
+            for (StubServer server : servers) {
                 if (!server.seen.isEmpty()) {
                     return;
                 }
@@ -118,9 +118,9 @@
         }
     }
 
-    private Peer.Message sendAndRead(EdgeNode node, String id) throws Exception {
+    private StubServer.Message sendAndRead(EdgeNode node, String id) throws Exception {
         Socket socket = client(node);
         order(socket, id);
-        return Peer.read(socket);
+        return StubServer.read(socket);
     }
 }
--- a/src/test/java/rushpin/node/PlanProcessTest.java
+++ b/src/test/java/rushpin/node/PlanProcessTest.java
@@ -42,10 +42,10 @@
         List<String> members = new ArrayList<>();
         for (String zone : ZONES) {
             for (int i = 0; i < 2; i++) {
-                Peer server = peer(m -> {
+                StubServer server = stubServer(m -> {
                     got.computeIfAbsent(m.headers().get("x-trace-id"), id -> new ArrayList<>())
                             .add(zone);
-                    m.answer(zone.equals(ill) ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : Peer.ok("", "x"));
+                    m.answer(zone.equals(ill) ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : StubServer.ok("", "x"));
                 });
                 members.add(member("s-" + zone + i, server.address(), "Ready", 0)
                         .replace("\"locality\":\"a\"", "\"locality\":\"" + zone + "\""));
@@ -81,7 +81,7 @@
                                             "GET /api?slot=4",
                                             headers("load-" + each.name + "-" + i, "lookup", "5000"),
                                             "");
-                                    if (Peer.read(socket) == null) {
+                                    if (StubServer.read(socket) == null) {
                                         break;
                                     }
                                     TimeUnit.MILLISECONDS.sleep(10);
@@ -107,7 +107,7 @@
             for (int i = 0; i < SENDS; i++) {
                 String id = "asked-" + asked++;
                 write(socket, "GET /api?slot=4", headers(id, "lookup", "20000"), "");
-                status(Peer.read(socket));
+                status(StubServer.read(socket));
                 List<String> zones = got.get(id);
                 if (zones != null) {
                     to.merge(zones.get(0), 1, Integer::sum);
--- a/src/test/java/rushpin/node/PoolsTest.java
+++ b/src/test/java/rushpin/node/PoolsTest.java
@@ -36,7 +36,7 @@
     }
 
     /** Adds a pool with a discovery that reports no changes, and a route by its host; returns the discovery. */
-    private Peer pool(String name, String keys, Peer... servers) throws Exception {
+    private StubServer pool(String name, String keys, StubServer... servers) throws Exception {
         String[] members = new String[servers.length];
         for (int i = 0; i < members.length; i++) {
             members[i] = member("s-" + i, servers[i].address(), "Ready", 0);
@@ -44,8 +44,8 @@
         return poolOf(name, keys, members);
     }
 
-    private Peer poolOf(String name, String keys, String... members) throws Exception {
-        Peer ownDiscovery = peer(m -> m.answer(UNCHANGED));
+    private StubServer poolOf(String name, String keys, String... members) throws Exception {
+        StubServer ownDiscovery = stubServer(m -> m.answer(UNCHANGED));
         settings(name, ownDiscovery, members);
         operatorFile
                 .append("[[pool]]\nname = \"")
@@ -61,7 +61,7 @@
         return ownDiscovery;
     }
 
-    private void settings(String name, Peer ownDiscovery, String... members) throws IOException {
+    private void settings(String name, StubServer ownDiscovery, String... members) throws IOException {
         Files.writeString(
                 folder.resolve(name + ".json"), config(members).replace(discovery.address(), ownDiscovery.address()));
     }
@@ -94,22 +94,22 @@
         write(to, "POST /api?slot=4", headers, "book");
     }
 
-    private Peer.Message ask(EdgeNode node, String pool, String id) throws IOException {
+    private StubServer.Message ask(EdgeNode node, String pool, String id) throws IOException {
         Socket client = client(node);
         order(client, pool, id);
-        return Peer.read(client);
+        return StubServer.read(client);
     }
 
-    private Peer named(String name) throws IOException {
-        return peer(m -> m.answer(Peer.ok("", name)));
+    private StubServer named(String name) throws IOException {
+        return stubServer(m -> m.answer(StubServer.ok("", name)));
     }
 
     @Test
     void requestsAreRoutedByHostPathMethodClassAndHeaderAndForwardedUnchanged() throws Exception {
-        Peer a = named("a");
-        Peer b = named("b");
-        Peer c = named("c");
-        Peer d = named("d");
+        StubServer a = named("a");
+        StubServer b = named("b");
+        StubServer c = named("c");
+        StubServer d = named("d");
         pool("a", "", a);
         pool("b", "", b);
         pool("c", "", c);
@@ -126,27 +126,27 @@
         Map<String, String> post = headers("t-2", "order", "20000");
         post.put("Host", "X.Example.:7");
         write(client, "POST /b/x%20y?q=%2e%2e//;z", post, "book");
-        assertEquals("b", Peer.read(client).body());
+        assertEquals("b", StubServer.read(client).body());
         assertEquals("POST /b/x%20y?q=%2e%2e//;z HTTP/1.1", b.seen.peek().first());
         assertEquals("X.Example.:7", b.next().headers().get("host"));
         get.put("Host", "x.example");
         write(client, "GET /b", get, "");
-        assertEquals("c", Peer.read(client).body());
+        assertEquals("c", StubServer.read(client).body());
         get.put("X-Yard", "east");
         write(client, "GET /b/", get, "");
-        assertEquals("d", Peer.read(client).body());
+        assertEquals("d", StubServer.read(client).body());
         get.put("Host", "a.example");
         write(client, "GET http://A.example/b/c?x", get, "");
-        assertEquals("a", Peer.read(client).body());
-        Peer.Message sent = a.next();
+        assertEquals("a", StubServer.read(client).body());
+        StubServer.Message sent = a.next();
         assertEquals("GET /b/c?x HTTP/1.1", sent.first(), "an absolute target is forwarded as its path");
         assertEquals("A.example", sent.headers().get("host"));
     }
 
     @Test
     void ambiguousTargetsAndHostsReachNoServer() throws Exception {
-        Peer a = named("a");
-        Peer b = named("b");
+        StubServer a = named("a");
+        StubServer b = named("b");
         pool("a", "", a);
         pool("b", "", b);
         route("b", "host = \"a.example\"\nprefix = \"/b\"");
@@ -171,7 +171,7 @@
             Map<String, String> headers = headers("t-1", "order", "20000");
             headers.put("Host", "a.example");
             write(client, "POST " + target, headers, "book");
-            assertEquals("400", status(Peer.read(client)), target);
+            assertEquals("400", status(StubServer.read(client)), target);
         }
         for (String hosts : List.of(
                 "Host: a.example\r\nHost: b.example\r\n",
@@ -189,7 +189,7 @@
                     text.append(name).append(": ").append(value).append("\r\n"));
             client.getOutputStream()
                     .write(text.append("Content-Length: 0\r\n\r\n").toString().getBytes(StandardCharsets.US_ASCII));
-            assertEquals("400", status(Peer.read(client)), hosts);
+            assertEquals("400", status(StubServer.read(client)), hosts);
         }
         assertTrue(a.seen.isEmpty() && b.seen.isEmpty());
     }
@@ -197,7 +197,7 @@
     @Test
     void requestsWithoutARouteOrAServerAreAnsweredAtOnce() throws Exception {
         pool("a", "", named("a"));
-        Peer empty = peer(m -> m.answer(watched("{\"revision\":9,\"complete\":true,\"members\":[]}")));
+        StubServer empty = stubServer(m -> m.answer(watched("{\"revision\":9,\"complete\":true,\"members\":[]}")));
         settings("none", empty);
         operatorFile
                 .append("[[pool]]\nname = \"none\"\nsettings = \"none.json\"\nloop = \"")
@@ -220,14 +220,14 @@
     @Test
     void poolsWithTheSameServerIdsTraceIdsAndCustomersAreIsolated() throws Exception {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        Peer a = peer(m -> {
+        StubServer a = stubServer(m -> {
             release.join();
-            m.answer(Peer.ok("", "a"));
+            m.answer(StubServer.ok("", "a"));
         });
         pool("a", "", a);
-        pool("b", "", peer(m -> {
+        pool("b", "", stubServer(m -> {
             release.join();
-            m.answer(Peer.ok("", "b"));
+            m.answer(StubServer.ok("", "b"));
         }));
         EdgeNode node = startNode();
         Socket one = client(node);
@@ -237,10 +237,10 @@
         a.next();
         Socket again = client(node);
         orderCounted(again, "a", "same");
-        assertEquals("409", status(Peer.read(again)), "within a pool an open request ID is unique");
+        assertEquals("409", status(StubServer.read(again)), "within a pool an open request ID is unique");
         release.complete(null);
-        assertEquals("a", Peer.read(one).body());
-        assertEquals("b", Peer.read(two).body());
+        assertEquals("a", StubServer.read(one).body());
+        assertEquals("b", StubServer.read(two).body());
         // The customer and the counter are the same: each pool counts under its own names.
         List<String> spaces = new ArrayList<>();
         while (!spaces.containsAll(List.of("a", "b"))) {
@@ -292,9 +292,9 @@
 
     @Test
     void anAddressBelongsToOnePoolUntilItIsReleased() throws Exception {
-        Peer shared = named("x");
+        StubServer shared = named("x");
         CompletableFuture<Void> drain = new CompletableFuture<>();
-        Peer list = peer(m -> {
+        StubServer list = stubServer(m -> {
             drain.join();
             m.answer(watched("{\"revision\":9,\"complete\":false,\"members\":["
                     + member("s-0", shared.address(), "Terminating", 0) + "]}"));
@@ -327,7 +327,7 @@
             order(client, i % 3 == 0 ? "a" : "b", "t-" + i);
         }
         for (int i = 0; i < 50; i++) {
-            Peer.Message answer = Peer.read(client);
+            StubServer.Message answer = StubServer.read(client);
             assertEquals("200", status(answer), "request " + i);
             assertEquals(i % 3 == 0 ? "a" : "b", answer.body(), "request " + i);
         }
@@ -347,19 +347,19 @@
         for (byte one : text.append("Content-Length: 4\r\n\r\nbook").toString().getBytes(StandardCharsets.US_ASCII)) {
             slow.getOutputStream().write(one);
         }
-        assertEquals("200", status(Peer.read(slow)));
+        assertEquals("200", status(StubServer.read(slow)));
         Socket large = client(node);
         write(large, "POST /api", headers, "x".repeat(64 * 1024));
-        assertEquals("200", status(Peer.read(large)), "64 KiB are allowed");
+        assertEquals("200", status(StubServer.read(large)), "64 KiB are allowed");
         Socket tooLarge = client(node);
         tooLarge.getOutputStream()
                 .write(text.toString()
                         .replace("Content-Length: 4", "Content-Length: 40000001")
                         .getBytes(StandardCharsets.US_ASCII));
-        assertEquals("413", status(Peer.read(tooLarge)));
+        assertEquals("413", status(StubServer.read(tooLarge)));
         Socket noise = client(node);
         noise.getOutputStream().write("\u0001\u0002 noise\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        assertEquals("400", status(Peer.read(noise)));
+        assertEquals("400", status(StubServer.read(noise)));
     }
 
     @Test
@@ -370,7 +370,7 @@
         Files.writeString(settingsFile, Files.readString(settingsFile).replace("\"order\"", "\"booking\""));
         EdgeNode node = startNode();
         assertEquals("200", status(ask(node, "a", "t-1")));
-        Peer.Message answer = ask(node, "b", "t-2");
+        StubServer.Message answer = ask(node, "b", "t-2");
         assertEquals("400", status(answer));
         assertTrue(answer.body().startsWith("X-Qos is unknown"), answer.body());
     }
@@ -379,8 +379,8 @@
     void aPoolWhoseServersFailHangOrRefuseDoesNotAffectOthers() throws Exception {
         CompletableFuture<Void> end = new CompletableFuture<>();
         toClose.add(() -> end.complete(null));
-        pool("failing", "", peer(m -> m.answer("HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n")));
-        pool("hanging", "", peer(m -> end.join()), peer(m -> end.join()));
+        pool("failing", "", stubServer(m -> m.answer("HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n")));
+        pool("hanging", "", stubServer(m -> end.join()), stubServer(m -> end.join()));
         ServerSocket closed = new ServerSocket(0);
         poolOf("refusing", "", member("s-0", "127.0.0.1:" + closed.getLocalPort(), "Ready", 0));
         closed.close();
@@ -405,16 +405,16 @@
     @Test
     void aGuaranteedConnectionIsAvailableWhileTheRestIsLent() throws Exception {
         CompletableFuture<Void> first = new CompletableFuture<>();
-        List<Peer> lentServers = new ArrayList<>();
+        List<StubServer> lentServers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            lentServers.add(peer(m -> {
+            lentServers.add(stubServer(m -> {
                 first.join();
-                m.answer(Peer.ok("", "b"));
+                m.answer(StubServer.ok("", "b"));
             }));
         }
         operatorFile.append("[process]\nconnections = 6\nconnects = 6\n\n");
         pool("a", "guaranteed = { connections = 1, connects = 2 }\n", named("a"), named("a"), named("a"));
-        pool("b", "guaranteed = { connections = 1, connects = 2 }\n", lentServers.toArray(Peer[]::new));
+        pool("b", "guaranteed = { connections = 1, connects = 2 }\n", lentServers.toArray(StubServer[]::new));
         EdgeNode node = startNode();
         List<Socket> open = new ArrayList<>();
         // Pool b uses its guaranteed connection and the whole rest.
@@ -431,7 +431,7 @@
         first.complete(null);
         int served = 0;
         for (Socket socket : open) {
-            Peer.Message answer = Peer.read(socket);
+            StubServer.Message answer = StubServer.read(socket);
             served += answer != null && status(answer).equals("200") ? 1 : 0;
         }
         assertTrue(served >= 1, "requests in flight in pool b must be answered");
@@ -440,11 +440,11 @@
     @Test
     void aReloadMovesARouteAndRequestsInFlightEndInTheirPool() throws Exception {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        Peer old = peer(m -> {
+        StubServer old = stubServer(m -> {
             release.join();
-            m.answer(Peer.ok("", "old"));
+            m.answer(StubServer.ok("", "old"));
         });
-        Peer removed = pool("a", "", old);
+        StubServer removed = pool("a", "", old);
         pool("b", "", named("new"));
         EdgeNode node = startNode();
         Socket client = client(node);
@@ -463,18 +463,18 @@
         assertEquals("new", body, "new requests follow the new file");
         assertNull(removed.ended.poll(), "a pool with requests in flight still follows its server list");
         release.complete(null);
-        assertEquals("old", Peer.read(client).body());
+        assertEquals("old", StubServer.read(client).body());
         assertNotNull(removed.ended.poll(60, TimeUnit.SECONDS), "the removed pool ends with its last request");
         assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "its connections must be closed");
         // The client's connection stays open and is served by the other pool.
         order(client, "a", "t-2");
-        assertEquals("new", Peer.read(client).body());
+        assertEquals("new", StubServer.read(client).body());
     }
 
     @Test
     void aFailedAttemptInARemovedPoolIsAnswered() throws Exception {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        Peer first = peer(m -> {
+        StubServer first = stubServer(m -> {
             release.join();
             m.socket().close();
         });
@@ -489,20 +489,20 @@
         operatorFile.append(original.substring(original.indexOf("[[pool]]\nname = \"b\"")));
         reload(node);
         release.complete(null);
-        String status = status(Peer.read(client));
+        String status = status(StubServer.read(client));
         assertTrue(List.of("429", "502", "503").contains(status), status);
         assertEquals("200", status(ask(node, "b", "t-2")));
     }
 
     @Test
     void aPoolIsReplacedIfItsSettingsChangeAndKeptIfOnlyAddressesDo() throws Exception {
-        Peer a = named("a");
-        Peer before = pool("a", "", a);
-        Peer stays = pool("b", "", named("b"));
+        StubServer a = named("a");
+        StubServer before = pool("a", "", a);
+        StubServer stays = pool("b", "", named("b"));
         EdgeNode node = startNode();
         before.next();
         stays.next();
-        Peer elsewhere = peer(m -> m.answer(UNCHANGED));
+        StubServer elsewhere = stubServer(m -> m.answer(UNCHANGED));
         settings("b", elsewhere, member("s-0", "127.0.0.1:1", "Ready", 0));
         Path settingsFile = folder.resolve("a.json");
         Files.writeString(
@@ -534,7 +534,7 @@
                 reload(node);
             }
             order(client, "a", "a-" + i);
-            assertEquals("200", status(Peer.read(client)));
+            assertEquals("200", status(StubServer.read(client)));
             assertEquals("200", status(ask(node, "b", "b-" + i)), "the replacing pool must have the servers");
         }
     }
--- a/src/test/java/rushpin/node/RecordsNodeTest.java
+++ b/src/test/java/rushpin/node/RecordsNodeTest.java
@@ -39,16 +39,16 @@
     @Test
     void eachRequestIsRecordedOnceWithItsAttemptsAndItsEndAndNoSecret() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Peer server = peer(m -> m.answer(
+        StubServer server = stubServer(m -> m.answer(
                 m.first().startsWith("GET") && calls.getAndIncrement() == 0
                         ? "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-                        : Peer.ok("", "x")));
+                        : StubServer.ok("", "x")));
         EdgeNode node = start(recordsConfig(), config(member("s-0", server.address(), "Ready", 0)));
         try {
             Socket client = client(node);
             assertEquals("200", ask(client, "secret-id-1"));
             write(client, "GET /api?token=secret", headers("secret-id-2", "lookup", "20000"), "");
-            assertEquals("200", status(Peer.read(client)));
+            assertEquals("200", status(StubServer.read(client)));
         } finally {
             node.drain().get();
             node.close();
@@ -81,14 +81,14 @@
 
     @Test
     void refusalsAndFailuresAreRecordedAsSuch() throws Exception {
-        Peer broken = peer(m -> m.answer("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"));
+        StubServer broken = stubServer(m -> m.answer("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"));
         EdgeNode node = start(recordsConfig(), config(member("s-0", broken.address(), "Ready", 0)));
         try {
             Socket client = client(node);
             write(client, "POST /api", headers("t-1", "strict", "20000"), "x");
-            assertEquals("502", status(Peer.read(client)), "the attempt may have run");
+            assertEquals("502", status(StubServer.read(client)), "the attempt may have run");
             write(client, "POST /api", headers("t-2", "order", "20"), "x");
-            Peer.read(client);
+            StubServer.read(client);
         } finally {
             node.drain().get();
             node.close();
@@ -104,7 +104,7 @@
 
     @Test
     void withoutTheRecordsTableNothingIsWrittenAndNoThreadStarts() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = start(POOL, config(member("s-0", server.address(), "Ready", 0)));
         try {
             assertEquals("200", ask(client(node), "t-1"));
--- a/src/test/java/rushpin/node/ReloadTest.java
+++ b/src/test/java/rushpin/node/ReloadTest.java
@@ -28,11 +28,11 @@
     @Test
     void theOldListServesUntilTheNewWatchSpeaks() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer old = peer(m -> m.answer(Peer.ok("", "old")));
-        Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer old = stubServer(m -> m.answer(StubServer.ok("", "old")));
+        StubServer fresh = stubServer(m -> m.answer(StubServer.ok("", "new")));
         String config = config(member("s-0", old.address(), "Ready", 0));
         EdgeNode node = start(config);
-        Peer elsewhere = peer(m -> {
+        StubServer elsewhere = stubServer(m -> {
             go.join();
             m.answer(watched("{\"revision\":9,\"complete\":true,\"members\":["
                     + member("s-1", fresh.address(), "Ready", 0) + "]}"));
@@ -43,17 +43,17 @@
         assertTrue(elsewhere.next().first().contains("watch=1&after=5"));
         Socket client = client(node);
         order(client, "t-1");
-        assertEquals("old", Peer.read(client).body());
+        assertEquals("old", StubServer.read(client).body());
         go.complete(null);
         assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
         order(client, "t-2");
-        assertEquals("new", Peer.read(client).body());
+        assertEquals("new", StubServer.read(client).body());
     }
 
     /** Without a handler the signal ends the JVM: this needs a process of its own. */
     @Test
     void aHangupReadsTheFileAgainAndABadFileChangesNothing() throws Exception {
-        Peer elsewhere = peer(m -> m.answer(UNCHANGED));
+        StubServer elsewhere = stubServer(m -> m.answer(UNCHANGED));
         String config = config();
         Daemon daemon = new Daemon(folder, config, null);
         toClose.add(daemon);
--- a/src/test/java/rushpin/node/RetuneNodeTest.java
+++ b/src/test/java/rushpin/node/RetuneNodeTest.java
@@ -23,12 +23,12 @@
         Map<String, String> headers = headers(id, requestClass, "20000");
         headers.put("Idempotency-Key", "key-" + id);
         write(client, "POST /api", headers, "x");
-        return status(Peer.read(client));
+        return status(StubServer.read(client));
     }
 
     @Test
     void aNewClassIsServedAndADroppedOneForAWhile() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String before = config(member("s-0", server.address(), "Ready", 0));
         EdgeNode node = start(before);
         Socket client = client(node);
@@ -44,7 +44,7 @@
 
     @Test
     void aDroppedClassEndsAfterItsDeadline() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String before = config(member("s-0", server.address(), "Ready", 0))
                 .replace("\"deadline-ns\": 30000000000", "\"deadline-ns\": 300000000")
                 .replace("\"aim-ns\": 10000000000", "\"aim-ns\": 200000000");
@@ -55,7 +55,7 @@
         for (int i = 0; ; i++) {
             Map<String, String> headers = headers("t-" + i, "strict", "300");
             write(client, "POST /api", headers, "x");
-            if (status(Peer.read(client)).equals("400")) {
+            if (status(StubServer.read(client)).equals("400")) {
                 break;
             }
             assertTrue(i < 10_000, "it must end");
@@ -66,7 +66,7 @@
     /** Each reload drops another class: none may keep for longer what an earlier one dropped. */
     @Test
     void reloadsInARowKeepNothingAlive() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String before = config(member("s-0", server.address(), "Ready", 0))
                 .replace("\"deadline-ns\": 30000000000", "\"deadline-ns\": 600000000")
                 .replace("\"aim-ns\": 10000000000", "\"aim-ns\": 400000000");
@@ -78,14 +78,14 @@
             node.reload(Config.parse(before.replace("\"strict\"", "\"class-" + i + "\"")));
             node.loop().submit(() -> {}).sync();
             write(client, "POST /api", headers("t-" + i, "strict", "600"), "x");
-            answer = status(Peer.read(client));
+            answer = status(StubServer.read(client));
             Thread.sleep(50);
         }
     }
 
     private static String ask(Socket client, String id, String requestClass, String expires) throws Exception {
         write(client, "POST /api", headers(id, requestClass, expires), "x");
-        return status(Peer.read(client));
+        return status(StubServer.read(client));
     }
 
     /** An order whose class is made one that may run once, and the other way round, while it is out. */
@@ -93,7 +93,7 @@
     void whatIsOpenKeepsTheRulesItCameWith() throws Exception {
         AtomicInteger tries = new AtomicInteger();
         CountDownLatch out = new CountDownLatch(1), changed = new CountDownLatch(1);
-        Peer server = peer(m -> {
+        StubServer server = stubServer(m -> {
             if (m.headers().get("x-trace-id").equals("held") && tries.incrementAndGet() == 1) {
                 out.countDown();
                 try {
@@ -103,7 +103,7 @@
                 }
                 m.answer("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
             } else {
-                m.answer(Peer.ok("", "x"));
+                m.answer(StubServer.ok("", "x"));
             }
         });
         String before = config(member("s-0", server.address(), "Ready", 0));
@@ -115,13 +115,13 @@
                 .replace("\"key-ttl-ns\": 4000000000", "\"key-ttl-ns\": 30000000000")));
         node.loop().submit(() -> {}).sync();
         changed.countDown();
-        assertEquals("502", status(Peer.read(client)), "it may have run, and came as one that may run once");
+        assertEquals("502", status(StubServer.read(client)), "it may have run, and came as one that may run once");
         assertEquals(1, tries.get());
     }
 
     @Test
     void aBrokenFileChangesNothingAndIsCounted() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String good = config(member("s-0", server.address(), "Ready", 0));
         String with = good.replaceFirst("\"listen\"", "\"console\": \"127.0.0.1:0\", \"listen\"");
         try (Daemon daemon = new Daemon(folder, with, null)) {
--- a/src/test/java/rushpin/node/ShutdownPhasesTest.java
+++ b/src/test/java/rushpin/node/ShutdownPhasesTest.java
@@ -26,7 +26,7 @@
     /** Completes when the app server may answer. */
     private final CompletableFuture<Void> go = new CompletableFuture<>();
 
-    private Peer server;
+    private StubServer server;
     private EdgeNode node;
 
     /** How many requests got a complete answer with {@code Connection: close}, and how many got none. */
@@ -34,7 +34,7 @@
 
     @BeforeEach
     void startServerAndNode() throws Exception {
-        server = peer(after(go));
+        server = stubServer(after(go));
         node = node(server);
     }
 
@@ -56,7 +56,7 @@
         for (int i = 0; i < count; i++) {
             Socket client = client(node);
             writeText(client, HEALTH);
-            assertNotNull(Peer.read(client));
+            assertNotNull(StubServer.read(client));
             idle.add(client);
         }
         return idle;
@@ -65,15 +65,15 @@
     private static AnswerCount countAnswers(List<Socket> clients) throws IOException {
         int answered = 0;
         for (Socket client : clients) {
-            Peer.Message answer = null;
+            StubServer.Message answer = null;
             try {
-                answer = Peer.read(client);
+                answer = StubServer.read(client);
             } catch (SocketException e) {
                 // Reset: no answer.
             }
             if (answer != null) {
                 assertEquals("close", answer.headers().get("connection"));
-                assertNull(Peer.read(client), "the connection must end after one answer");
+                assertNull(StubServer.read(client), "the connection must end after one answer");
                 answered++;
             }
         }
@@ -85,7 +85,7 @@
         List<Socket> clients = openIdle(3);
         endGraceAfter(() -> clients.add(client(node)));
         for (Socket client : clients) {
-            assertNull(Peer.read(client), "the connection must end without a reset");
+            assertNull(StubServer.read(client), "the connection must end without a reset");
         }
     }
 
--- a/src/test/java/rushpin/node/Peer.java
+++ b/src/test/java/rushpin/node/StubServer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain sockets. */
-final class Peer implements AutoCloseable {
+final class StubServer implements AutoCloseable {
     /** What came: the request line, the headers by lower-case name, the body. */
     record Message(String first, Map<String, String> headers, String body, Socket socket) {
         void answer(String text) throws IOException {
@@ -33,7 +33,7 @@
     final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
     private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-    Peer(Script script) throws IOException {
+    StubServer(Script script) throws IOException {
         daemon(() -> {
             while (true) {
                 Socket socket = listening.accept();
--- a/src/test/java/rushpin/node/UpgradeTest.java
+++ b/src/test/java/rushpin/node/UpgradeTest.java
@@ -34,11 +34,11 @@
     @Test
     void noRequestIsLostAndABanStands() throws Exception {
         AtomicInteger banned = new AtomicInteger();
-        Peer a = peer(m -> {
+        StubServer a = stubServer(m -> {
             banned.incrementAndGet();
-            m.answer(Peer.ok("", "a"));
+            m.answer(StubServer.ok("", "a"));
         });
-        Peer b = peer(m -> m.answer(Peer.ok("", "b")));
+        StubServer b = stubServer(m -> m.answer(StubServer.ok("", "b")));
         String config = config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0));
         Daemon old = process(config, 0);
         int first = old.console(), listen = old.port();
@@ -56,7 +56,7 @@
                             client.setSoTimeout(60_000);
                             Map<String, String> headers = headers("t-" + i, "order", "20000");
                             write(client, "POST /api", headers, "book");
-                            Peer.Message answer = Peer.read(client);
+                            StubServer.Message answer = StubServer.read(client);
                             if (answer == null) {
                                 wrong.add("t-" + i + ": no answer");
                             }
--- a/src/test/java/rushpin/node/WarmUpTest.java
+++ b/src/test/java/rushpin/node/WarmUpTest.java
@@ -29,7 +29,7 @@
 
     @Test
     void requestsPassTheWholeNodeAndReachNoPeer() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "real")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "real")));
         Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
         assertTrue(WarmUp.run(config, 200, 60_000, folder) > 100);
         assertNull(server.seen.poll());
@@ -51,7 +51,7 @@
      */
     @Test
     void theProgramWarmsUpBeforeItServes() throws Exception {
-        Peer server = peer(m -> m.answer(Peer.ok("", "real")));
+        StubServer server = stubServer(m -> m.answer(StubServer.ok("", "real")));
         Path file = folder.resolve("config.json");
         Files.writeString(file, config(member("s-0", server.address(), "Ready", 0)));
         ProcessBuilder builder = new ProcessBuilder(
--- a/src/test/java/rushpin/node/XdsPoolTest.java
+++ b/src/test/java/rushpin/node/XdsPoolTest.java
@@ -95,7 +95,7 @@
                 .build();
     }
 
-    private static LbEndpoint endpoint(Peer server, HealthStatus health) {
+    private static LbEndpoint endpoint(StubServer server, HealthStatus health) {
         String address = server.address();
         int colon = address.lastIndexOf(':');
         // Marked as warm: a server new to the list is cold and gets almost no requests during slow start.
@@ -136,7 +136,7 @@
 
     private static String body(Socket client, String id) throws Exception {
         order(client, id);
-        Peer.Message answer = Peer.read(client);
+        StubServer.Message answer = StubServer.read(client);
         return status(answer).equals("200") ? answer.body() : status(answer);
     }
 
@@ -156,8 +156,8 @@
     @ValueSource(strings = {"sotw", "delta"})
     void pushesChangeTheServersAndAnInvalidOneChangesNothing(String form) throws Exception {
         startManagementServer();
-        Peer old = peer(m -> m.answer(Peer.ok("", "old")));
-        Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer old = stubServer(m -> m.answer(StubServer.ok("", "old")));
+        StubServer fresh = stubServer(m -> m.answer(StubServer.ok("", "new")));
         server.set("a", cluster("a"));
         server.set("a", assignment(endpoint(old, HealthStatus.HEALTHY)));
         EdgeNode node = node(form, "");
@@ -197,9 +197,9 @@
     }
 
     /** Starts a management server with the cluster "a" and one app server that answers "x". */
-    private Peer startOneServerCluster() throws Exception {
+    private StubServer startOneServerCluster() throws Exception {
         startManagementServer();
-        Peer app = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer app = stubServer(m -> m.answer(StubServer.ok("", "x")));
         server.set("a", cluster("a"));
         server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         return app;
@@ -207,7 +207,7 @@
 
     @Test
     void theLastServerListStaysInForceAndSurvivesARestart() throws Exception {
-        Peer app = startOneServerCluster();
+        StubServer app = startOneServerCluster();
         EdgeNode first = node("delta", "");
         awaitBody(first, "x");
         server.kill();
@@ -228,11 +228,11 @@
     void anEmptyClusterRejectsNewRequestsCompletesThoseInFlightAndRecovers() throws Exception {
         startManagementServer();
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer app = peer(m -> {
+        StubServer app = stubServer(m -> {
             if (m.first().contains("slot=4") && m.headers().get("x-trace-id").equals("held")) {
                 go.join();
             }
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         });
         server.set("a", cluster("a"));
         server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
@@ -245,7 +245,7 @@
         server.remove(CDS, "a");
         awaitBody(node, "429");
         go.complete(null);
-        assertEquals("200", status(Peer.read(held)), "a request in flight must complete");
+        assertEquals("200", status(StubServer.read(held)), "a request in flight must complete");
         server.set("a", cluster("a"));
         server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         awaitBody(node, "x");
@@ -253,14 +253,14 @@
 
     @Test
     void theNextManagementServerIsUsedWhenTheFirstIsUnreachable() throws Exception {
-        Peer app = startOneServerCluster();
+        StubServer app = startOneServerCluster();
         EdgeNode node = node("servers = [\"127.0.0.1:" + Daemon.free() + "\", \"" + server.address() + "\"]\n");
         awaitBody(node, "x");
     }
 
     @Test
     void aMessageBeyondTheSizeLimitEndsOnlyTheStream() throws Exception {
-        Peer app = startOneServerCluster();
+        StubServer app = startOneServerCluster();
         EdgeNode node = node("delta", "most-message = 100000\n");
         awaitBody(node, "x");
         server.say(
@@ -277,15 +277,15 @@
                 "a",
                 assignment(
                         endpoint(app, HealthStatus.HEALTHY),
-                        endpoint(peer(m -> m.answer(Peer.ok("", "y"))), HealthStatus.HEALTHY)));
+                        endpoint(stubServer(m -> m.answer(StubServer.ok("", "y"))), HealthStatus.HEALTHY)));
         awaitBody(node, "y");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"json", "yaml"})
     void aFileThatIsReplacedByRenameIsFollowed(String form) throws Exception {
-        Peer old = peer(m -> m.answer(Peer.ok("", "old")));
-        Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer old = stubServer(m -> m.answer(StubServer.ok("", "old")));
+        StubServer fresh = stubServer(m -> m.answer(StubServer.ok("", "new")));
         Path file = folder.resolve("servers." + form);
         Files.writeString(file, fileContent(form, assignment(endpoint(old, HealthStatus.HEALTHY))));
         EdgeNode node = node("path = \"servers." + form + "\"\n");
@@ -297,8 +297,8 @@
 
     @Test
     void ofTwoDisagreeingManagementServersOneIsUsedAtATime() throws Exception {
-        Peer old = peer(m -> m.answer(Peer.ok("", "old")));
-        Peer fresh = peer(m -> m.answer(Peer.ok("", "new")));
+        StubServer old = stubServer(m -> m.answer(StubServer.ok("", "old")));
+        StubServer fresh = stubServer(m -> m.answer(StubServer.ok("", "new")));
         startManagementServer();
         ManagementServer second = new ManagementServer();
         toClose.add(second);
@@ -335,8 +335,8 @@
                 .addSanIpAddress("127.0.0.1")
                 .setIsCertificateAuthority(true)
                 .buildSelfSigned();
-        Peer app = peer(m -> m.answer(Peer.ok("", "x")));
-        Peer impostorApp = peer(m -> m.answer(Peer.ok("", "impostor")));
+        StubServer app = stubServer(m -> m.answer(StubServer.ok("", "x")));
+        StubServer impostorApp = stubServer(m -> m.answer(StubServer.ok("", "impostor")));
         ManagementServer impostor = new ManagementServer(GrpcSslContexts.configure(SslContextBuilder.forServer(
                         untrustedCertificate.getKeyPair().getPrivate(), untrustedCertificate.getCertificatePath()))
                 .build());
@@ -359,7 +359,7 @@
 
     @Test
     void theDropPercentageOfRequestsIsRejectedEvenly() throws Exception {
-        Peer app = startOneServerCluster();
+        StubServer app = startOneServerCluster();
         EdgeNode node = node("delta", "");
         awaitBody(node, "x");
         awaitReply(EDS);
@@ -387,11 +387,11 @@
     void requestsBeyondTheClustersMaxRequestsAreRejected() throws Exception {
         startManagementServer();
         CompletableFuture<Void> go = new CompletableFuture<>();
-        Peer app = peer(m -> {
+        StubServer app = stubServer(m -> {
             if (m.headers().get("x-trace-id").equals("held")) {
                 go.join();
             }
-            m.answer(Peer.ok("", "x"));
+            m.answer(StubServer.ok("", "x"));
         });
         server.set(
                 "a",
@@ -411,7 +411,7 @@
             assertEquals("429", body(client, "beyond"));
         }
         go.complete(null);
-        assertEquals("200", status(Peer.read(held)));
+        assertEquals("200", status(StubServer.read(held)));
         awaitBody(node, "x");
     }
 
@@ -422,8 +422,8 @@
     @Test
     void anEndpointMovesFromOnePoolToAnother() throws Exception {
         startManagementServer();
-        Peer one = peer(m -> m.answer(Peer.ok("", "one")));
-        Peer moving = peer(m -> m.answer(Peer.ok("", "moving")));
+        StubServer one = stubServer(m -> m.answer(StubServer.ok("", "one")));
+        StubServer moving = stubServer(m -> m.answer(StubServer.ok("", "moving")));
         server.set("a", cluster("a"));
         server.set("b", cluster("b"));
         server.set("a", assignment(endpoint(moving, HealthStatus.HEALTHY)));
@@ -465,7 +465,7 @@
                 Map<String, String> headers = headers("h-" + host + expected + i, "order", "20000");
                 headers.put("Host", host);
                 write(client, "POST /api", headers, "book");
-                Peer.Message answer = Peer.read(client);
+                StubServer.Message answer = StubServer.read(client);
                 seen = status(answer).equals("200") ? answer.body() : status(answer);
             }
         }
@@ -486,7 +486,7 @@
                         serverCertificate.getKeyPair().getPrivate(), serverCertificate.getCertificatePath()))
                 .build());
         toClose.add(server);
-        Peer app = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer app = stubServer(m -> m.answer(StubServer.ok("", "x")));
         server.set("a", cluster("a"));
         server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         Files.writeString(folder.resolve("ca.pem"), "half a file");
@@ -515,7 +515,7 @@
     @ValueSource(strings = {"sotw", "delta"})
     void aFloodOfUnrequestedResponsesDoesNotDisturbThePool(String form) throws Exception {
         startManagementServer();
-        Peer app = peer(m -> m.answer(Peer.ok("", "x")));
+        StubServer app = stubServer(m -> m.answer(StubServer.ok("", "x")));
         server.set("a", cluster("a"));
         ClusterLoadAssignment assignment = assignment(endpoint(app, HealthStatus.HEALTHY));
         server.set("a", assignment);
