--- a/src/test/java/rushpin/node/DescriptorsProcessTest.java
+++ b/src/test/java/rushpin/node/DescriptorsProcessTest.java
@@ -43,7 +43,7 @@
     @Test
     void whereNoneIsLeftNewcomersWaitAndTheOthersAreServed() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
-        Daemon daemon = new Daemon(folder, config(member("s-0", server.address(), "Ready", 0)), null);
+        ServeProcess daemon = new ServeProcess(folder, config(member("s-0", server.address(), "Ready", 0)), null);
         toClose.add(daemon);
         int port = daemon.port();
         Socket first = client(port);
--- a/src/test/java/rushpin/node/Fellows.java
+++ b/src/test/java/rushpin/node/Fellows.java
@@ -254,7 +254,7 @@
         }
         voters.forEach((name, address) ->
                 text.append("[[fleet.voter]]\nname = \"" + name + "\"\naddress = \"" + at(address) + "\"\n"));
-        return text + Daemon.operator("");
+        return text + ServeProcess.operatorFile("");
     }
 
     private static String at(InetSocketAddress address) {
--- a/src/test/java/rushpin/node/FleetProcessTest.java
+++ b/src/test/java/rushpin/node/FleetProcessTest.java
@@ -22,8 +22,8 @@
     @TempDir
     Path folder;
 
-    private Daemon daemon(String config, String operator) throws IOException {
-        Daemon made = new Daemon(folder, config, operator);
+    private ServeProcess daemon(String config, String operator) throws IOException {
+        ServeProcess made = new ServeProcess(folder, config, operator);
         toClose.add(made);
         return made;
     }
@@ -40,9 +40,9 @@
 
     @Test
     void aSecondStartOnATakenAddressIsOneLineAndStatusOne() throws Exception {
-        Daemon first = daemon(config(), null);
+        ServeProcess first = daemon(config(), null);
         int port = first.port();
-        Daemon second = daemon(config().replace("127.0.0.1:0", "127.0.0.1:" + port), null);
+        ServeProcess second = daemon(config().replace("127.0.0.1:0", "127.0.0.1:" + port), null);
         second.await("cannot start");
         assertEquals(1, second.ended());
         assertTrue(first.process.isAlive());
@@ -56,14 +56,14 @@
 
     @Test
     void withoutASocketAnInheritedStartIsOneLineAndStatusOne() throws Exception {
-        Daemon daemon = daemon(config(), Daemon.operator("listener = \"inherited\"\n"));
+        ServeProcess daemon = daemon(config(), ServeProcess.operatorFile("listener = \"inherited\"\n"));
         daemon.await("cannot start: process.listener is inherited");
         assertEquals(1, daemon.ended());
     }
 
     @Test
     void theWordToEndDuringTheRehearsalEndsItWithZero() throws Exception {
-        Daemon daemon = daemon(config(), null);
+        ServeProcess daemon = daemon(config(), null);
         while (daemon.process.isAlive()) {
             try (Stream<Path> files = Files.list(folder)) {
                 if (files.anyMatch(file -> file.getFileName().toString().startsWith("rehearsal-"))) {
@@ -89,7 +89,7 @@
     void theWordToEndTwiceLosesNothing() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         StubServer server = stubServer(after(go));
-        Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), null);
+        ServeProcess daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), null);
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port);
                 Socket looking = new Socket("127.0.0.1", port)) {
@@ -115,9 +115,9 @@
     void useThatAKilledProcessHadNotToldIsToldByTheNext() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String config = config(member("s-0", server.address(), "Ready", 0));
-        Daemon first = daemon(
-                config.replace(counter.address(), "127.0.0.1:" + Daemon.free()),
-                Daemon.operator("state = \"state\"\n"));
+        ServeProcess first = daemon(
+                config.replace(counter.address(), "127.0.0.1:" + ServeProcess.unusedPort()),
+                ServeProcess.operatorFile("state = \"state\"\n"));
         int port = first.port();
         int served = 0;
         for (int i = 0; i < 5; i++) {
@@ -126,7 +126,7 @@
         assertTrue(served > 0);
         first.process.destroyForcibly();
         first.ended();
-        Daemon second = daemon(config, Daemon.operator("state = \"state\"\n"));
+        ServeProcess second = daemon(config, ServeProcess.operatorFile("state = \"state\"\n"));
         second.await("a: untold use of 1 customers taken over");
         second.port();
         double told = 0;
@@ -137,7 +137,7 @@
         assertEquals(2 * served, told, 1e-6);
         second.process.destroy();
         assertEquals(0, second.ended());
-        Daemon third = daemon(config, Daemon.operator("state = \"state\"\n"));
+        ServeProcess third = daemon(config, ServeProcess.operatorFile("state = \"state\"\n"));
         third.port();
         assertTrue(third.said.stream().noneMatch(line -> line.contains("untold use")), third.said.toString());
     }
@@ -146,10 +146,10 @@
     void twoProcessesMayServeOneAddressWhereBothSaySo() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String config = config(member("s-0", server.address(), "Ready", 0));
-        Daemon first = daemon(config, Daemon.operator("listener = \"reuseport\"\n"));
+        ServeProcess first = daemon(config, ServeProcess.operatorFile("listener = \"reuseport\"\n"));
         int port = first.port();
-        Daemon second = daemon(
-                config.replace("127.0.0.1:0", "127.0.0.1:" + port), Daemon.operator("listener = \"reuseport\"\n"));
+        ServeProcess second = daemon(
+                config.replace("127.0.0.1:0", "127.0.0.1:" + port), ServeProcess.operatorFile("listener = \"reuseport\"\n"));
         assertEquals(port, second.port());
         first.process.destroy();
         assertEquals(0, first.ended());
--- a/src/test/java/rushpin/node/FrozenProcessTest.java
+++ b/src/test/java/rushpin/node/FrozenProcessTest.java
@@ -27,8 +27,8 @@
 
     private String told = "";
 
-    private Daemon daemon(String config) throws Exception {
-        Daemon made = new Daemon(folder, config, null);
+    private ServeProcess daemon(String config) throws Exception {
+        ServeProcess made = new ServeProcess(folder, config, null);
         toClose.add(made);
         return made;
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    private static void stopped(Daemon daemon) throws Exception {
+    private static void stopped(ServeProcess daemon) throws Exception {
         daemon.signal("STOP");
         // The signal takes effect when the kernel says so.
         Path stat = Path.of("/proc", Long.toString(daemon.process.pid()), "stat");
@@ -95,7 +95,7 @@
             m.answer(StubServer.ok("", "late"));
             answered.complete(null);
         });
-        Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
+        ServeProcess daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(60_000);
@@ -118,7 +118,7 @@
         watched();
         StubServer gone = stubServer(m -> m.answer(StubServer.ok("", "old")));
         StubServer there = stubServer(m -> m.answer(StubServer.ok("", "new")));
-        Daemon daemon = daemon(config(member("s-0", gone.address(), "Ready", 0)));
+        ServeProcess daemon = daemon(config(member("s-0", gone.address(), "Ready", 0)));
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port);
                 Socket second = new Socket("127.0.0.1", port)) {
@@ -149,7 +149,7 @@
     @Test
     void aRequestAsOldAsTheStopIsTurnedAwayAndNotSent() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
-        Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
+        ServeProcess daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(60_000);
@@ -169,7 +169,7 @@
     @Test
     void requestsOnAllNewConnectionsAreAsOldAsTheStop() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
-        Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
+        ServeProcess daemon = daemon(config(member("s-0", server.address(), "Ready", 0)));
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port)) {
             client.setSoTimeout(60_000);
--- a/src/test/java/rushpin/node/HangupAtStartTest.java
+++ b/src/test/java/rushpin/node/HangupAtStartTest.java
@@ -28,7 +28,7 @@
         Path pipe = folder.resolve("platform.json");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         String first = config(member("s-0", "127.0.0.1:9", "Ready", 0));
-        try (Daemon node = new Daemon(folder, first, null, List.of("env", "GW_CONFIG=" + pipe))) {
+        try (ServeProcess node = new ServeProcess(folder, first, null, List.of("env", "GW_CONFIG=" + pipe))) {
             // Opening a pipe waits for its reader: these are the node's two reads.
             write(pipe, first);
             node.await("rehearsed with");
--- a/src/test/java/rushpin/node/HangupIgnoredTest.java
+++ b/src/test/java/rushpin/node/HangupIgnoredTest.java
@@ -16,7 +16,7 @@
     Path folder;
 
     private List<String> said(List<String> before) throws Exception {
-        try (Daemon node = new Daemon(folder, config(), null, before)) {
+        try (ServeProcess node = new ServeProcess(folder, config(), null, before)) {
             node.port();
             node.signal("TERM");
             node.rest();
--- a/src/test/java/rushpin/node/KilledProcessTest.java
+++ b/src/test/java/rushpin/node/KilledProcessTest.java
@@ -19,13 +19,13 @@
 /** Real processes with a record of use, killed or told to end at the worst moments. */
 @Tag("long")
 class KilledProcessTest extends NodeTestBase {
-    private static final String STATE = Daemon.operator("state = \"state\"\n");
+    private static final String STATE = ServeProcess.operatorFile("state = \"state\"\n");
 
     @TempDir
     Path folder;
 
-    private Daemon daemon(String config, List<String> before) throws IOException {
-        Daemon made = new Daemon(folder, config, STATE, before);
+    private ServeProcess daemon(String config, List<String> before) throws IOException {
+        ServeProcess made = new ServeProcess(folder, config, STATE, before);
         toClose.add(made);
         return made;
     }
@@ -67,8 +67,8 @@
         });
         String config = config(member("s-0", server.address(), "Ready", 0));
         // No call gets through at all: a call that broke may have been added, and counts as told.
-        String deaf = config.replace(counter.address(), "127.0.0.1:" + Daemon.free());
-        Daemon first = daemon(deaf, List.of());
+        String deaf = config.replace(counter.address(), "127.0.0.1:" + ServeProcess.unusedPort());
+        ServeProcess first = daemon(deaf, List.of());
         int port = first.port();
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
@@ -90,7 +90,7 @@
         }
         first.process.destroyForcibly();
         first.ended();
-        Daemon second = daemon(config, List.of());
+        ServeProcess second = daemon(config, List.of());
         second.await("a: untold use of 1 customers taken over");
         second.port();
         assertEquals(6, told(6), 1e-6, "three units each of the two that the server saw");
@@ -103,7 +103,7 @@
     void aDiskWithoutRoomIsOneLineAndServiceGoesOn() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         // 256 blocks of 512 or 1,024 bytes, below the record's mebibyte; the class archive and libraries are only read.
-        Daemon daemon = daemon(
+        ServeProcess daemon = daemon(
                 config(member("s-0", server.address(), "Ready", 0)),
                 List.of("sh", "-c", "ulimit -f 256; exec \"$@\"", "sh"));
         int port = daemon.port();
@@ -131,7 +131,7 @@
         CompletableFuture<Void> go = new CompletableFuture<>();
         StubServer server = stubServer(after(go));
         String config = config(member("s-0", server.address(), "Ready", 0));
-        Daemon daemon = daemon(config, List.of());
+        ServeProcess daemon = daemon(config, List.of());
         int port = daemon.port();
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -23,8 +23,8 @@
     @TempDir
     Path folder;
 
-    private Daemon daemon(String config, String operator, String... before) throws Exception {
-        Daemon made = new Daemon(folder, config, operator, List.of(before));
+    private ServeProcess daemon(String config, String operator, String... before) throws Exception {
+        ServeProcess made = new ServeProcess(folder, config, operator, List.of(before));
         toClose.add(made);
         return made;
     }
@@ -52,7 +52,7 @@
 
     @Test
     void aFaultyFileEndsTheStartWithEachFault() throws Exception {
-        Daemon daemon = daemon(config(), "[[pool]]\nnam = \"a\"\nsettings = \"platform\"\n");
+        ServeProcess daemon = daemon(config(), "[[pool]]\nnam = \"a\"\nsettings = \"platform\"\n");
         daemon.await(folder.resolve("rushpin.toml") + " cannot be used");
         assertEquals(1, daemon.ended());
         assertTrue(
@@ -64,7 +64,7 @@
     @Test
     void aReloadIsTheWholeNewFileOrNothing() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
-        Daemon daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"));
+        ServeProcess daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"));
         Path operator = folder.resolve("rushpin.toml");
         int port = daemon.port();
         assertEquals("200", ask(port, "a.example", "t-1"));
@@ -92,7 +92,7 @@
     /** A feature that is off costs nothing, not even its classes. */
     @Test
     void withoutTheFileNothingOfItIsLoaded() throws Exception {
-        Daemon daemon = daemon(config(), null, writesClasses());
+        ServeProcess daemon = daemon(config(), null, writesClasses());
         daemon.port();
         daemon.signal("TERM");
         assertEquals(0, daemon.ended());
@@ -116,7 +116,7 @@
     @Test
     void withoutATableFleetNothingOfItIsLoaded() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
-        Daemon daemon =
+        ServeProcess daemon =
                 daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"), writesClasses());
         assertEquals("200", ask(daemon.port(), "a.example", "t-1"));
         daemon.signal("HUP");
--- a/src/test/java/rushpin/node/ReloadTest.java
+++ b/src/test/java/rushpin/node/ReloadTest.java
@@ -55,7 +55,7 @@
     void aHangupReadsTheFileAgainAndABadFileChangesNothing() throws Exception {
         StubServer elsewhere = stubServer(m -> m.answer(UNCHANGED));
         String config = config();
-        Daemon daemon = new Daemon(folder, config, null);
+        ServeProcess daemon = new ServeProcess(folder, config, null);
         toClose.add(daemon);
         daemon.port();
         discovery.next();
--- a/src/test/java/rushpin/node/RetuneNodeTest.java
+++ b/src/test/java/rushpin/node/RetuneNodeTest.java
@@ -124,7 +124,7 @@
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String good = config(member("s-0", server.address(), "Ready", 0));
         String with = good.replaceFirst("\"listen\"", "\"console\": \"127.0.0.1:0\", \"listen\"");
-        try (Daemon daemon = new Daemon(folder, with, null)) {
+        try (ServeProcess daemon = new ServeProcess(folder, with, null)) {
             int console = daemon.console();
             Socket client = new Socket("127.0.0.1", daemon.port());
             toClose.add(client);
--- a/src/test/java/rushpin/node/Daemon.java
+++ b/src/test/java/rushpin/node/ServeProcess.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A node as a real process, and what it has said. */
-final class Daemon implements AutoCloseable {
+final class ServeProcess implements AutoCloseable {
     private static final String END = "(the end)";
     private static final int MOST_S = 90;
     final List<String> said = new ArrayList<>();
@@ -29,12 +29,12 @@
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
 
     /** Runs {@code serve}, with an operator's file if there is one. */
-    Daemon(Path folder, String config, String operator) throws IOException {
+    ServeProcess(Path folder, String config, String operator) throws IOException {
         this(folder, config, operator, List.of());
     }
 
     /** As above, by a command that runs the one that follows it. */
-    Daemon(Path folder, String config, String operator, List<String> before) throws IOException {
+    ServeProcess(Path folder, String config, String operator, List<String> before) throws IOException {
         List<String> command = new ArrayList<>(before);
         command.addAll(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -83,12 +83,12 @@
     }
 
     /** One pool with the platform's settings, and lines of the table {@code process}. */
-    static String operator(String process) {
+    static String operatorFile(String process) {
         return "[process]\n" + process + "\n[[pool]]\nname = \"a\"\nsettings = \"platform\"\n[[route]]\npool = \"a\"\n";
     }
 
     /** A port that nobody listens at. */
-    static int free() throws IOException {
+    static int unusedPort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return socket.getLocalPort();
         }
--- a/src/test/java/rushpin/node/SocketHolder.java
+++ b/src/test/java/rushpin/node/SocketHolder.java
@@ -21,12 +21,12 @@
         }
         """;
 
-    private final Daemon holder;
+    private final ServeProcess holder;
     final int port;
 
     SocketHolder(Path folder, String config) throws Exception {
-        holder = new Daemon(
-                folder, config, Daemon.operator("listener = \"inherited\"\n"), List.of("perl", "-e", SCRIPT));
+        holder = new ServeProcess(
+                folder, config, ServeProcess.operatorFile("listener = \"inherited\"\n"), List.of("perl", "-e", SCRIPT));
         port = holder.port("holds port");
     }
 
--- a/src/test/java/rushpin/node/UpgradeTest.java
+++ b/src/test/java/rushpin/node/UpgradeTest.java
@@ -20,8 +20,8 @@
     @TempDir
     Path folder;
 
-    private Daemon process(String config, int listen) throws Exception {
-        Daemon daemon = new Daemon(
+    private ServeProcess process(String config, int listen) throws Exception {
+        ServeProcess daemon = new ServeProcess(
                 folder,
                 config.replaceFirst(
                         "\"listen\": *\"[^\"]*\"",
@@ -40,7 +40,7 @@
         });
         StubServer b = stubServer(m -> m.answer(StubServer.ok("", "b")));
         String config = config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0));
-        Daemon old = process(config, 0);
+        ServeProcess old = process(config, 0);
         int first = old.console(), listen = old.port();
         assertEquals("done\n", call(first, "READY"));
         assertEquals("done\n", call(first, "DISABLE s-0"));
@@ -68,7 +68,7 @@
                 },
                 "clients");
         clients.start();
-        Daemon fresh = process(config, listen);
+        ServeProcess fresh = process(config, listen);
         int second = fresh.console();
         fresh.port();
         for (int i = 0; !call(second, "READY").equals("done\n"); i++) {
--- a/src/test/java/rushpin/node/XdsPoolTest.java
+++ b/src/test/java/rushpin/node/XdsPoolTest.java
@@ -254,7 +254,7 @@
     @Test
     void theNextManagementServerIsUsedWhenTheFirstIsUnreachable() throws Exception {
         StubServer app = startOneServerCluster();
-        EdgeNode node = node("servers = [\"127.0.0.1:" + Daemon.free() + "\", \"" + server.address() + "\"]\n");
+        EdgeNode node = node("servers = [\"127.0.0.1:" + ServeProcess.unusedPort() + "\", \"" + server.address() + "\"]\n");
         awaitBody(node, "x");
     }
 
