--- a/src/test/java/rushpin/node/BehindAStopTest.java
+++ b/src/test/java/rushpin/node/BehindAStopTest.java
@@ -85,7 +85,7 @@
         EdgeNode node = start(config(member("s-0", gone.address(), "Ready", 0)));
         Socket[] clients = clients(node);
         StubServer.Message watch = awaitWatch();
-        gone.seen.clear();
+        gone.requests.clear();
         stopped(node, STOP_MS, () -> {
             // Requests first and the list after them: whoever reads in this order sends by what it knew.
             for (int i = 0; i < CLIENTS; i++) {
@@ -98,7 +98,7 @@
         for (Socket client : clients) {
             assertEquals("new", StubServer.read(client).body());
         }
-        assertTrue(gone.seen.isEmpty(), "sent to a server that had drained: " + gone.seen);
+        assertTrue(gone.requests.isEmpty(), "sent to a server that had drained: " + gone.requests);
     }
 
     /** Guards against requests that are sent on with their client's end right behind them, a connection being at hand. */
@@ -107,7 +107,7 @@
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = node(server);
         Socket[] clients = clients(node);
-        server.seen.clear();
+        server.requests.clear();
         stopped(node, STOP_MS, () -> {
             for (int i = 0; i < CLIENTS; i++) {
                 order(clients[i], "left-" + i);
@@ -121,7 +121,7 @@
         assertEquals("200", ask(client(node), "after"));
         assertEquals(
                 List.of("after"),
-                server.seen.stream().map(m -> m.headers().get("x-trace-id")).toList());
+                server.requests.stream().map(m -> m.headers().get("x-trace-id")).toList());
     }
 
     /** Guards against requests that are sent on after their time, since their wait in the kernel did not count. */
@@ -130,7 +130,7 @@
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         EdgeNode node = node(server);
         Socket[] clients = clients(node);
-        server.seen.clear();
+        server.requests.clear();
         stopped(node, LONG_STOP_MS, () -> {
             for (int i = 0; i < CLIENTS; i++) {
                 write(clients[i], "POST /api?slot=4", headers("late-" + i, "order", SHORT_MS), "book");
@@ -139,6 +139,6 @@
         for (Socket client : clients) {
             assertEquals("429", status(StubServer.read(client)), "to come again is harmless");
         }
-        assertTrue(server.seen.isEmpty(), server.seen.size() + " were sent on after their time");
+        assertTrue(server.requests.isEmpty(), server.requests.size() + " were sent on after their time");
     }
 }
--- a/src/test/java/rushpin/node/ClockStepTest.java
+++ b/src/test/java/rushpin/node/ClockStepTest.java
@@ -119,7 +119,7 @@
                 member("s-0", old.address(), "Terminating", wallMs() - WARM_MS - step),
                 member("s-1", fresh.address(), "Ready", wallMs() - WARM_MS));
         awaitBody(other, "new");
-        fresh.seen.clear();
+        fresh.requests.clear();
         breakConnection.complete(null);
         StubServer.Message retried = fresh.next();
         long elapsed = elapsedMs(sentNanos);
--- a/src/test/java/rushpin/node/CounterClientTest.java
+++ b/src/test/java/rushpin/node/CounterClientTest.java
@@ -59,7 +59,7 @@
     void aLateTotalIsSkippedInLine() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         counting = m -> {
-            if (counter.seen.size() == 1) {
+            if (counter.requests.size() == 1) {
                 go.join();
                 m.answer(StubServer.ok("", "77"));
             } else {
@@ -71,9 +71,9 @@
         count(4, -2.25);
         go.complete(null);
         assertTold("4 OK 88.0");
-        assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().first());
+        assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().startLine());
         assertEquals(
-                "POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().first());
+                "POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().startLine());
     }
 
     /** A line that went on after such an answer took what followed for the next call's, or waited for ever. */
@@ -120,8 +120,8 @@
         assertTold("4 OK 1.0");
         assertTold("4 OK 2.0");
         assertTold("8 OK 2.0");
-        assertNotNull(counter.ended.poll(60, TimeUnit.SECONDS), "the old line is of no more use");
-        assertTrue(counter.seen.isEmpty(), "calls after the move must go to the new address");
+        assertNotNull(counter.closedConnections.poll(60, TimeUnit.SECONDS), "the old line is of no more use");
+        assertTrue(counter.requests.isEmpty(), "calls after the move must go to the new address");
     }
 
     /** Too many calls without an answer end in their order: a newcomer's end must not be told first. */
@@ -143,7 +143,7 @@
         CompletableFuture<Void> second = new CompletableFuture<>(), free = new CompletableFuture<>();
         CompletableFuture<Void> busy = new CompletableFuture<>();
         counting = m -> {
-            if (m.first().contains("/tally/5?")) {
+            if (m.startLine().contains("/tally/5?")) {
                 // Whose calls go by another connection: its answer waits while the loop is busy with this one's.
                 busy.join();
                 m.answer(StubServer.ok("", "5"));
--- a/src/test/java/rushpin/node/EdgeNodeTest.java
+++ b/src/test/java/rushpin/node/EdgeNodeTest.java
@@ -31,13 +31,13 @@
             assertEquals("200", status(answer));
             assertEquals("done", answer.body());
             StubServer.Message sent = server.next();
-            assertEquals("POST /api?slot=4 HTTP/1.1", sent.first());
+            assertEquals("POST /api?slot=4 HTTP/1.1", sent.startLine());
             assertEquals("book", sent.body());
             assertEquals(id, sent.headers().get("x-trace-id"));
             assertEquals("key-" + id, sent.headers().get("idempotency-key"));
             assertTrue(Long.parseLong(sent.headers().get("x-expires-in-ms")) <= 20_000);
         }
-        assertTrue(server.ended.isEmpty(), "the second request must not need a second connection");
+        assertTrue(server.closedConnections.isEmpty(), "the second request must not need a second connection");
     }
 
     /** Regression: a null channel in the connect listener failed the first request on every connection. */
@@ -91,7 +91,7 @@
             write(client, one.getKey(), good, "");
             assertEquals(one.getValue(), status(StubServer.read(client)), one.getKey());
         }
-        assertTrue(server.seen.isEmpty(), "no invalid request may reach an app server");
+        assertTrue(server.requests.isEmpty(), "no invalid request may reach an app server");
     }
 
     @Test
@@ -138,7 +138,7 @@
             write(client, "POST /api", headers("t-1", "strict", "20000"), "book");
             assertEquals("502", status(StubServer.read(client)), answer);
             server.next();
-            assertTrue(server.seen.isEmpty(), "the request must have been sent only once: " + answer);
+            assertTrue(server.requests.isEmpty(), "the request must have been sent only once: " + answer);
         }
     }
 
@@ -150,7 +150,7 @@
         write(client, "POST /api", headers("t-1", "strict", "2500"), "book");
         assertEquals("502", status(StubServer.read(client)));
         server.next();
-        assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
+        assertNotNull(server.closedConnections.poll(60, TimeUnit.SECONDS), "the silent connection must be closed");
     }
 
     /** Regression: silent connections could occupy all sockets for good. */
@@ -203,7 +203,7 @@
                 + member("s-0", moved.address(), "Ready", System.currentTimeMillis() - 60_000) + "]}\n";
         CompletableFuture<Void> release = new CompletableFuture<>();
         discovery = stubServer(m -> {
-            if (m.first().contains("after=5")) {
+            if (m.startLine().contains("after=5")) {
                 release.join();
                 m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                         + "\r\n" + line + "\r\n0\r\n\r\n");
@@ -215,14 +215,14 @@
         assertEquals("old", StubServer.read(client).body());
         release.complete(null);
         StubServer.Message watch = discovery.next();
-        assertTrue(watch.first().contains("watch=1&after=5"));
-        while (watch.first().contains("after=5")) {
+        assertTrue(watch.startLine().contains("watch=1&after=5"));
+        while (watch.startLine().contains("after=5")) {
             // A slow watch is duplicated.
             watch = discovery.next();
         }
-        assertTrue(watch.first().contains("watch=1&after=8"));
+        assertTrue(watch.startLine().contains("watch=1&after=8"));
         // The server restarted at another address: connections to the old one are closed, the new one is used.
-        assertNotNull(old.ended.poll(60, TimeUnit.SECONDS));
+        assertNotNull(old.closedConnections.poll(60, TimeUnit.SECONDS));
         order(client, "t-2");
         assertEquals("new", StubServer.read(client).body());
     }
@@ -244,7 +244,7 @@
                 m.answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length())
                         + "\r\n" + line + "\r\n");
             });
-            gone.seen.clear();
+            gone.requests.clear();
             long began = System.nanoTime();
             EdgeNode node = node(gone);
             Socket client = client(node);
@@ -258,7 +258,7 @@
             String body = StubServer.read(client).body();
             if (timely) {
                 assertEquals("new", body);
-                assertTrue(gone.seen.isEmpty(), "sent to a server that drains according to discovery");
+                assertTrue(gone.requests.isEmpty(), "sent to a server that drains according to discovery");
             }
             node.close();
         }
@@ -289,7 +289,7 @@
             assertEquals("200", ask(client(node), "t-" + i));
             server.next();
             release.get(i).complete(null);
-            assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "its connections must be closed");
+            assertNotNull(server.closedConnections.poll(60, TimeUnit.SECONDS), "its connections must be closed");
         }
         Socket client = client(node);
         write(client, "POST /api", headers("t-2", "order", "1500"), "");
@@ -297,7 +297,7 @@
         assertEquals("429", status(refusal));
         double after = Double.parseDouble(refusal.headers().get("retry-after"));
         assertTrue(after > 0 && after <= 0.5, "Retry-After must be present and short enough for the client to follow");
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.requests.isEmpty());
     }
 
     /** Regression: an error's body was read as a server list, because closing does not discard data already read. */
@@ -308,7 +308,7 @@
         discovery = stubServer(m -> m.answer("HTTP/1.1 404 No\r\nContent-Length: " + list.length() + "\r\n\r\n" + list));
         EdgeNode node = node(server);
         discovery.next();
-        assertTrue(discovery.next().first().contains("after=5"), "the revision in an error's body was applied");
+        assertTrue(discovery.next().startLine().contains("after=5"), "the revision in an error's body was applied");
         assertEquals("200", ask(client(node), "t-1"));
     }
 
--- a/src/test/java/rushpin/node/FleetProcessTest.java
+++ b/src/test/java/rushpin/node/FleetProcessTest.java
@@ -131,7 +131,7 @@
         second.port();
         double told = 0;
         while (told < 2 * served) {
-            String call = counter.next().first();
+            String call = counter.next().startLine();
             told += Double.parseDouble(call.replaceAll(".*n=([-0-9.]+)&.*", "$1"));
         }
         assertEquals(2 * served, told, 1e-6);
--- a/src/test/java/rushpin/node/FrozenProcessTest.java
+++ b/src/test/java/rushpin/node/FrozenProcessTest.java
@@ -138,7 +138,7 @@
             daemon.signal("CONT");
             assertEquals("new", StubServer.read(client).body());
             assertEquals("new", StubServer.read(second).body());
-            assertTrue(gone.seen.isEmpty(), "sent to a server that had drained: " + gone.seen);
+            assertTrue(gone.requests.isEmpty(), "sent to a server that had drained: " + gone.requests);
         }
         daemon.signal("TERM");
         assertTrue(
@@ -161,7 +161,7 @@
             TimeUnit.MILLISECONDS.sleep(2_100);
             daemon.signal("CONT");
             assertEquals("429", status(StubServer.read(client)), "to come again is harmless");
-            assertTrue(server.seen.isEmpty());
+            assertTrue(server.requests.isEmpty());
         }
     }
 
@@ -193,6 +193,6 @@
         for (Socket client : stay) {
             assertTrue(List.of("429", "503").contains(status(StubServer.read(client))), "to come again is harmless");
         }
-        assertTrue(server.seen.isEmpty(), server.seen.size() + " were sent on after their time");
+        assertTrue(server.requests.isEmpty(), server.requests.size() + " were sent on after their time");
     }
 }
--- a/src/test/java/rushpin/node/HeldSocketProcessTest.java
+++ b/src/test/java/rushpin/node/HeldSocketProcessTest.java
@@ -59,7 +59,7 @@
         for (Socket client : stay) {
             assertTrue(Set.of("429", "503").contains(status(StubServer.read(client))), "to come again is harmless");
         }
-        assertTrue(server.seen.isEmpty(), server.seen.size() + " were sent on after their time");
+        assertTrue(server.requests.isEmpty(), server.requests.size() + " were sent on after their time");
         Map<String, String> inTime = headers("in-time", "order", "20000");
         write(stay.get(0), "POST /api", inTime, "book");
         assertEquals(
@@ -81,6 +81,6 @@
         TimeUnit.MILLISECONDS.sleep(AWAY_MS);
         holder.serve();
         assertTrue(Set.of("429", "503").contains(status(StubServer.read(again))));
-        assertTrue(server.seen.isEmpty(), "it runs again after its time");
+        assertTrue(server.requests.isEmpty(), "it runs again after its time");
     }
 }
--- a/src/test/java/rushpin/node/KilledProcessTest.java
+++ b/src/test/java/rushpin/node/KilledProcessTest.java
@@ -47,7 +47,7 @@
     private double told(double wanted) throws InterruptedException {
         double told = 0;
         while (told < wanted) {
-            told += Double.parseDouble(counter.next().first().replaceAll(".*n=([-0-9.]+)&.*", "$1"));
+            told += Double.parseDouble(counter.next().startLine().replaceAll(".*n=([-0-9.]+)&.*", "$1"));
         }
         return told;
     }
@@ -60,7 +60,7 @@
     void aKillInTheDrainForgetsNothingThatServersSaw() throws Exception {
         CompletableFuture<Void> never = new CompletableFuture<>();
         StubServer server = stubServer(m -> {
-            if (m.first().contains("half")) {
+            if (m.startLine().contains("half")) {
                 m.answer("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal");
             }
             never.join();
@@ -152,6 +152,6 @@
             assertEquals("200", status(StubServer.read(client)));
         }
         assertEquals(0, daemon.ended());
-        assertTrue(server.seen.isEmpty(), "nothing is sent twice: " + server.seen);
+        assertTrue(server.requests.isEmpty(), "nothing is sent twice: " + server.requests);
     }
 }
--- a/src/test/java/rushpin/node/LongBodyTest.java
+++ b/src/test/java/rushpin/node/LongBodyTest.java
@@ -151,7 +151,7 @@
             order(client, "t-" + i);
             assertArrayEquals(all, readBody(client), framing);
         }
-        assertEquals(3, server.seen.size(), "a slow response must not be retried");
+        assertEquals(3, server.requests.size(), "a slow response must not be retried");
     }
 
     /** Backpressure: the node stops reading from the app server while the client does not read. */
--- a/src/test/java/rushpin/node/MalformedAnswerTest.java
+++ b/src/test/java/rushpin/node/MalformedAnswerTest.java
@@ -33,7 +33,7 @@
                 StubServer.Message answer = StubServer.read(client);
                 assertEquals("200", status(answer), extra);
                 assertEquals(id, answer.body(), extra);
-                assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "a connection with extra bytes must be closed");
+                assertNotNull(server.closedConnections.poll(60, TimeUnit.SECONDS), "a connection with extra bytes must be closed");
             }
         }
     }
@@ -48,7 +48,7 @@
         });
         assertEquals("200", ask(client(node(server)), "t-1"));
         go.complete(null);
-        assertNotNull(server.ended.poll(60, TimeUnit.SECONDS), "unexpected bytes must close the connection");
+        assertNotNull(server.closedConnections.poll(60, TimeUnit.SECONDS), "unexpected bytes must close the connection");
     }
 
     /** The server keeps the connection open, so waiting for more bytes would use up the request's deadline. */
@@ -72,7 +72,7 @@
                 "HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
             StubServer[] server = new StubServer[1];
-            server[0] = stubServer(m -> m.answer(server[0].seen.size() == 1 ? malformed : StubServer.ok("", "good")));
+            server[0] = stubServer(m -> m.answer(server[0].requests.size() == 1 ? malformed : StubServer.ok("", "good")));
             Socket client = client(node(server[0]));
             client.setSoTimeout(9_000);
             order(client, "t-1");
@@ -85,7 +85,7 @@
             write(other, "POST /api", headers("t-2", "strict", "20000"), "book");
             assertEquals("502", status(StubServer.read(other)), malformed);
             strict.next();
-            assertTrue(strict.seen.isEmpty(), "the request must be sent only once: " + malformed);
+            assertTrue(strict.requests.isEmpty(), "the request must be sent only once: " + malformed);
         }
     }
 
--- a/src/test/java/rushpin/node/MisbehavingClientTest.java
+++ b/src/test/java/rushpin/node/MisbehavingClientTest.java
@@ -77,7 +77,7 @@
             writeText(client, malformed + validRequest);
             assertRefused(client, "400", malformed);
         }
-        assertTrue(server.seen.isEmpty(), "none of these may reach an app server");
+        assertTrue(server.requests.isEmpty(), "none of these may reach an app server");
     }
 
     @Test
@@ -91,7 +91,7 @@
             writeText(client, head + lengthAndBody);
             assertRefused(client, "413", lengthAndBody.substring(0, 24));
         }
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.requests.isEmpty());
     }
 
     /** Read and idle timeouts close connections that send nothing more, but not one with a request in flight. */
@@ -165,7 +165,7 @@
         for (String id : served) {
             assertEquals(id, server.next().headers().get("x-trace-id"));
         }
-        assertTrue(server.seen.isEmpty(), "a rejected request must not be forwarded");
+        assertTrue(server.requests.isEmpty(), "a rejected request must not be forwarded");
     }
 
     /**
@@ -201,7 +201,7 @@
         }
         assertEquals("200", ask(client(node), "t-1"));
         assertEquals("t-1", server.next().headers().get("x-trace-id"), "a client that had disconnected was served");
-        assertTrue(server.seen.isEmpty());
+        assertTrue(server.requests.isEmpty());
     }
 
     /** The answer, the next request and the client's disconnect all wait in sockets when the loop runs again. */
--- a/src/test/java/rushpin/node/NodeTestBase.java
+++ b/src/test/java/rushpin/node/NodeTestBase.java
@@ -170,7 +170,7 @@
 
     static String status(StubServer.Message answer) {
         assertNotNull(answer, "the connection ended without an answer");
-        return answer.first().split(" ")[1];
+        return answer.startLine().split(" ")[1];
     }
 
     static String ask(Socket client, String id) throws IOException {
--- a/src/test/java/rushpin/node/PausedLoopTest.java
+++ b/src/test/java/rushpin/node/PausedLoopTest.java
@@ -50,8 +50,8 @@
         EdgeNode node = node(first, second);
         // The first request loads classes, which is a pause by itself.
         assertEquals("200", status(sendAndRead(node, "warm")));
-        first.seen.clear();
-        second.seen.clear();
+        first.requests.clear();
+        second.requests.clear();
         Socket client = client(node);
         order(client, "left");
         awaitAttempt(first, second);
@@ -102,7 +102,7 @@
     }
 
     private static long attemptsOf(String id, StubServer server) {
-        return server.seen.stream()
+        return server.requests.stream()
                 .filter(m -> m.headers().get("x-trace-id").equals(id))
                 .count();
     }
@@ -110,7 +110,7 @@
     private static void awaitAttempt(StubServer... servers) throws InterruptedException {
         while (true) {
             for (StubServer server : servers) {
-                if (!server.seen.isEmpty()) {
+                if (!server.requests.isEmpty()) {
                     return;
                 }
             }
--- a/src/test/java/rushpin/node/PoolsTest.java
+++ b/src/test/java/rushpin/node/PoolsTest.java
@@ -127,7 +127,7 @@
         post.put("Host", "X.Example.:7");
         write(client, "POST /b/x%20y?q=%2e%2e//;z", post, "book");
         assertEquals("b", StubServer.read(client).body());
-        assertEquals("POST /b/x%20y?q=%2e%2e//;z HTTP/1.1", b.seen.peek().first());
+        assertEquals("POST /b/x%20y?q=%2e%2e//;z HTTP/1.1", b.requests.peek().startLine());
         assertEquals("X.Example.:7", b.next().headers().get("host"));
         get.put("Host", "x.example");
         write(client, "GET /b", get, "");
@@ -139,7 +139,7 @@
         write(client, "GET http://A.example/b/c?x", get, "");
         assertEquals("a", StubServer.read(client).body());
         StubServer.Message sent = a.next();
-        assertEquals("GET /b/c?x HTTP/1.1", sent.first(), "an absolute target is forwarded as its path");
+        assertEquals("GET /b/c?x HTTP/1.1", sent.startLine(), "an absolute target is forwarded as its path");
         assertEquals("A.example", sent.headers().get("host"));
     }
 
@@ -191,7 +191,7 @@
                     .write(text.append("Content-Length: 0\r\n\r\n").toString().getBytes(StandardCharsets.US_ASCII));
             assertEquals("400", status(StubServer.read(client)), hosts);
         }
-        assertTrue(a.seen.isEmpty() && b.seen.isEmpty());
+        assertTrue(a.requests.isEmpty() && b.requests.isEmpty());
     }
 
     @Test
@@ -244,7 +244,7 @@
         // The customer and the counter are the same: each pool counts under its own names.
         List<String> spaces = new ArrayList<>();
         while (!spaces.containsAll(List.of("a", "b"))) {
-            String counted = counter.next().first();
+            String counted = counter.next().startLine();
             assertTrue(counted.matches("POST /tally/[ab]\\.[0-9]+\\?.*"), counted);
             spaces.add(counted.substring("POST /tally/".length(), "POST /tally/".length() + 1));
         }
@@ -422,7 +422,7 @@
             Socket client = client(node);
             order(client, "b", "b-" + i);
             open.add(client);
-            out = lentServers.stream().mapToInt(p -> p.seen.size()).sum();
+            out = lentServers.stream().mapToInt(p -> p.requests.size()).sum();
         }
         // Pool a still has its guaranteed connection, for any number of requests.
         for (int i = 0; i < 20; i++) {
@@ -461,11 +461,11 @@
             body = ask(node, "a", "u-" + i).body();
         }
         assertEquals("new", body, "new requests follow the new file");
-        assertNull(removed.ended.poll(), "a pool with requests in flight still follows its server list");
+        assertNull(removed.closedConnections.poll(), "a pool with requests in flight still follows its server list");
         release.complete(null);
         assertEquals("old", StubServer.read(client).body());
-        assertNotNull(removed.ended.poll(60, TimeUnit.SECONDS), "the removed pool ends with its last request");
-        assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "its connections must be closed");
+        assertNotNull(removed.closedConnections.poll(60, TimeUnit.SECONDS), "the removed pool ends with its last request");
+        assertNotNull(old.closedConnections.poll(60, TimeUnit.SECONDS), "its connections must be closed");
         // The client's connection stays open and is served by the other pool.
         order(client, "a", "t-2");
         assertEquals("new", StubServer.read(client).body());
@@ -508,10 +508,10 @@
         Files.writeString(
                 settingsFile, Files.readString(settingsFile).replace("\"units-per-s\": 1000", "\"units-per-s\": 900"));
         reload(node);
-        assertNotNull(before.ended.poll(60, TimeUnit.SECONDS), "the old pool a must end");
-        assertTrue(before.next().first().contains("watch=1"), "a new pool a must watch");
+        assertNotNull(before.closedConnections.poll(60, TimeUnit.SECONDS), "the old pool a must end");
+        assertTrue(before.next().startLine().contains("watch=1"), "a new pool a must watch");
         assertTrue(
-                elsewhere.next().first().contains("watch=1&after=5"), "pool b changed its address and kept its list");
+                elsewhere.next().startLine().contains("watch=1&after=5"), "pool b changed its address and kept its list");
         assertEquals("b", ask(node, "b", "t-1").body(), "pool b keeps the servers it knows");
         assertEquals("a", ask(node, "a", "t-2").body());
     }
--- a/src/test/java/rushpin/node/RecordsNodeTest.java
+++ b/src/test/java/rushpin/node/RecordsNodeTest.java
@@ -40,7 +40,7 @@
     void eachRequestIsRecordedOnceWithItsAttemptsAndItsEndAndNoSecret() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         StubServer server = stubServer(m -> m.answer(
-                m.first().startsWith("GET") && calls.getAndIncrement() == 0
+                m.startLine().startsWith("GET") && calls.getAndIncrement() == 0
                         ? "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
                         : StubServer.ok("", "x")));
         EdgeNode node = start(recordsConfig(), config(member("s-0", server.address(), "Ready", 0)));
--- a/src/test/java/rushpin/node/ReloadTest.java
+++ b/src/test/java/rushpin/node/ReloadTest.java
@@ -39,13 +39,13 @@
         });
         discovery.next();
         node.reload(Config.parse(config.replace(discovery.address(), elsewhere.address())));
-        assertNotNull(discovery.ended.poll(60, TimeUnit.SECONDS), "the old watch must end");
-        assertTrue(elsewhere.next().first().contains("watch=1&after=5"));
+        assertNotNull(discovery.closedConnections.poll(60, TimeUnit.SECONDS), "the old watch must end");
+        assertTrue(elsewhere.next().startLine().contains("watch=1&after=5"));
         Socket client = client(node);
         order(client, "t-1");
         assertEquals("old", StubServer.read(client).body());
         go.complete(null);
-        assertNotNull(old.ended.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
+        assertNotNull(old.closedConnections.poll(60, TimeUnit.SECONDS), "what the new list leaves out must go");
         order(client, "t-2");
         assertEquals("new", StubServer.read(client).body());
     }
--- a/src/test/java/rushpin/node/ShutdownPhasesTest.java
+++ b/src/test/java/rushpin/node/ShutdownPhasesTest.java
@@ -99,7 +99,7 @@
             }
         });
         assertEquals(new AnswerCount(3, 0), countAnswers(clients));
-        assertEquals(3, server.seen.size());
+        assertEquals(3, server.requests.size());
     }
 
     /** Closing many idle connections takes time, in which the request on the last one must not be lost. */
@@ -226,7 +226,7 @@
         node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get();
         go.complete(null);
         assertEquals(new AnswerCount(2, 0), countAnswers(clients));
-        assertNull(server.seen.poll());
+        assertNull(server.requests.poll());
     }
 
     /** The one case without an answer: the client writes after the node has closed the connection. */
@@ -245,7 +245,7 @@
             // The client saw the close first.
         }
         assertEquals(new AnswerCount(0, 1), countAnswers(clients));
-        assertNull(server.seen.poll());
+        assertNull(server.requests.poll());
     }
 
     /**
--- a/src/test/java/rushpin/node/StubServer.java
+++ b/src/test/java/rushpin/node/StubServer.java
@@ -17,7 +17,7 @@
 /** A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain sockets. */
 final class StubServer implements AutoCloseable {
     /** What came: the request line, the headers by lower-case name, the body. */
-    record Message(String first, Map<String, String> headers, String body, Socket socket) {
+    record Message(String startLine, Map<String, String> headers, String body, Socket socket) {
         void answer(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             socket.getOutputStream().flush();
@@ -29,8 +29,8 @@
         void on(Message message) throws IOException, InterruptedException;
     }
 
-    final BlockingQueue<Message> seen = new LinkedBlockingQueue<>();
-    final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+    final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
+    final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
     private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
     StubServer(Script script) throws IOException {
@@ -39,10 +39,10 @@
                 Socket socket = listening.accept();
                 daemon(() -> {
                     for (Message m = read(socket); m != null; m = read(socket)) {
-                        seen.add(m);
+                        requests.add(m);
                         script.on(m);
                     }
-                    ended.add(socket);
+                    closedConnections.add(socket);
                 });
             }
         });
@@ -69,7 +69,7 @@
     }
 
     Message next() throws InterruptedException {
-        Message message = seen.poll(30, TimeUnit.SECONDS);
+        Message message = requests.poll(30, TimeUnit.SECONDS);
         if (message == null) {
             throw new AssertionError("nothing came");
         }
@@ -83,8 +83,8 @@
     /** Reads one message; null at the connection's end. */
     static Message read(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
-        String first = line(in);
-        if (first == null) {
+        String startLine = line(in);
+        if (startLine == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
@@ -95,7 +95,7 @@
                     header.substring(colon + 1).trim());
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-        return new Message(first, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
+        return new Message(startLine, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
     }
 
     private static String line(InputStream in) throws IOException {
--- a/src/test/java/rushpin/node/WarmUpTest.java
+++ b/src/test/java/rushpin/node/WarmUpTest.java
@@ -32,9 +32,9 @@
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "real")));
         Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
         assertTrue(WarmUp.run(config, 200, 60_000, folder) > 100);
-        assertNull(server.seen.poll());
-        assertNull(counter.seen.poll());
-        assertNull(discovery.seen.poll());
+        assertNull(server.requests.poll());
+        assertNull(counter.requests.poll());
+        assertNull(discovery.requests.poll());
         assertEquals(0, fileCount(), "the warm-up must leave no file");
     }
 
--- a/src/test/java/rushpin/node/XdsPoolTest.java
+++ b/src/test/java/rushpin/node/XdsPoolTest.java
@@ -187,13 +187,13 @@
         server.set("a", assignment(endpoint(old, HealthStatus.DRAINING), endpoint(fresh, HealthStatus.HEALTHY)));
         assertNull(awaitReply(EDS).error());
         awaitBody(node, "new");
-        old.seen.clear();
+        old.requests.clear();
         for (int i = 0; i < 20; i++) {
             try (Socket client = client(node)) {
                 assertEquals("new", body(client, "d-" + i));
             }
         }
-        assertTrue(old.seen.isEmpty(), "a draining server must get no requests");
+        assertTrue(old.requests.isEmpty(), "a draining server must get no requests");
     }
 
     /** Starts a management server with the cluster "a" and one app server that answers "x". */
@@ -229,7 +229,7 @@
         startManagementServer();
         CompletableFuture<Void> go = new CompletableFuture<>();
         StubServer app = stubServer(m -> {
-            if (m.first().contains("slot=4") && m.headers().get("x-trace-id").equals("held")) {
+            if (m.startLine().contains("slot=4") && m.headers().get("x-trace-id").equals("held")) {
                 go.join();
             }
             m.answer(StubServer.ok("", "x"));
@@ -238,7 +238,7 @@
         server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         EdgeNode node = node("sotw", "");
         awaitBody(node, "x");
-        app.seen.clear();
+        app.requests.clear();
         Socket held = client(node);
         order(held, "held");
         app.next();
@@ -354,7 +354,7 @@
         EdgeNode edge = node("servers = [\"" + impostor.address() + "\", \"" + server.address()
                 + "\"]\nca = \"ca.pem\"\n" + "certificate = \"node.pem\"\nkey = \"node.key\"\n");
         awaitBody(edge, "x");
-        assertTrue(impostorApp.seen.isEmpty());
+        assertTrue(impostorApp.requests.isEmpty());
     }
 
     @Test
@@ -403,7 +403,7 @@
         server.set("a", assignment(endpoint(app, HealthStatus.HEALTHY)));
         EdgeNode node = node("delta", "");
         awaitBody(node, "x");
-        app.seen.clear();
+        app.requests.clear();
         Socket held = client(node);
         order(held, "held");
         app.next();
