--- a/src/test/java/rushpin/node/BehindAStopTest.java
+++ b/src/test/java/rushpin/node/BehindAStopTest.java
@@ -59,8 +59,8 @@
     }
 
     /** The loop stands still while things happen; it notices, and then is kept once more from looking at its sockets. */
-    private static void stopped(EdgeNode node, long ms, Happening happening) throws Exception {
-        whileLoopIsHeld(node, happening, () -> {
+    private static void stopped(EdgeNode node, long ms, ThrowingRunnable happening) throws Exception {
+        runWhileLoopIsBlocked(node, happening, () -> {
             sleep(ms);
             // Behind the pool's own timers, which are due by now.
             node.loop().schedule(() -> sleep(CROWDED_MS), 1, TimeUnit.MICROSECONDS);
--- a/src/test/java/rushpin/node/EdgeNodeTest.java
+++ b/src/test/java/rushpin/node/EdgeNodeTest.java
@@ -97,7 +97,7 @@
     @Test
     void aDuplicateOfAnOpenRequestIsRefusedAndTheFirstIsServed() throws Exception {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        StubServer server = stubServer(after(release));
+        StubServer server = stubServer(respondAfter(release));
         EdgeNode node = node(server);
         Socket first = client(node);
         order(first, "t-1");
@@ -168,7 +168,7 @@
     @Test
     void aDrainAnswersAcceptedRequestsAndClosesConnections() throws Exception {
         CompletableFuture<Void> release = new CompletableFuture<>();
-        StubServer server = stubServer(after(release));
+        StubServer server = stubServer(respondAfter(release));
         EdgeNode node = node(server);
         Socket busy = client(node);
         order(busy, "t-1");
--- a/src/test/java/rushpin/node/FleetProcessTest.java
+++ b/src/test/java/rushpin/node/FleetProcessTest.java
@@ -88,7 +88,7 @@
     @Test
     void theWordToEndTwiceLosesNothing() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        StubServer server = stubServer(after(go));
+        StubServer server = stubServer(respondAfter(go));
         ServeProcess daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), null);
         int port = daemon.port();
         try (Socket client = new Socket("127.0.0.1", port);
--- a/src/test/java/rushpin/node/KilledProcessTest.java
+++ b/src/test/java/rushpin/node/KilledProcessTest.java
@@ -129,7 +129,7 @@
     @Test
     void theWordToEndAmongReloadsLosesNothing() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        StubServer server = stubServer(after(go));
+        StubServer server = stubServer(respondAfter(go));
         String config = config(member("s-0", server.address(), "Ready", 0));
         ServeProcess daemon = daemon(config, List.of());
         int port = daemon.port();
--- a/src/test/java/rushpin/node/LateConnectTest.java
+++ b/src/test/java/rushpin/node/LateConnectTest.java
@@ -184,7 +184,7 @@
         awaitConnectUnderWay();
 
         BlockingQueue<Map<String, String>> heads = new LinkedBlockingQueue<>();
-        whileLoopIsHeld(
+        runWhileLoopIsBlocked(
                 node,
                 () -> {
                     takeConnections(heads);
--- a/src/test/java/rushpin/node/MisbehavingClientTest.java
+++ b/src/test/java/rushpin/node/MisbehavingClientTest.java
@@ -98,7 +98,7 @@
     @Test
     void silentAndHalfRequestsTimeOutAndARequestInFlightDoesNot() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        StubServer server = stubServer(after(go));
+        StubServer server = stubServer(respondAfter(go));
         EdgeNode node = node(server);
         Socket busy = client(node);
         order(busy, "t-1");
--- a/src/test/java/rushpin/node/NodeTestBase.java
+++ b/src/test/java/rushpin/node/NodeTestBase.java
@@ -124,7 +124,7 @@
     }
 
     /** What happens while the node does not look. */
-    interface Happening {
+    interface ThrowingRunnable {
         void run() throws Exception;
     }
 
@@ -132,7 +132,7 @@
      * Holds the node's loop while things happen, as a processor that is taken away would. {@code then} runs on the loop before
      * it looks at its sockets again.
      */
-    static void whileLoopIsHeld(EdgeNode node, Happening happening, Runnable then) throws Exception {
+    static void runWhileLoopIsBlocked(EdgeNode node, ThrowingRunnable happening, Runnable then) throws Exception {
         CompletableFuture<Void> held = new CompletableFuture<>();
         CompletableFuture<Void> happened = new CompletableFuture<>();
         CompletableFuture<Void> over = CompletableFuture.runAsync(
@@ -152,7 +152,7 @@
     }
 
     /** Answers once it may. */
-    static StubServer.Script after(CompletableFuture<Void> go) {
+    static StubServer.Script respondAfter(CompletableFuture<Void> go) {
         return m -> {
             go.join();
             m.answer(StubServer.ok("", "x"));
--- a/src/test/java/rushpin/node/PausedLoopTest.java
+++ b/src/test/java/rushpin/node/PausedLoopTest.java
@@ -56,7 +56,7 @@
         order(client, "left");
         awaitAttempt(first, second);
 
-        whileLoopIsHeld(
+        runWhileLoopIsBlocked(
                 node,
                 () -> {
                     go.complete(null);
--- a/src/test/java/rushpin/node/ShutdownPhasesTest.java
+++ b/src/test/java/rushpin/node/ShutdownPhasesTest.java
@@ -34,13 +34,13 @@
 
     @BeforeEach
     void startServerAndNode() throws Exception {
-        server = stubServer(after(go));
+        server = stubServer(respondAfter(go));
         node = node(server);
     }
 
     /** Ends the grace period right after the clients have acted, before the node polls its sockets again. */
-    private void endGraceAfter(Happening clients) throws Exception {
-        whileLoopIsHeld(node, clients, () -> {
+    private void endGraceAfter(ThrowingRunnable clients) throws Exception {
+        runWhileLoopIsBlocked(node, clients, () -> {
             node.closeAfterAnswers();
             node.stopAccepting(true);
         });
@@ -180,7 +180,7 @@
         // kernel.
         String[] unsent = new String[4];
         Map<String, String> headers = headers("t-", "order", "20000");
-        Happening begin = () -> {
+        ThrowingRunnable begin = () -> {
             for (int i = 0; i < 4; i++) {
                 StringBuilder text = new StringBuilder("POST /api HTTP/1.1\r\n");
                 headers.put("X-Trace-Id", "t-" + i);
