--- a/src/test/java/rushpin/node/BesideTest.java
+++ b/src/test/java/rushpin/node/BesideTest.java
@@ -23,7 +23,8 @@
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         Config config = Config.parse(config(member("s-0", server.address(), "Ready", 0)));
         EdgeNode node = new EdgeNode(
-                config, OperatorFile.parse(ServeProcess.operatorFile("listener = \"reuseport\"\n"), Path.of("."), config));
+                config,
+                OperatorFile.parse(ServeProcess.operatorFile("listener = \"reuseport\"\n"), Path.of("."), config));
         toClose.add(node);
         node.start();
         InetSocketAddress address = (InetSocketAddress) node.address();
--- a/src/test/java/rushpin/node/Leaks.java
+++ b/src/test/java/rushpin/node/BufferLeakDetector.java
@@ -8,28 +8,31 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Hears of buffers that nobody released. Each is told when the collector has found it: in its own test or a later one. */
-final class Leaks {
-    private static final Queue<String> SEEN = new ConcurrentLinkedQueue<>();
+/**
+ * Collects Netty's reports of buffers that were not released. Netty reports a buffer once the garbage collector has
+ * found it: during the test that leaked it or a later one.
+ */
+final class BufferLeakDetector {
+    private static final Queue<String> REPORTS = new ConcurrentLinkedQueue<>();
 
     static {
         ResourceLeakDetectorFactory.setResourceLeakDetectorFactory(new ResourceLeakDetectorFactory() {
             @Override
-            public <T> ResourceLeakDetector<T> newResourceLeakDetector(Class<T> resource, int interval, long most) {
+            public <T> ResourceLeakDetector<T> newResourceLeakDetector(Class<T> resource, int interval, long limit) {
                 return new Detector<>(resource, interval);
             }
         });
     }
 
-    private Leaks() {}
+    private BufferLeakDetector() {}
 
-    /** Must come before the first buffer of the process. */
-    static void watch() {
-        // The work is the class's own.
+    /** Installs the detector; must run before the process allocates its first buffer. */
+    static void install() {
+        // Loading the class runs its static initializer, which does the work.
     }
 
     static void assertNone() {
-        assertEquals(List.of(), List.copyOf(SEEN), "buffers that were not released");
+        assertEquals(List.of(), List.copyOf(REPORTS), "buffers that were not released");
     }
 
     private static final class Detector<T> extends ResourceLeakDetector<T> {
@@ -39,12 +42,12 @@
 
         @Override
         protected void reportTracedLeak(String type, String records) {
-            SEEN.add(type + records);
+            REPORTS.add(type + records);
         }
 
         @Override
         protected void reportUntracedLeak(String type) {
-            SEEN.add(type);
+            REPORTS.add(type);
         }
 
         @Override
--- a/src/test/java/rushpin/node/CounterClientTest.java
+++ b/src/test/java/rushpin/node/CounterClientTest.java
@@ -20,11 +20,11 @@
 import rushpin.config.Config;
 import rushpin.net.CounterClient;
 
-/** Calls to a counter that is late, spoils its answers or moves. */
+/** Calls to a counter that answers late or with malformed responses, or whose address changes. */
 @Timeout(120)
 class CounterClientTest extends NodeTestBase {
-    private static final long LIFE = 4_000_000_000L;
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private static final long KEEP_NANOS = 4_000_000_000L;
+    private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
     private EventLoop loop;
     private CounterClient client;
 
@@ -33,32 +33,32 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         toClose.add(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly());
         loop = group.next();
-        Config config = counting(counter);
+        Config config = configWithCounter(counter);
         client = loop.submit(() -> new CounterClient(
-                        (name, outcome, total) -> told.add(name + " " + outcome + " " + total),
+                        (name, outcome, total) -> results.add(name + " " + outcome + " " + total),
                         loop,
                         config.upstream()))
                 .get();
     }
 
-    private Config counting(StubServer at) throws Exception {
+    private Config configWithCounter(StubServer at) throws Exception {
         return Config.parse(config().replace(counter.address(), at.address())
                 .replace("\"count-wait-ns\": 50000000", "\"count-wait-ns\": 2000000000"));
     }
 
     private void count(long name, double amount) {
-        loop.execute(() -> client.count(name, amount, LIFE));
+        loop.execute(() -> client.count(name, amount, KEEP_NANOS));
     }
 
-    private void assertTold(String end) throws InterruptedException {
-        assertEquals(end, told.poll(60, TimeUnit.SECONDS));
+    private void assertNextResult(String expected) throws InterruptedException {
+        assertEquals(expected, results.poll(60, TimeUnit.SECONDS));
     }
 
-    /** A late answer belongs to the call that timed out; were it given to the next, totals would shift for good. */
+    /** A late response belongs to the call that timed out. Given to the next call, it would shift all later totals. */
     @Test
-    void aLateTotalIsSkippedInLine() throws Exception {
+    void aLateResponseIsSkipped() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        counting = m -> {
+        counterScript = m -> {
             if (counter.requests.size() == 1) {
                 go.join();
                 m.answer(StubServer.ok("", "77"));
@@ -67,19 +67,22 @@
             }
         };
         count(4, 1.5);
-        assertTold("4 TIMEOUT 0.0");
+        assertNextResult("4 TIMEOUT 0.0");
         count(4, -2.25);
         go.complete(null);
-        assertTold("4 OK 88.0");
+        assertNextResult("4 OK 88.0");
         assertEquals("POST /tally/4?n=1.5&keep_ms=4000 HTTP/1.1", counter.next().startLine());
         assertEquals(
                 "POST /tally/4?n=-2.25&keep_ms=4000 HTTP/1.1", counter.next().startLine());
     }
 
-    /** A line that went on after such an answer took what followed for the next call's, or waited for ever. */
+    /**
+     * A connection that was kept after a malformed response took the bytes that followed for the next call's response,
+     * or waited forever.
+     */
     @Test
-    void afterAnAnswerThatCannotBeReadTheLineIsReplaced() throws Exception {
-        for (String spoilt : List.of(
+    void aMalformedResponseReplacesTheConnection() throws Exception {
+        for (String malformed : List.of(
                 StubServer.ok("", "1d"),
                 StubServer.ok("", "0x1p3"),
                 StubServer.ok("", ""),
@@ -90,113 +93,114 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n1",
                 "HTTP/1.1 200 OK\r\n\r\n1",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")) {
-            counting = m -> m.answer(spoilt);
+            counterScript = m -> m.answer(malformed);
             count(4, 1);
-            assertTold("4 RESET 0.0");
+            assertNextResult("4 RESET 0.0");
             StubServer.Message first = counter.next();
-            counting = m -> m.answer(StubServer.ok("", "5"));
+            counterScript = m -> m.answer(StubServer.ok("", "5"));
             count(4, 1);
-            assertTold("4 OK 5.0");
-            assertNotSame(first.socket(), counter.next().socket(), spoilt);
+            assertNextResult("4 OK 5.0");
+            assertNotSame(first.socket(), counter.next().socket(), malformed);
         }
     }
 
-    /** Answered on the new line before the old one, the calls would be told in the wrong order. */
+    /** A call that got its response on the new connection before the old one would complete out of order. */
     @Test
-    void aMoveKeepsTheOrderOfANamesCalls() throws Exception {
+    void anAddressChangeKeepsTheOrderOfCallsForOneName() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        counting = m -> {
+        counterScript = m -> {
             go.join();
             m.answer(StubServer.ok("", "1"));
         };
         StubServer elsewhere = stubServer(m -> m.answer(StubServer.ok("", "2")));
         count(4, 1);
         counter.next();
-        Config moved = counting(elsewhere);
+        Config moved = configWithCounter(elsewhere);
         loop.submit(() -> client.move(moved.counter())).get();
         count(4, 1);
         count(8, 1);
         go.complete(null);
-        assertTold("4 OK 1.0");
-        assertTold("4 OK 2.0");
-        assertTold("8 OK 2.0");
-        assertNotNull(counter.closedConnections.poll(60, TimeUnit.SECONDS), "the old line is of no more use");
+        assertNextResult("4 OK 1.0");
+        assertNextResult("4 OK 2.0");
+        assertNextResult("8 OK 2.0");
+        assertNotNull(counter.closedConnections.poll(60, TimeUnit.SECONDS), "the old connection must be closed");
         assertTrue(counter.requests.isEmpty(), "calls after the move must go to the new address");
     }
 
-    /** Too many calls without an answer end in their order: a newcomer's end must not be told first. */
+    /** When too many calls are unanswered they fail in the order in which they were made, the latest one last. */
     @Test
-    void aLineThatIsFullEndsItsCallsInOrder() throws Exception {
-        counting = m -> {};
+    void aFullConnectionFailsItsCallsInOrder() throws Exception {
+        counterScript = m -> {};
         for (int i = 0; i < 300; i++) {
             count(4L * i, 1);
         }
         for (int i = 0; i < 300; i++) {
-            String end = told.poll(60, TimeUnit.SECONDS);
-            assertTrue(end != null && end.startsWith(4L * i + " "), "call " + i + " was told as " + end);
+            String result = results.poll(60, TimeUnit.SECONDS);
+            assertTrue(result != null && result.startsWith(4L * i + " "), "call " + i + " completed as " + result);
         }
     }
 
-    /** A loop that is busy past the time-out finds the timer due and the answer unread: it had come in time. */
+    /** After a loop was busy past the timeout, the timer is due while a response that came in time is still unread. */
     @Test
-    void anAnswerThatLiesUnreadIsReadBeforeItsCallIsGivenUp() throws Exception {
-        CompletableFuture<Void> second = new CompletableFuture<>(), free = new CompletableFuture<>();
-        CompletableFuture<Void> busy = new CompletableFuture<>();
-        counting = m -> {
+    void anUnreadResponseIsReadBeforeItsCallTimesOut() throws Exception {
+        CompletableFuture<Void> secondAnswered = new CompletableFuture<>();
+        CompletableFuture<Void> releaseLoop = new CompletableFuture<>();
+        CompletableFuture<Void> loopBusy = new CompletableFuture<>();
+        counterScript = m -> {
             if (m.startLine().contains("/tally/5?")) {
-                // Whose calls go by another connection: its answer waits while the loop is busy with this one's.
-                busy.join();
+                // Name 5 uses another connection: its response waits while the loop is busy with name 4's.
+                loopBusy.join();
                 m.answer(StubServer.ok("", "5"));
-                second.complete(null);
+                secondAnswered.complete(null);
             } else {
                 m.answer(StubServer.ok("", "4"));
             }
         };
-        CounterClient slow = loop.submit(() -> new CounterClient(
+        CounterClient blockingClient = loop.submit(() -> new CounterClient(
                         (name, outcome, total) -> {
-                            told.add(name + " " + outcome + " " + total);
+                            results.add(name + " " + outcome + " " + total);
                             if (name == 4) {
-                                busy.complete(null);
-                                free.join();
+                                loopBusy.complete(null);
+                                releaseLoop.join();
                             }
                         },
                         loop,
-                        counting(counter).upstream()))
+                        configWithCounter(counter).upstream()))
                 .get();
         loop.execute(() -> {
-            slow.count(5, 1, LIFE);
-            slow.count(4, 1, LIFE);
+            blockingClient.count(5, 1, KEEP_NANOS);
+            blockingClient.count(4, 1, KEEP_NANOS);
         });
-        second.join();
-        for (long at = System.nanoTime(); System.nanoTime() - at < 2_050_000_000L; ) {
+        secondAnswered.join();
+        for (long start = System.nanoTime(); System.nanoTime() - start < 2_050_000_000L; ) {
             Thread.onSpinWait();
         }
-        free.complete(null);
-        assertTold("4 OK 4.0");
-        assertTold("5 OK 5.0");
+        releaseLoop.complete(null);
+        assertNextResult("4 OK 4.0");
+        assertNextResult("5 OK 5.0");
     }
 
-    /** A process busy past the time-out between asking and writing took its own lateness for the counter's silence. */
+    /** A process that was busy past the timeout before it wrote the call took its own delay for a silent counter. */
     @Test
-    void theTimeOfACallBeginsWhenItIsWritten() throws Exception {
+    void theTimeoutOfACallStartsWhenItIsWritten() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
-        counting = m -> {
+        counterScript = m -> {
             go.join();
             m.answer(StubServer.ok("", "5"));
         };
         loop.submit(() -> {
-                    client.count(4, 1, LIFE);
-                    for (long at = System.nanoTime(); System.nanoTime() - at < 2_050_000_000L; ) {
+                    client.count(4, 1, KEEP_NANOS);
+                    for (long start = System.nanoTime(); System.nanoTime() - start < 2_050_000_000L; ) {
                         Thread.onSpinWait();
                     }
                 })
                 .get();
         counter.next();
-        // Timers that were due have had their turns, also those that look once more.
+        // After these, all timers that were due have run, also those that reschedule themselves once.
         for (int i = 0; i < 4; i++) {
             loop.schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get();
         }
         go.complete(null);
-        assertTold("4 OK 5.0");
+        assertNextResult("4 OK 5.0");
     }
 }
--- a/src/test/java/rushpin/node/EdgeNodeTest.java
+++ b/src/test/java/rushpin/node/EdgeNodeTest.java
@@ -305,7 +305,8 @@
     void anErrorBodyOfDiscoveryIsNotAServerList() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String list = "{\"revision\":9,\"complete\":true,\"members\":[]}\n";
-        discovery = stubServer(m -> m.answer("HTTP/1.1 404 No\r\nContent-Length: " + list.length() + "\r\n\r\n" + list));
+        discovery =
+                stubServer(m -> m.answer("HTTP/1.1 404 No\r\nContent-Length: " + list.length() + "\r\n\r\n" + list));
         EdgeNode node = node(server);
         discovery.next();
         assertTrue(discovery.next().startLine().contains("after=5"), "the revision in an error's body was applied");
--- a/src/test/java/rushpin/node/LastAnswerTest.java
+++ b/src/test/java/rushpin/node/FinalResponseTest.java
@@ -13,15 +13,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The last answer on a connection, which the node ends behind it though its client has sent more. */
-class LastAnswerTest extends NodeTestBase {
-    private static final int LONG = 60 * 1024;
-    /** Less than an answer: the kernel of the node's side keeps the rest until the client reads. */
+/** The last response on a connection, which the node then closes although its client has sent more. */
+class FinalResponseTest extends NodeTestBase {
+    private static final int BODY_BYTES = 60 * 1024;
+    /** Less than a response: the node's kernel keeps the rest until the client reads. */
     private static final int RECEIVE_BUFFER = 16 * 1024;
 
-    private static final int UNREAD = 256 * 1024;
-    /** Each pass of the loop reads more than a connection holds ahead. */
-    private static final int PASSES = 16;
+    /** More than the node reads ahead of a response: the rest is unread when the connection is closed. */
+    private static final int UNREAD_BYTES = 256 * 1024;
+    /** Iterations of the event loop after which the node has read ahead as much as it will. */
+    private static final int LOOP_ITERATIONS = 16;
 
     private Socket slowClient(EdgeNode node) throws IOException {
         Socket socket = new Socket();
@@ -32,8 +33,8 @@
         return socket;
     }
 
-    /** All that comes until the connection ends, be it by a reset. */
-    private static String all(Socket from) throws IOException {
+    /** Reads until the connection is closed or reset. */
+    private static String readToEnd(Socket from) throws IOException {
         ByteArrayOutputStream read = new ByteArrayOutputStream();
         InputStream in = from.getInputStream();
         try {
@@ -41,17 +42,17 @@
                 read.write(next);
             }
         } catch (IOException e) {
-            // A reset is one way of ending, and tells nothing of what was there before it.
+            // A reset ends the connection too; the length of what was read before it is asserted.
         }
         return read.toString(StandardCharsets.US_ASCII);
     }
 
     @Test
-    void anAnswerThatIsStillOnItsWayComesWholeThoughItsClientSentMore() throws Exception {
+    void aResponseBeingDeliveredArrivesWholeThoughItsClientSentMore() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         StubServer server = stubServer(m -> {
             go.join();
-            m.answer(StubServer.ok("", "x".repeat(LONG)));
+            m.answer(StubServer.ok("", "x".repeat(BODY_BYTES)));
         });
         EdgeNode node = node(server);
         Socket client = slowClient(node);
@@ -60,21 +61,20 @@
         write(client, "POST /api?slot=4", headers, "book");
         server.next();
 
-        // More than the node reads ahead of an answer: what is behind that lies unread when the connection ends.
-        client.getOutputStream().write(new byte[UNREAD]);
-        for (int pass = 0; pass < PASSES; pass++) {
+        client.getOutputStream().write(new byte[UNREAD_BYTES]);
+        for (int i = 0; i < LOOP_ITERATIONS; i++) {
             node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get(30, TimeUnit.SECONDS);
         }
         go.complete(null);
-        // The answer is written, and whatever follows from that has been done, before its client reads on.
+        // Waits until the response is written and the node has acted on that, before the client reads on.
         while (client.getInputStream().available() == 0) {
             Thread.sleep(1);
         }
-        for (int pass = 0; pass < PASSES; pass++) {
+        for (int i = 0; i < LOOP_ITERATIONS; i++) {
             node.loop().schedule(() -> {}, 1, TimeUnit.NANOSECONDS).get(30, TimeUnit.SECONDS);
         }
 
-        String answer = all(client);
-        assertEquals(LONG, answer.length() - answer.indexOf("\r\n\r\n") - 4, "bytes of the answer's body");
+        String answer = readToEnd(client);
+        assertEquals(BODY_BYTES, answer.length() - answer.indexOf("\r\n\r\n") - 4, "bytes of the response's body");
     }
 }
--- a/src/test/java/rushpin/node/KilledProcessTest.java
+++ b/src/test/java/rushpin/node/KilledProcessTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes with a record of use, killed or told to end at the worst moments. */
+/** Node processes that keep a record of use, killed or stopped at critical moments. */
 @Tag("long")
 class KilledProcessTest extends NodeTestBase {
     private static final String STATE = ServeProcess.operatorFile("state = \"state\"\n");
@@ -24,10 +24,10 @@
     @TempDir
     Path folder;
 
-    private ServeProcess daemon(String config, List<String> before) throws IOException {
-        ServeProcess made = new ServeProcess(folder, config, STATE, before);
-        toClose.add(made);
-        return made;
+    private ServeProcess startProcess(String config, List<String> launcher) throws IOException {
+        ServeProcess process = new ServeProcess(folder, config, STATE, launcher);
+        toClose.add(process);
+        return process;
     }
 
     private static void ask(Socket client, String id, int units) throws IOException {
@@ -43,21 +43,21 @@
         return socket;
     }
 
-    /** Waits until the counter has been told so much in all by the calls that it answered. */
-    private double told(double wanted) throws InterruptedException {
-        double told = 0;
-        while (told < wanted) {
-            told += Double.parseDouble(counter.next().startLine().replaceAll(".*n=([-0-9.]+)&.*", "$1"));
+    /** Waits until the counter has answered calls for at least {@code minUnits} in all; returns their sum. */
+    private double awaitReportedUnits(double minUnits) throws InterruptedException {
+        double reported = 0;
+        while (reported < minUnits) {
+            reported += Double.parseDouble(counter.next().startLine().replaceAll(".*n=([-0-9.]+)&.*", "$1"));
         }
-        return told;
+        return reported;
     }
 
     /**
-     * Killed in its drain with one request half answered, one sent and one queued: what servers saw is told by the next,
-     * and what was only queued is told too much by at most that.
+     * A process is killed while it drains, with one response half received and one request sent: the next process
+     * reports the use of all requests that app servers have seen.
      */
     @Test
-    void aKillInTheDrainForgetsNothingThatServersSaw() throws Exception {
+    void aKillDuringTheDrainLosesNoUseThatServersSaw() throws Exception {
         CompletableFuture<Void> never = new CompletableFuture<>();
         StubServer server = stubServer(m -> {
             if (m.startLine().contains("half")) {
@@ -66,10 +66,10 @@
             never.join();
         });
         String config = config(member("s-0", server.address(), "Ready", 0));
-        // No call gets through at all: a call that broke may have been added, and counts as told.
-        String deaf = config.replace(counter.address(), "127.0.0.1:" + ServeProcess.unusedPort());
-        ServeProcess first = daemon(deaf, List.of());
-        int port = first.port();
+        // No call reaches the counter: one that broke off may have been counted, and is taken as reported.
+        String unreachableCounter = config.replace(counter.address(), "127.0.0.1:" + ServeProcess.unusedPort());
+        ServeProcess first = startProcess(unreachableCounter, List.of());
+        int port = first.awaitPort();
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             Socket client = client(port);
@@ -79,60 +79,61 @@
             clients.add(client);
             server.next();
         }
-        first.process.destroy();
-        try (Socket looking = client(port)) {
+        first.osProcess.destroy();
+        try (Socket healthClient = client(port)) {
             String health = "";
             while (!health.equals("503")) {
-                looking.getOutputStream()
+                healthClient
+                        .getOutputStream()
                         .write("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                health = status(StubServer.read(looking));
+                health = status(StubServer.read(healthClient));
             }
         }
-        first.process.destroyForcibly();
-        first.ended();
-        ServeProcess second = daemon(config, List.of());
-        second.await("a: untold use of 1 customers taken over");
-        second.port();
-        assertEquals(6, told(6), 1e-6, "three units each of the two that the server saw");
-        second.process.destroy();
-        assertEquals(0, second.ended());
+        first.osProcess.destroyForcibly();
+        first.awaitExit();
+        ServeProcess second = startProcess(config, List.of());
+        second.awaitLine("a: untold use of 1 customers taken over");
+        second.awaitPort();
+        assertEquals(6, awaitReportedUnits(6), 1e-6, "three units each of the two that the server saw");
+        second.osProcess.destroy();
+        assertEquals(0, second.awaitExit());
     }
 
-    /** A limit on the size of files stands for a disk without room: a write fails in the middle of the record. */
+    /** A limit on file sizes stands for a full disk: a write fails in the middle of creating the record. */
     @Test
-    void aDiskWithoutRoomIsOneLineAndServiceGoesOn() throws Exception {
+    void aFullDiskLogsOneLineAndServiceContinues() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
-        // 256 blocks of 512 or 1,024 bytes, below the record's mebibyte; the class archive and libraries are only read.
-        ServeProcess daemon = daemon(
+        // 256 blocks of 512 or 1,024 bytes, less than the record's 1 MiB. Class archive and libraries are only read.
+        ServeProcess process = startProcess(
                 config(member("s-0", server.address(), "Ready", 0)),
                 List.of("sh", "-c", "ulimit -f 256; exec \"$@\"", "sh"));
-        int port = daemon.port();
+        int port = process.awaitPort();
         for (int i = 0; i < 3; i++) {
             Socket client = client(port);
             ask(client, "t-" + i, 1);
             assertEquals("200", status(StubServer.read(client)));
         }
-        daemon.signal("TERM");
-        assertEquals(0, daemon.ended());
+        process.signal("TERM");
+        assertEquals(0, process.awaitExit());
         assertEquals(
                 1,
-                daemon.rest().stream()
+                process.awaitFullOutput().stream()
                         .filter(line -> line.contains("use is not kept over a hard kill"))
                         .count(),
-                daemon.said.toString());
+                process.output.toString());
         try (var files = Files.list(folder.resolve("state"))) {
-            assertEquals(List.of(), files.toList(), "a record that was not begun whole leaves nothing");
+            assertEquals(List.of(), files.toList(), "a record that was not created completely must leave no file");
         }
     }
 
-    /** Reloads that come faster than they are read, with the word to end among them, under open requests. */
+    /** SIGHUPs faster than reloads complete, with a SIGTERM among them, while requests are in flight. */
     @Test
-    void theWordToEndAmongReloadsLosesNothing() throws Exception {
+    void aSigtermAmongReloadsLosesNoRequest() throws Exception {
         CompletableFuture<Void> go = new CompletableFuture<>();
         StubServer server = stubServer(respondAfter(go));
         String config = config(member("s-0", server.address(), "Ready", 0));
-        ServeProcess daemon = daemon(config, List.of());
-        int port = daemon.port();
+        ServeProcess process = startProcess(config, List.of());
+        int port = process.awaitPort();
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             Socket client = client(port);
@@ -141,17 +142,17 @@
             server.next();
         }
         for (int i = 0; i < 10; i++) {
-            daemon.signal("HUP");
+            process.signal("HUP");
         }
-        daemon.signal("TERM");
+        process.signal("TERM");
         for (int i = 0; i < 3; i++) {
-            daemon.signal("HUP");
+            process.signal("HUP");
         }
         go.complete(null);
         for (Socket client : clients) {
             assertEquals("200", status(StubServer.read(client)));
         }
-        assertEquals(0, daemon.ended());
+        assertEquals(0, process.awaitExit());
         assertTrue(server.requests.isEmpty(), "nothing is sent twice: " + server.requests);
     }
 }
--- a/src/test/java/rushpin/node/LateConnectTest.java
+++ b/src/test/java/rushpin/node/LateConnectTest.java
@@ -27,140 +27,143 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A connection to an app server that comes up late. The server's queue of connections is kept full, so that the kernel
- * answers the node's connect only when the test takes from that queue: what has changed meanwhile is certain.
+ * A connection to an app server that is established late. The server's backlog is kept full, so that the kernel
+ * completes the node's connect only when the test accepts from the backlog: the test decides what changes until then.
  */
 class LateConnectTest extends NodeTestBase {
-    /** The kernel asks again one second after a connect that found the queue full. */
+    /** The kernel repeats a connect that found the backlog full after one second; 20 s leave room for that. */
     private static final String CONNECT_TIMEOUT = "\"connect-timeout-ns\": 20000000000";
-    /** Half of it is the longest that the node lets a connection rest. */
+    /** The node closes a connection that has been idle for half of this. */
     private static final String KEEP_ALIVE = "\"keepalive-ns\": 2000000000";
 
-    /** A queue of one takes two connections. */
-    private static final int FILLERS = 2;
+    /** A backlog of one takes two connections. */
+    private static final int BACKLOG_CONNECTIONS = 2;
 
-    private final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
     private ServerSocket server;
-    private String connectedTo;
+    private String serverAddress;
 
     @BeforeEach
-    void listenWithAFullQueue() throws IOException {
+    void listenWithAFullBacklog() throws IOException {
         server = new ServerSocket();
         toClose.add(server);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
-        connectedTo = "127.0.0.1:" + server.getLocalPort();
-        for (int i = 0; i < FILLERS; i++) {
+        serverAddress = "127.0.0.1:" + server.getLocalPort();
+        for (int i = 0; i < BACKLOG_CONNECTIONS; i++) {
             toClose.add(new Socket(InetAddress.getLoopbackAddress(), server.getLocalPort()));
         }
     }
 
-    private EdgeNode nodeThatWaitsForConnects() throws Exception {
-        String config = config(member("s-0", connectedTo, "Ready", 0));
+    private EdgeNode startNodeWithLongConnectTimeout() throws Exception {
+        String config = config(member("s-0", serverAddress, "Ready", 0));
         return start(config.replace("\"connect-timeout-ns\": 250000000", CONNECT_TIMEOUT)
                 .replace("\"keepalive-ns\": 30000000000", KEEP_ALIVE));
     }
 
-    /** Lets connections come up from now on; the heads of requests on them come in the order in which they are read. */
-    private BlockingQueue<Map<String, String>> takeConnections() throws IOException {
-        BlockingQueue<Map<String, String>> heads = new LinkedBlockingQueue<>();
-        takeConnections(heads);
-        return heads;
+    /** Accepts connections from now on; returns a queue that gets the header maps of the requests on them. */
+    private BlockingQueue<Map<String, String>> acceptConnections() throws IOException {
+        BlockingQueue<Map<String, String>> requestHeaders = new LinkedBlockingQueue<>();
+        acceptConnections(requestHeaders);
+        return requestHeaders;
     }
 
-    private void takeConnections(BlockingQueue<Map<String, String>> heads) throws IOException {
-        for (int i = 0; i < FILLERS; i++) {
+    private void acceptConnections(BlockingQueue<Map<String, String>> requestHeaders) throws IOException {
+        for (int i = 0; i < BACKLOG_CONNECTIONS; i++) {
             server.accept().close();
         }
-        inBackground(() -> {
+        runInBackground(() -> {
             while (true) {
-                Socket made = server.accept();
-                inBackground(() -> readHeads(made, heads));
+                Socket connection = server.accept();
+                runInBackground(() -> serveRequests(connection, requestHeaders));
             }
         });
     }
 
-    private void readHeads(Socket from, BlockingQueue<Map<String, String>> heads) throws IOException {
+    private void serveRequests(Socket from, BlockingQueue<Map<String, String>> requestHeaders) throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.US_ASCII));
         while (in.readLine() != null) {
-            Map<String, String> head = new TreeMap<>();
+            Map<String, String> headers = new TreeMap<>();
             for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
                 int colon = line.indexOf(':');
-                head.put(
+                headers.put(
                         line.substring(0, colon).toLowerCase(Locale.ROOT),
                         line.substring(colon + 1).trim());
             }
-            in.skip(Long.parseLong(head.getOrDefault("content-length", "0")));
-            heads.add(head);
+            in.skip(Long.parseLong(headers.getOrDefault("content-length", "0")));
+            requestHeaders.add(headers);
             from.getOutputStream().write(StubServer.ok("", "x").getBytes(StandardCharsets.US_ASCII));
         }
-        ended.add(from);
+        closedConnections.add(from);
     }
 
-    private interface Work {
+    private interface SocketTask {
         void run() throws IOException;
     }
 
-    private static void inBackground(Work work) {
+    private static void runInBackground(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // The node or the test is over.
+                // The node has closed the connection, or the test has finished.
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Returns when the kernel has asked for the node's connection: it was not answered, and is asked for again after 1 s. */
-    private void awaitConnectUnderWay() throws IOException, InterruptedException {
-        String underWay = String.format("(?s).*:%04X 02 .*", server.getLocalPort());
-        while (!connections("tcp").matches(underWay) && !connections("tcp6").matches(underWay)) {
+    /** Waits for the kernel's state SYN_SENT: the connect got no answer, and is repeated after 1 s. */
+    private void awaitSynSent() throws IOException, InterruptedException {
+        String synSent = String.format("(?s).*:%04X 02 .*", server.getLocalPort());
+        while (!kernelConnections("tcp").matches(synSent)
+                && !kernelConnections("tcp6").matches(synSent)) {
             Thread.sleep(1);
         }
     }
 
-    /** Returns when the kernel has made the connection that it was asked for. */
+    /** Waits until the kernel has established the connection. */
     private void awaitConnected() throws IOException, InterruptedException {
-        String underWay = String.format("(?s).*:%04X 02 .*", server.getLocalPort());
-        while (connections("tcp").matches(underWay) || connections("tcp6").matches(underWay)) {
+        String synSent = String.format("(?s).*:%04X 02 .*", server.getLocalPort());
+        while (kernelConnections("tcp").matches(synSent)
+                || kernelConnections("tcp6").matches(synSent)) {
             Thread.sleep(1);
         }
     }
 
-    private static String connections(String family) throws IOException {
-        return Files.readString(Path.of("/proc/net", family));
+    private static String kernelConnections(String protocol) throws IOException {
+        return Files.readString(Path.of("/proc/net", protocol));
     }
 
-    private void awaitConnections(EdgeNode node, int count) throws Exception {
+    private void awaitClientConnections(EdgeNode node, int count) throws Exception {
         while (node.connections() != count) {
             Thread.sleep(1);
         }
     }
 
     @Test
-    void aRequestWhoseClientLeftWhileTheConnectionWasMadeIsNotWritten() throws Exception {
-        EdgeNode node = nodeThatWaitsForConnects();
+    void aRequestWhoseClientLeftDuringTheConnectIsNotWritten() throws Exception {
+        EdgeNode node = startNodeWithLongConnectTimeout();
         Socket left = client(node);
         order(left, "left");
-        awaitConnectUnderWay();
+        awaitSynSent();
         left.close();
-        awaitConnections(node, 0);
+        awaitClientConnections(node, 0);
 
-        BlockingQueue<Map<String, String>> heads = takeConnections();
-        // The connection comes up for nobody, and the node ends it when it has rested for long enough.
-        assertNotNull(ended.poll(30, TimeUnit.SECONDS), "the connection is kept");
-        assertEquals(List.of(), List.copyOf(heads), "requests that the server saw");
+        BlockingQueue<Map<String, String>> requestHeaders = acceptConnections();
+        // No request needs the connection by now: the node closes it once it has been idle for long enough.
+        assertNotNull(closedConnections.poll(30, TimeUnit.SECONDS), "the idle connection must be closed");
+        assertEquals(List.of(), List.copyOf(requestHeaders), "requests that the server received");
     }
 
-    private static Map<String, String> head(BlockingQueue<Map<String, String>> heads) throws InterruptedException {
-        return Objects.requireNonNull(heads.poll(30, TimeUnit.SECONDS), "no request came");
+    private static Map<String, String> nextHeaders(BlockingQueue<Map<String, String>> requestHeaders)
+            throws InterruptedException {
+        return Objects.requireNonNull(requestHeaders.poll(30, TimeUnit.SECONDS), "no request came");
     }
 
-    /** Told by the loop itself, behind its next look at the sockets: by then it knows that the connection is up. */
-    private void tellDrain(Iterable<StubServer.Message> watches) {
-        String drain = "{\"revision\":6,\"complete\":false,\"members\":[" + member("s-0", connectedTo, "Terminating", 0)
-                + "]}\n";
+    /** Announces the drain. Runs on the loop after its next poll, when it knows that the connection is established. */
+    private void announceDrain(Iterable<StubServer.Message> watches) {
+        String drain = "{\"revision\":6,\"complete\":false,\"members\":["
+                + member("s-0", serverAddress, "Terminating", 0) + "]}\n";
         try {
             for (StubServer.Message watch : watches) {
                 watch.answer(Integer.toHexString(drain.length()) + "\r\n" + drain + "\r\n");
@@ -170,44 +173,44 @@
         }
     }
 
-    /** The process has no core while the connection comes up; its server's drain is told just after that. */
+    /** The loop is blocked while the connection is established; the server's drain is announced just after that. */
     @Test
-    void aServerThatDrainsWhileItsConnectionIsMadeGetsNothingBehindAPause() throws Exception {
+    void aServerThatDrainsDuringAConnectAndAPauseGetsNoRequest() throws Exception {
         BlockingQueue<StubServer.Message> watches = new LinkedBlockingQueue<>();
         discovery = stubServer(m -> {
             m.answer(UNCHANGED);
             watches.add(m);
         });
-        EdgeNode node = nodeThatWaitsForConnects();
+        EdgeNode node = startNodeWithLongConnectTimeout();
         Socket client = client(node);
         order(client, "r1");
-        awaitConnectUnderWay();
+        awaitSynSent();
 
-        BlockingQueue<Map<String, String>> heads = new LinkedBlockingQueue<>();
+        BlockingQueue<Map<String, String>> requestHeaders = new LinkedBlockingQueue<>();
         runWhileLoopIsBlocked(
                 node,
                 () -> {
-                    takeConnections(heads);
+                    acceptConnections(requestHeaders);
                     awaitConnected();
                 },
-                () -> node.loop().schedule(() -> tellDrain(watches), 1, TimeUnit.NANOSECONDS));
+                () -> node.loop().schedule(() -> announceDrain(watches), 1, TimeUnit.NANOSECONDS));
 
-        assertNotNull(ended.poll(30, TimeUnit.SECONDS), "the connection is kept");
-        assertEquals(List.of(), List.copyOf(heads), "requests that the server saw");
+        assertNotNull(closedConnections.poll(30, TimeUnit.SECONDS), "the idle connection must be closed");
+        assertEquals(List.of(), List.copyOf(requestHeaders), "requests that the server received");
     }
 
     @Test
-    void theDeadlineIsWorkedOutWhenTheRequestIsWritten() throws Exception {
-        EdgeNode node = nodeThatWaitsForConnects();
-        long before = System.nanoTime();
+    void theDeadlineHeaderIsComputedWhenTheRequestIsWritten() throws Exception {
+        EdgeNode node = startNodeWithLongConnectTimeout();
+        long start = System.nanoTime();
         Socket client = client(node);
         order(client, "r1");
-        awaitConnectUnderWay();
-        Map<String, String> head = head(takeConnections());
-        long waited = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - before);
-        long told = Long.parseLong(head.get("x-expires-in-ms"));
-        // The kernel makes the connection a second after it was asked for.
-        assertTrue(waited >= 900, "connected after " + waited + " ms");
-        assertTrue(told <= 20_000 - 900, "told " + told + " ms of 20,000 after a second");
+        awaitSynSent();
+        Map<String, String> headers = nextHeaders(acceptConnections());
+        long waitedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
+        long expiresInMs = Long.parseLong(headers.get("x-expires-in-ms"));
+        // The kernel establishes the connection one second after the first attempt.
+        assertTrue(waitedMs >= 900, "connected after " + waitedMs + " ms");
+        assertTrue(expiresInMs <= 20_000 - 900, "header has " + expiresInMs + " ms of 20,000 after a second");
     }
 }
--- a/src/test/java/rushpin/node/SocketHolder.java
+++ b/src/test/java/rushpin/node/ListeningSocketHolder.java
@@ -4,9 +4,9 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Holds a listening socket and passes it to each process that it starts as standard input, as a supervisor does. */
-final class SocketHolder implements AutoCloseable {
-    /** Java can't give a child a socket of its own. */
+/** Holds a listening socket and passes it as standard input to node processes that it starts, as a supervisor does. */
+final class ListeningSocketHolder implements AutoCloseable {
+    /** In Perl, since Java can't pass a socket to a child process. */
     private static final String SCRIPT = """
         use strict; use Socket; $| = 1; $^F = 255;
         socket(my $s, PF_INET, SOCK_STREAM, 0) or die "socket: $!";
@@ -24,24 +24,24 @@
     private final ServeProcess holder;
     final int port;
 
-    SocketHolder(Path folder, String config) throws Exception {
+    ListeningSocketHolder(Path folder, String config) throws Exception {
         holder = new ServeProcess(
                 folder, config, ServeProcess.operatorFile("listener = \"inherited\"\n"), List.of("perl", "-e", SCRIPT));
-        port = holder.port("holds port");
+        port = holder.awaitPort("holds port");
     }
 
-    /** Starts a process at the socket; returns when it serves. */
+    /** Starts a node process on the socket and returns once it serves. */
     ProcessHandle serve() throws Exception {
-        holder.process.getOutputStream().write('\n');
-        holder.process.getOutputStream().flush();
-        int pid = holder.port("started");
-        holder.port();
+        holder.osProcess.getOutputStream().write('\n');
+        holder.osProcess.getOutputStream().flush();
+        int pid = holder.awaitPort("started");
+        holder.awaitPort();
         return ProcessHandle.of(pid).orElseThrow(() -> new IOException("the process has ended"));
     }
 
     @Override
     public void close() {
-        holder.process.descendants().forEach(ProcessHandle::destroyForcibly);
+        holder.osProcess.descendants().forEach(ProcessHandle::destroyForcibly);
         holder.close();
     }
 }
--- a/src/test/java/rushpin/node/MalformedAnswerTest.java
+++ b/src/test/java/rushpin/node/MalformedAnswerTest.java
@@ -26,14 +26,17 @@
                 "\r\n",
                 "noise",
                 "HTTP/1.1 100 Continue\r\n\r\n")) {
-            StubServer server = stubServer(m -> m.answer(StubServer.ok("", m.headers().get("x-trace-id")) + extra));
+            StubServer server =
+                    stubServer(m -> m.answer(StubServer.ok("", m.headers().get("x-trace-id")) + extra));
             Socket client = client(node(server));
             for (String id : List.of("t-1", "t-2", "t-3")) {
                 order(client, id);
                 StubServer.Message answer = StubServer.read(client);
                 assertEquals("200", status(answer), extra);
                 assertEquals(id, answer.body(), extra);
-                assertNotNull(server.closedConnections.poll(60, TimeUnit.SECONDS), "a connection with extra bytes must be closed");
+                assertNotNull(
+                        server.closedConnections.poll(60, TimeUnit.SECONDS),
+                        "a connection with extra bytes must be closed");
             }
         }
     }
@@ -48,7 +51,8 @@
         });
         assertEquals("200", ask(client(node(server)), "t-1"));
         go.complete(null);
-        assertNotNull(server.closedConnections.poll(60, TimeUnit.SECONDS), "unexpected bytes must close the connection");
+        assertNotNull(
+                server.closedConnections.poll(60, TimeUnit.SECONDS), "unexpected bytes must close the connection");
     }
 
     /** The server keeps the connection open, so waiting for more bytes would use up the request's deadline. */
@@ -72,7 +76,8 @@
                 "HTTP/1.1 101 Switching\r\nUpgrade: h2c\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nX-Long: " + "x".repeat(20_000))) {
             StubServer[] server = new StubServer[1];
-            server[0] = stubServer(m -> m.answer(server[0].requests.size() == 1 ? malformed : StubServer.ok("", "good")));
+            server[0] =
+                    stubServer(m -> m.answer(server[0].requests.size() == 1 ? malformed : StubServer.ok("", "good")));
             Socket client = client(node(server[0]));
             client.setSoTimeout(9_000);
             order(client, "t-1");
@@ -91,8 +96,9 @@
 
     @Test
     void informationalResponsesBeforeAnAnswerAreSkipped() throws Exception {
-        StubServer server = stubServer(m -> m.answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: </x>\r\n\r\n"
-                + StubServer.ok("X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n", "good")));
+        StubServer server =
+                stubServer(m -> m.answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nLink: </x>\r\n\r\n"
+                        + StubServer.ok("X-Units-Charged: 1e99\r\nEndpoint-Load-Metrics: nonsense\r\n", "good")));
         Socket client = client(node(server));
         for (String id : List.of("t-1", "t-2")) {
             order(client, id);
--- a/src/test/java/rushpin/node/NodeTestBase.java
+++ b/src/test/java/rushpin/node/NodeTestBase.java
@@ -20,23 +20,26 @@
 import org.junit.jupiter.api.Timeout;
 import rushpin.config.Config;
 
-/** What the tests of a node share: scripted peers on loopback sockets, a node between them, and its clients. */
+/** Fixtures shared by a node's tests: scripted servers on loopback sockets, a node that uses them, and its clients. */
 @Timeout(120)
 abstract class NodeTestBase {
+    /** Discovery's response to a watch whose server list has not changed yet; it stays open. */
     static final String UNCHANGED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
+
     final List<AutoCloseable> toClose = new ArrayList<>();
     StubServer discovery;
     StubServer counter;
-    volatile StubServer.Script counting = m -> m.answer(StubServer.ok("", "1"));
+    /** What the counter does with a call; a test may replace it at any time. */
+    volatile StubServer.Script counterScript = m -> m.answer(StubServer.ok("", "1"));
 
     static {
-        Leaks.watch();
+        BufferLeakDetector.install();
     }
 
     @BeforeEach
-    void peers() throws IOException {
+    void startDiscoveryAndCounter() throws IOException {
         discovery = stubServer(m -> m.answer(UNCHANGED));
-        counter = stubServer(m -> counting.on(m));
+        counter = stubServer(m -> counterScript.handle(m));
     }
 
     @AfterEach
@@ -44,21 +47,24 @@
         for (int i = toClose.size() - 1; i >= 0; i--) {
             toClose.get(i).close();
         }
-        Leaks.assertNone();
+        BufferLeakDetector.assertNone();
     }
 
+    /** Starts a server that is closed after the test. */
     StubServer stubServer(StubServer.Script script) throws IOException {
-        StubServer peer = new StubServer(script);
-        toClose.add(peer);
-        return peer;
+        StubServer server = new StubServer(script);
+        toClose.add(server);
+        return server;
     }
 
+    /** A server as discovery's list has it; {@code since} is its start in milliseconds of Unix time. */
     static String member(String id, String address, String phase, long since) {
         return "{\"id\":\"" + id + "\",\"host_port\":\"" + address + "\","
                 + "\"locality\":\"a\",\"flavor\":\"m\",\"cell\":1,"
                 + "\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":" + since + "}";
     }
 
+    /** The platform's settings with this test's discovery and counter, and the given servers as the list. */
     String config(String... members) throws IOException {
         return Files.readString(Path.of("src/test/resources/node.json"))
                 .replace("DISCOVERY", discovery.address())
@@ -66,6 +72,7 @@
                 .replace("MEMBERS", String.join(",", members));
     }
 
+    /** Starts a node whose server list has the given servers, {@code s-0} and so on. */
     EdgeNode node(StubServer... servers) throws Exception {
         String[] members = new String[servers.length];
         for (int i = 0; i < members.length; i++) {
@@ -82,8 +89,8 @@
     }
 
     Socket client(EdgeNode node) throws IOException {
-        InetSocketAddress at = (InetSocketAddress) node.address();
-        Socket socket = new Socket(at.getAddress(), at.getPort());
+        InetSocketAddress address = (InetSocketAddress) node.address();
+        Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(60_000);
         toClose.add(socket);
         return socket;
@@ -111,47 +118,49 @@
         return headers;
     }
 
-    static void write(Socket to, String first, Map<String, String> headers, String body) throws IOException {
-        StringBuilder text = new StringBuilder(first).append(" HTTP/1.1\r\n");
+    /** Writes a request; {@code requestLine} is its start without the HTTP version. */
+    static void write(Socket to, String requestLine, Map<String, String> headers, String body) throws IOException {
+        StringBuilder text = new StringBuilder(requestLine).append(" HTTP/1.1\r\n");
         headers.forEach(
                 (name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
         text.append("Content-Length: ").append(body.length()).append("\r\n\r\n").append(body);
         to.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Sends a request of the class {@code order}, without reading the response. */
     static void order(Socket to, String id) throws IOException {
         write(to, "POST /api?slot=4", headers(id, "order", "20000"), "book");
     }
 
-    /** What happens while the node does not look. */
+    /** A step of a test that may throw. */
     interface ThrowingRunnable {
         void run() throws Exception;
     }
 
     /**
-     * Holds the node's loop while things happen, as a processor that is taken away would. {@code then} runs on the loop before
-     * it looks at its sockets again.
+     * Runs {@code action} while the node's event loop is blocked, as in a process without a CPU core. {@code then} runs
+     * on the loop before it polls its sockets again.
      */
-    static void runWhileLoopIsBlocked(EdgeNode node, ThrowingRunnable happening, Runnable then) throws Exception {
-        CompletableFuture<Void> held = new CompletableFuture<>();
-        CompletableFuture<Void> happened = new CompletableFuture<>();
-        CompletableFuture<Void> over = CompletableFuture.runAsync(
+    static void runWhileLoopIsBlocked(EdgeNode node, ThrowingRunnable action, Runnable then) throws Exception {
+        CompletableFuture<Void> blocked = new CompletableFuture<>();
+        CompletableFuture<Void> actionDone = new CompletableFuture<>();
+        CompletableFuture<Void> loopTask = CompletableFuture.runAsync(
                 () -> {
-                    held.complete(null);
-                    happened.join();
+                    blocked.complete(null);
+                    actionDone.join();
                     then.run();
                 },
                 node.loop());
-        held.join();
+        blocked.join();
         try {
-            happening.run();
+            action.run();
         } finally {
-            happened.complete(null);
+            actionDone.complete(null);
         }
-        over.get(60, TimeUnit.SECONDS);
+        loopTask.get(60, TimeUnit.SECONDS);
     }
 
-    /** Answers once it may. */
+    /** Answers each request with 200 once {@code go} is complete. */
     static StubServer.Script respondAfter(CompletableFuture<Void> go) {
         return m -> {
             go.join();
@@ -159,7 +168,7 @@
         };
     }
 
-    /** One line to a console, and all that it says. */
+    /** Sends one line to the console on this port and returns its whole response. */
     static String call(int console, String line) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), console)) {
             socket.setSoTimeout(60_000);
@@ -168,11 +177,13 @@
         }
     }
 
+    /** The status code of a response. */
     static String status(StubServer.Message answer) {
-        assertNotNull(answer, "the connection ended without an answer");
+        assertNotNull(answer, "the connection ended without a response");
         return answer.startLine().split(" ")[1];
     }
 
+    /** Sends an order and returns the status code of its response. */
     static String ask(Socket client, String id) throws IOException {
         order(client, id);
         return status(StubServer.read(client));
--- a/src/test/java/rushpin/node/OperatorProcessTest.java
+++ b/src/test/java/rushpin/node/OperatorProcessTest.java
@@ -14,27 +14,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operator's file in a real process: at its start, and by signals while it serves. */
+/** The operator's file in a node process: at its start, and reloaded by SIGHUP while it serves. */
 @Tag("long")
 class OperatorProcessTest extends NodeTestBase {
-    private static final String ONE = "[[pool]]\nname = \"%1$s\"\nsettings = \"platform\"\n[[route]]\npool = \"%1$s\"\n"
-            + "host = \"%1$s.example\"\n";
+    private static final String POOL_TEMPLATE =
+            "[[pool]]\nname = \"%1$s\"\nsettings = \"platform\"\n[[route]]\npool = \"%1$s\"\n"
+                    + "host = \"%1$s.example\"\n";
 
     @TempDir
     Path folder;
 
-    private ServeProcess daemon(String config, String operator, String... before) throws Exception {
-        ServeProcess made = new ServeProcess(folder, config, operator, List.of(before));
-        toClose.add(made);
-        return made;
+    private ServeProcess startProcess(String config, String operator, String... launcher) throws Exception {
+        ServeProcess process = new ServeProcess(folder, config, operator, List.of(launcher));
+        toClose.add(process);
+        return process;
     }
 
-    /** What a process that writes down its classes loaded; for one that has ended. */
-    private List<String> loaded() throws Exception {
+    /** The classes that a process started with {@link #classLogLauncher} has loaded; it must have exited. */
+    private List<String> loadedClasses() throws Exception {
         return Files.readAllLines(folder.resolve("classes.log"));
     }
 
-    private String[] writesClasses() {
+    /** A launcher that makes the JVM log each class it loads. */
+    private String[] classLogLauncher() {
         return new String[] {"env", "JDK_JAVA_OPTIONS=-Xlog:class+load:file=" + folder.resolve("classes.log")};
     }
 
@@ -51,54 +53,55 @@
     }
 
     @Test
-    void aFaultyFileEndsTheStartWithEachFault() throws Exception {
-        ServeProcess daemon = daemon(config(), "[[pool]]\nnam = \"a\"\nsettings = \"platform\"\n");
-        daemon.await(folder.resolve("rushpin.toml") + " cannot be used");
-        assertEquals(1, daemon.ended());
+    void aFaultyFileFailsTheStartAndLogsEachFault() throws Exception {
+        ServeProcess process = startProcess(config(), "[[pool]]\nnam = \"a\"\nsettings = \"platform\"\n");
+        process.awaitLine(folder.resolve("rushpin.toml") + " cannot be used");
+        assertEquals(1, process.awaitExit());
         assertTrue(
-                daemon.said.stream()
+                process.output.stream()
                         .anyMatch(line -> line.contains("line 2: pool[1].nam: is no key here; did you mean name?")),
-                daemon.said.toString());
+                process.output.toString());
     }
 
     @Test
-    void aReloadIsTheWholeNewFileOrNothing() throws Exception {
+    void aReloadAppliesTheWholeNewFileOrNothing() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
-        ServeProcess daemon = daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"));
+        ServeProcess process =
+                startProcess(config(member("s-0", server.address(), "Ready", 0)), String.format(POOL_TEMPLATE, "a"));
         Path operator = folder.resolve("rushpin.toml");
-        int port = daemon.port();
+        int port = process.awaitPort();
         assertEquals("200", ask(port, "a.example", "t-1"));
-        String half = String.format(ONE, "b");
-        Files.writeString(operator, half.substring(0, half.length() / 2));
-        daemon.signal("HUP");
-        daemon.await("the configuration stays as it was");
+        String changed = String.format(POOL_TEMPLATE, "b");
+        Files.writeString(operator, changed.substring(0, changed.length() / 2));
+        process.signal("HUP");
+        process.awaitLine("the configuration stays as it was");
         assertEquals("200", ask(port, "a.example", "t-2"));
         assertEquals("404", ask(port, "b.example", "t-3"));
-        // Two at once, as by two hands.
-        Files.writeString(operator, half);
-        daemon.signal("HUP");
-        daemon.signal("HUP");
-        daemon.await("configuration read again");
+        // Two signals at the same time, as from two operators.
+        Files.writeString(operator, changed);
+        process.signal("HUP");
+        process.signal("HUP");
+        process.awaitLine("configuration read again");
         String status = "";
         for (int i = 0; !status.equals("200") && i < 1_000; i++) {
             status = ask(port, "b.example", "u-" + i);
         }
         assertEquals("200", status);
         assertEquals("404", ask(port, "a.example", "t-4"));
-        daemon.signal("TERM");
-        assertEquals(0, daemon.ended());
+        process.signal("TERM");
+        assertEquals(0, process.awaitExit());
     }
 
-    /** A feature that is off costs nothing, not even its classes. */
+    /** A feature that is not configured must not cost anything: none of its classes may be loaded. */
     @Test
-    void withoutTheFileNothingOfItIsLoaded() throws Exception {
-        ServeProcess daemon = daemon(config(), null, writesClasses());
-        daemon.port();
-        daemon.signal("TERM");
-        assertEquals(0, daemon.ended());
-        List<String> loaded = loaded();
+    void withoutAnOperatorFileNoClassOfItIsLoaded() throws Exception {
+        ServeProcess process = startProcess(config(), null, classLogLauncher());
+        process.awaitPort();
+        process.signal("TERM");
+        assertEquals(0, process.awaitExit());
+        List<String> loaded = loadedClasses();
         assertTrue(loaded.stream().anyMatch(line -> line.contains("rushpin.node.PlatformService")));
-        for (String off : List.of(
+        for (String unused : List.of(
                 "rushpin.route.",
                 "rushpin.rig.",
                 "rushpin.config.OperatorFile",
@@ -108,24 +111,26 @@
                 "rushpin.membership.AddressOwners",
                 "org.tomlj",
                 "picocli")) {
-            assertFalse(loaded.stream().anyMatch(line -> line.contains(off)), off + " was loaded");
+            assertFalse(loaded.stream().anyMatch(line -> line.contains(unused)), unused + " was loaded");
         }
     }
 
-    /** The same for what is shared with other processes. */
+    /** The same for the features that a fleet of processes shares. */
     @Test
-    void withoutATableFleetNothingOfItIsLoaded() throws Exception {
+    void withoutATableFleetNoClassOfItIsLoaded() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
-        ServeProcess daemon =
-                daemon(config(member("s-0", server.address(), "Ready", 0)), String.format(ONE, "a"), writesClasses());
-        assertEquals("200", ask(daemon.port(), "a.example", "t-1"));
-        daemon.signal("HUP");
-        daemon.await("configuration read again");
-        daemon.signal("TERM");
-        assertEquals(0, daemon.ended());
-        List<String> loaded = loaded();
+        ServeProcess process = startProcess(
+                config(member("s-0", server.address(), "Ready", 0)),
+                String.format(POOL_TEMPLATE, "a"),
+                classLogLauncher());
+        assertEquals("200", ask(process.awaitPort(), "a.example", "t-1"));
+        process.signal("HUP");
+        process.awaitLine("configuration read again");
+        process.signal("TERM");
+        assertEquals(0, process.awaitExit());
+        List<String> loaded = loadedClasses();
         assertTrue(loaded.stream().anyMatch(line -> line.contains("rushpin.node.PooledServices")));
-        for (String off : List.of(
+        for (String unused : List.of(
                 "rushpin.accord.",
                 "rushpin.peer.",
                 "rushpin.failover.",
@@ -144,7 +149,7 @@
                 "GroupSide",
                 "rushpin.config.GroupTableReader",
                 "rushpin.config.GroupConfig")) {
-            assertFalse(loaded.stream().anyMatch(line -> line.contains(off)), off + " was loaded");
+            assertFalse(loaded.stream().anyMatch(line -> line.contains(unused)), unused + " was loaded");
         }
     }
 }
--- a/src/test/java/rushpin/node/PlanProcessTest.java
+++ b/src/test/java/rushpin/node/PlanProcessTest.java
@@ -45,7 +45,8 @@
                 StubServer server = stubServer(m -> {
                     got.computeIfAbsent(m.headers().get("x-trace-id"), id -> new ArrayList<>())
                             .add(zone);
-                    m.answer(zone.equals(ill) ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : StubServer.ok("", "x"));
+                    m.answer(
+                            zone.equals(ill) ? "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" : StubServer.ok("", "x"));
                 });
                 members.add(member("s-" + zone + i, server.address(), "Ready", 0)
                         .replace("\"locality\":\"a\"", "\"locality\":\"" + zone + "\""));
--- a/src/test/java/rushpin/node/PoolsTest.java
+++ b/src/test/java/rushpin/node/PoolsTest.java
@@ -464,7 +464,8 @@
         assertNull(removed.closedConnections.poll(), "a pool with requests in flight still follows its server list");
         release.complete(null);
         assertEquals("old", StubServer.read(client).body());
-        assertNotNull(removed.closedConnections.poll(60, TimeUnit.SECONDS), "the removed pool ends with its last request");
+        assertNotNull(
+                removed.closedConnections.poll(60, TimeUnit.SECONDS), "the removed pool ends with its last request");
         assertNotNull(old.closedConnections.poll(60, TimeUnit.SECONDS), "its connections must be closed");
         // The client's connection stays open and is served by the other pool.
         order(client, "a", "t-2");
@@ -511,7 +512,8 @@
         assertNotNull(before.closedConnections.poll(60, TimeUnit.SECONDS), "the old pool a must end");
         assertTrue(before.next().startLine().contains("watch=1"), "a new pool a must watch");
         assertTrue(
-                elsewhere.next().startLine().contains("watch=1&after=5"), "pool b changed its address and kept its list");
+                elsewhere.next().startLine().contains("watch=1&after=5"),
+                "pool b changed its address and kept its list");
         assertEquals("b", ask(node, "b", "t-1").body(), "pool b keeps the servers it knows");
         assertEquals("a", ask(node, "a", "t-2").body());
     }
--- a/src/test/java/rushpin/node/ServeProcess.java
+++ b/src/test/java/rushpin/node/ServeProcess.java
@@ -18,24 +18,27 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A node as a real process, and what it has said. */
+/** A node that runs the command {@code serve} in a process of its own, and the lines that it has written. */
 final class ServeProcess implements AutoCloseable {
-    private static final String END = "(the end)";
-    private static final int MOST_S = 90;
-    final List<String> said = new ArrayList<>();
-    final Process process;
+    private static final String END = "(end of output)";
+    /** Longest wait for one more line, in seconds. */
+    private static final int LINE_TIMEOUT_S = 90;
+    /** Lines that have been read from the queue so far. */
+    final List<String> output = new ArrayList<>();
+
+    final Process osProcess;
     final Path config;
-    /** What has not been asked for yet; the end is a line of its own. */
-    private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
+    /** Lines that no test has read yet; the end of the output is a line of its own. */
+    private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>();
 
-    /** Runs {@code serve}, with an operator's file if there is one. */
+    /** Runs {@code serve}, with an operator's file unless {@code operator} is null. */
     ServeProcess(Path folder, String config, String operator) throws IOException {
         this(folder, config, operator, List.of());
     }
 
-    /** As above, by a command that runs the one that follows it. */
-    ServeProcess(Path folder, String config, String operator, List<String> before) throws IOException {
-        List<String> command = new ArrayList<>(before);
+    /** As above, started by {@code launcher}, a command that runs the command line appended to it. */
+    ServeProcess(Path folder, String config, String operator, List<String> launcher) throws IOException {
+        List<String> command = new ArrayList<>(launcher);
         command.addAll(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -52,94 +55,99 @@
         builder.environment().put("GW_CONFIG", this.config.toString());
         builder.environment().remove("RUSHPIN_OPERATOR");
         builder.environment().put("TMPDIR", folder.toString());
-        process = builder.start();
-        // A read of a process that says nothing more can't be interrupted: it would outlast every time limit.
-        Thread reader = new Thread(this::read, "lines of " + process.pid());
+        osProcess = builder.start();
+        // A daemon thread, since a read from a silent process can't be interrupted and would outlast every timeout.
+        Thread reader = new Thread(this::readOutput, "lines of " + osProcess.pid());
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
-        try (BufferedReader from =
-                new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
-            from.lines().forEach(lines::add);
+    private void readOutput() {
+        try (BufferedReader reader =
+                new BufferedReader(new InputStreamReader(osProcess.getInputStream(), StandardCharsets.UTF_8))) {
+            reader.lines().forEach(unreadLines::add);
         } catch (IOException | UncheckedIOException e) {
-            lines.add("(unreadable: " + e + ")");
+            unreadLines.add("(unreadable: " + e + ")");
         }
-        lines.add(END);
+        unreadLines.add(END);
     }
 
-    /** The next line, null at its end. */
-    private String next() throws InterruptedException {
-        String line = lines.poll(MOST_S, TimeUnit.SECONDS);
+    /** Waits for the next line; null at the end of the output. */
+    private String nextLine() throws InterruptedException {
+        String line = unreadLines.poll(LINE_TIMEOUT_S, TimeUnit.SECONDS);
         if (line == null) {
-            throw new AssertionError("the process says nothing more: " + said);
+            throw new AssertionError("no line within " + LINE_TIMEOUT_S + " s, output so far: " + output);
         } else if (line.equals(END)) {
-            lines.add(END);
+            unreadLines.add(END);
             return null;
         }
-        said.add(line);
+        output.add(line);
         return line;
     }
 
-    /** One pool with the platform's settings, and lines of the table {@code process}. */
+    /** An operator's file: one pool with the platform's settings, and these lines in the table {@code process}. */
     static String operatorFile(String process) {
         return "[process]\n" + process + "\n[[pool]]\nname = \"a\"\nsettings = \"platform\"\n[[route]]\npool = \"a\"\n";
     }
 
-    /** A port that nobody listens at. */
+    /** A port on loopback that no process listens on. */
     static int unusedPort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return socket.getLocalPort();
         }
     }
 
-    String await(String start) throws InterruptedException {
-        for (String line = next(); line != null; line = next()) {
-            if (line.startsWith(start)) {
+    /** Reads lines until one begins with {@code prefix}, and returns it. */
+    String awaitLine(String prefix) throws InterruptedException {
+        for (String line = nextLine(); line != null; line = nextLine()) {
+            if (line.startsWith(prefix)) {
                 return line;
             }
         }
-        throw new AssertionError("the process ended before it said '" + start + "': " + said);
+        throw new AssertionError("the process ended without a line '" + prefix + "...', output: " + output);
     }
 
-    /** The port of its console, which it says before it serves. */
-    int console() throws InterruptedException {
-        return port("console on");
+    /** Waits for the console's port, which is logged before the port for clients. */
+    int awaitConsolePort() throws InterruptedException {
+        return awaitPort("console on");
     }
 
-    int port() throws InterruptedException {
-        return port("serving on");
+    /** Waits until the process serves clients, and returns the port. */
+    int awaitPort() throws InterruptedException {
+        return awaitPort("serving on");
     }
 
-    int port(String start) throws InterruptedException {
-        String line = await(start);
+    /** Waits for a line that begins with {@code prefix} and ends with a colon and a number, and returns the number. */
+    int awaitPort(String prefix) throws InterruptedException {
+        String line = awaitLine(prefix);
         return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
     }
 
+    /** Sends a signal, such as {@code TERM}. */
     void signal(String name) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                new ProcessBuilder("kill", "-" + name, Long.toString(osProcess.pid()))
                         .start()
                         .waitFor());
     }
 
-    /** What it said to its end. */
-    List<String> rest() throws InterruptedException {
-        while (next() != null) {
-            // All that there is.
+    /** Reads the output to its end and returns all lines. */
+    List<String> awaitFullOutput() throws InterruptedException {
+        while (nextLine() != null) {
+            // nextLine() collects the lines.
         }
-        return said;
+        return output;
     }
 
-    int ended() throws InterruptedException {
-        assertTrue(process.waitFor(60, TimeUnit.SECONDS), "the process must end");
-        return process.exitValue();
+    /** Waits until the process exits, and returns its exit code. */
+    int awaitExit() throws InterruptedException {
+        assertTrue(osProcess.waitFor(60, TimeUnit.SECONDS), "the process did not exit within 60 s");
+        return osProcess.exitValue();
     }
 
     @Override
     public void close() {
-        process.destroyForcibly();
+        osProcess.destroyForcibly();
     }
 }
--- a/src/test/java/rushpin/node/RetuneNodeTest.java
+++ b/src/test/java/rushpin/node/SettingsReloadTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import rushpin.config.Config;
 
-/** Settings that change under clients: over real sockets, and as a real process that is sent SIGHUP. */
-class RetuneNodeTest extends NodeTestBase {
+/** Settings that change while clients are served: in this process, and in a process of its own by SIGHUP. */
+class SettingsReloadTest extends NodeTestBase {
     @TempDir
     Path folder;
 
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aNewClassIsServedAndADroppedOneForAWhile() throws Exception {
+    void aNewClassIsServedAndARemovedOneUntilItsDeadline() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String before = config(member("s-0", server.address(), "Ready", 0));
         EdgeNode node = start(before);
@@ -38,12 +38,12 @@
         node.reload(Config.parse(changed));
         node.loop().submit(() -> {}).sync();
         assertEquals("200", ask(client, "t-2", "urgent"));
-        assertEquals("200", ask(client, "t-3", "strict"), "a client that has begun in it may still come again");
+        assertEquals("200", ask(client, "t-3", "strict"), "a client that began with this class may still retry");
         assertEquals("200", ask(client, "t-4", "order"));
     }
 
     @Test
-    void aDroppedClassEndsAfterItsDeadline() throws Exception {
+    void aRemovedClassIsRefusedAfterItsDeadline() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String before = config(member("s-0", server.address(), "Ready", 0))
                 .replace("\"deadline-ns\": 30000000000", "\"deadline-ns\": 300000000")
@@ -58,14 +58,14 @@
             if (status(StubServer.read(client)).equals("400")) {
                 break;
             }
-            assertTrue(i < 10_000, "it must end");
+            assertTrue(i < 10_000, "the removed class is still served");
         }
         assertEquals("200", ask(client(node), "last", "urgent", "300"));
     }
 
-    /** Each reload drops another class: none may keep for longer what an earlier one dropped. */
+    /** Each reload removes another class; none may prolong a class that an earlier reload removed. */
     @Test
-    void reloadsInARowKeepNothingAlive() throws Exception {
+    void laterReloadsDoNotProlongARemovedClass() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String before = config(member("s-0", server.address(), "Ready", 0))
                 .replace("\"deadline-ns\": 30000000000", "\"deadline-ns\": 600000000")
@@ -88,16 +88,17 @@
         return status(StubServer.read(client));
     }
 
-    /** An order whose class is made one that may run once, and the other way round, while it is out. */
+    /** The idempotency of a request's class changes while an attempt is in flight: the request keeps the old rule. */
     @Test
-    void whatIsOpenKeepsTheRulesItCameWith() throws Exception {
-        AtomicInteger tries = new AtomicInteger();
-        CountDownLatch out = new CountDownLatch(1), changed = new CountDownLatch(1);
+    void aRequestInFlightKeepsTheRulesOfItsArrival() throws Exception {
+        AtomicInteger attempts = new AtomicInteger();
+        CountDownLatch inFlight = new CountDownLatch(1);
+        CountDownLatch reloaded = new CountDownLatch(1);
         StubServer server = stubServer(m -> {
-            if (m.headers().get("x-trace-id").equals("held") && tries.incrementAndGet() == 1) {
-                out.countDown();
+            if (m.headers().get("x-trace-id").equals("held") && attempts.incrementAndGet() == 1) {
+                inFlight.countDown();
                 try {
-                    changed.await(60, TimeUnit.SECONDS);
+                    reloaded.await(60, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -110,49 +111,50 @@
         EdgeNode node = start(before);
         Socket client = client(node);
         write(client, "POST /api", headers("held", "strict", "20000"), "x");
-        assertTrue(out.await(60, TimeUnit.SECONDS));
+        assertTrue(inFlight.await(60, TimeUnit.SECONDS));
         node.reload(Config.parse(before.replace("\"fragile\"", "\"dedup\"")
                 .replace("\"key-ttl-ns\": 4000000000", "\"key-ttl-ns\": 30000000000")));
         node.loop().submit(() -> {}).sync();
-        changed.countDown();
-        assertEquals("502", status(StubServer.read(client)), "it may have run, and came as one that may run once");
-        assertEquals(1, tries.get());
+        reloaded.countDown();
+        assertEquals(
+                "502", status(StubServer.read(client)), "it may have run, and its class on arrival allows no retry");
+        assertEquals(1, attempts.get());
     }
 
     @Test
-    void aBrokenFileChangesNothingAndIsCounted() throws Exception {
+    void aFaultyFileChangesNothingAndIsCounted() throws Exception {
         StubServer server = stubServer(m -> m.answer(StubServer.ok("", "x")));
         String good = config(member("s-0", server.address(), "Ready", 0));
-        String with = good.replaceFirst("\"listen\"", "\"console\": \"127.0.0.1:0\", \"listen\"");
-        try (ServeProcess daemon = new ServeProcess(folder, with, null)) {
-            int console = daemon.console();
-            Socket client = new Socket("127.0.0.1", daemon.port());
+        String withConsole = good.replaceFirst("\"listen\"", "\"console\": \"127.0.0.1:0\", \"listen\"");
+        try (ServeProcess process = new ServeProcess(folder, withConsole, null)) {
+            int console = process.awaitConsolePort();
+            Socket client = new Socket("127.0.0.1", process.awaitPort());
             toClose.add(client);
             client.setSoTimeout(60_000);
-            String urgent = with.replace("\"strict\"", "\"urgent\"");
+            String urgent = withConsole.replace("\"strict\"", "\"urgent\"");
             for (String broken : new String[] {
                 "",
                 urgent.substring(0, urgent.length() / 2),
                 urgent.replace("\"max-attempts\": 6", "\"max-attempts\": 0"),
                 urgent.replace("\"caps\"", "\"cups\"")
             }) {
-                Files.writeString(daemon.config, broken);
-                daemon.signal("HUP");
-                daemon.await("the configuration stays as it was");
+                Files.writeString(process.config, broken);
+                process.signal("HUP");
+                process.awaitLine("the configuration stays as it was");
             }
             assertEquals("400", ask(client, "t-1", "urgent"));
-            Files.writeString(daemon.config, urgent);
-            daemon.signal("HUP");
-            daemon.await("configuration read again");
-            Socket again =
+            Files.writeString(process.config, urgent);
+            process.signal("HUP");
+            process.awaitLine("configuration read again");
+            Socket newClient =
                     new Socket("127.0.0.1", ((java.net.InetSocketAddress) client.getRemoteSocketAddress()).getPort());
-            toClose.add(again);
-            again.setSoTimeout(60_000);
-            assertEquals("200", ask(again, "t-2", "urgent"));
-            String figures = call(console, "STATS");
+            toClose.add(newClient);
+            newClient.setSoTimeout(60_000);
+            assertEquals("200", ask(newClient, "t-2", "urgent"));
+            String metrics = call(console, "STATS");
             assertTrue(
-                    figures.contains("node.config_applied:1|c\n") && figures.contains("node.config_rejected:4|c\n"),
-                    figures);
+                    metrics.contains("node.config_applied:1|c\n") && metrics.contains("node.config_rejected:4|c\n"),
+                    metrics);
         }
     }
 }
--- a/src/test/java/rushpin/node/HangupAtStartTest.java
+++ b/src/test/java/rushpin/node/SighupDuringStartTest.java
@@ -12,36 +12,36 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A signal that comes while a process starts, after it has read its files for the last time. */
-class HangupAtStartTest extends NodeTestBase {
+/** A SIGHUP that arrives while a process starts, after it has read its files for the last time. */
+class SighupDuringStartTest extends NodeTestBase {
     @TempDir
     Path folder;
 
-    /** It was taken for one that comes before the files are read: the node watched the discovery of before for good. */
+    /** Guards against losing such a signal: the process then kept watching the discovery address of the old file. */
     @Test
-    void aHangupBehindTheLastReadIsHeardWhenTheNodeHasStarted() throws Exception {
-        CompletableFuture<Void> watched = new CompletableFuture<>();
-        StubServer moved = stubServer(m -> {
+    void aSighupAfterTheLastReadTakesEffectOnceTheNodeHasStarted() throws Exception {
+        CompletableFuture<Void> newDiscoveryWatched = new CompletableFuture<>();
+        StubServer newDiscovery = stubServer(m -> {
             m.answer(UNCHANGED);
-            watched.complete(null);
+            newDiscoveryWatched.complete(null);
         });
         Path pipe = folder.resolve("platform.json");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         String first = config(member("s-0", "127.0.0.1:9", "Ready", 0));
-        try (ServeProcess node = new ServeProcess(folder, first, null, List.of("env", "GW_CONFIG=" + pipe))) {
-            // Opening a pipe waits for its reader: these are the node's two reads.
+        try (ServeProcess process = new ServeProcess(folder, first, null, List.of("env", "GW_CONFIG=" + pipe))) {
+            // Opening a pipe blocks until a reader opens it, so the two writes meet the process's two reads.
             write(pipe, first);
-            node.await("rehearsed with");
+            process.awaitLine("rehearsed with");
             try (OutputStream second = Files.newOutputStream(pipe)) {
                 Path next = Files.writeString(
-                        folder.resolve("next.json"), first.replace(discovery.address(), moved.address()));
+                        folder.resolve("next.json"), first.replace(discovery.address(), newDiscovery.address()));
                 Files.move(next, pipe, StandardCopyOption.REPLACE_EXISTING);
-                node.signal("HUP");
+                process.signal("HUP");
                 second.write(first.getBytes(StandardCharsets.UTF_8));
             }
-            node.await("serving on");
-            node.await("configuration read again");
-            watched.join();
+            process.awaitLine("serving on");
+            process.awaitLine("configuration read again");
+            newDiscoveryWatched.join();
         }
     }
 
--- a/src/test/java/rushpin/node/StubServer.java
+++ b/src/test/java/rushpin/node/StubServer.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A scripted HTTP/1.1 peer on loopback: whatever an edge node connects to, written on plain sockets. */
+/** A scripted HTTP/1.1 server on loopback, on plain sockets: an app server, discovery or the counter of a test. */
 final class StubServer implements AutoCloseable {
-    /** What came: the request line, the headers by lower-case name, the body. */
+    /** A message: request line or status line, headers by lower-case name, body, and the socket it came from. */
     record Message(String startLine, Map<String, String> headers, String body, Socket socket) {
         void answer(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -24,23 +24,26 @@
         }
     }
 
-    /** What a peer does with a message; it may answer, close the connection, or keep silent. */
+    /** What the server does with a request: it may answer, close the connection or stay silent. */
     interface Script {
-        void on(Message message) throws IOException, InterruptedException;
+        void handle(Message message) throws IOException, InterruptedException;
     }
 
+    /** Requests that no test has taken yet. */
     final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
+    /** Connections that the node has closed. */
     final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
+
     private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
     StubServer(Script script) throws IOException {
-        daemon(() -> {
+        runInBackground(() -> {
             while (true) {
                 Socket socket = listening.accept();
-                daemon(() -> {
+                runInBackground(() -> {
                     for (Message m = read(socket); m != null; m = read(socket)) {
                         requests.add(m);
-                        script.on(m);
+                        script.handle(m);
                     }
                     closedConnections.add(socket);
                 });
@@ -48,16 +51,16 @@
         });
     }
 
-    private interface Work {
+    private interface SocketTask {
         void run() throws IOException, InterruptedException;
     }
 
-    private static void daemon(Work work) {
+    private static void runInBackground(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException | InterruptedException e) {
-                // The other side or the test is over.
+                // The connection has been closed, or the test has finished.
             }
         });
         thread.setDaemon(true);
@@ -68,27 +71,29 @@
         return "127.0.0.1:" + listening.getLocalPort();
     }
 
+    /** Waits for the next request. */
     Message next() throws InterruptedException {
         Message message = requests.poll(30, TimeUnit.SECONDS);
         if (message == null) {
-            throw new AssertionError("nothing came");
+            throw new AssertionError("no request came within 30 s");
         }
         return message;
     }
 
+    /** A response 200; {@code headers} are whole lines. */
     static String ok(String headers, String body) {
         return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Reads one message; null at the connection's end. */
+    /** Reads one message; null at the end of the connection. */
     static Message read(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
-        String startLine = line(in);
+        String startLine = readLine(in);
         if (startLine == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
+        for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
             int colon = header.indexOf(':');
             headers.put(
                     header.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -98,7 +103,7 @@
         return new Message(startLine, headers, new String(in.readNBytes(length), StandardCharsets.UTF_8), socket);
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
--- a/src/test/java/rushpin/node/UpgradeTest.java
+++ b/src/test/java/rushpin/node/UpgradeTest.java
@@ -15,79 +15,82 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program is replaced while it serves: two real processes at one address, one folder, and clients all along. */
+/** Replacement of the program while it serves: two processes share an address and a folder, under constant load. */
 class UpgradeTest extends NodeTestBase {
     @TempDir
     Path folder;
 
-    private ServeProcess process(String config, int listen) throws Exception {
-        ServeProcess daemon = new ServeProcess(
+    private ServeProcess startProcess(String config, int listen) throws Exception {
+        ServeProcess process = new ServeProcess(
                 folder,
                 config.replaceFirst(
                         "\"listen\": *\"[^\"]*\"",
                         "\"listen\": \"127.0.0.1:" + listen + "\", \"console\": \"127.0.0.1:0\""),
                 null);
-        toClose.add(daemon);
-        return daemon;
+        toClose.add(process);
+        return process;
     }
 
     @Test
-    void noRequestIsLostAndABanStands() throws Exception {
-        AtomicInteger banned = new AtomicInteger();
-        StubServer a = stubServer(m -> {
-            banned.incrementAndGet();
+    void noRequestIsLostAndADisabledServerStaysDisabled() throws Exception {
+        AtomicInteger disabledRequests = new AtomicInteger();
+        StubServer disabled = stubServer(m -> {
+            disabledRequests.incrementAndGet();
             m.answer(StubServer.ok("", "a"));
         });
-        StubServer b = stubServer(m -> m.answer(StubServer.ok("", "b")));
-        String config = config(member("s-0", a.address(), "Ready", 0), member("s-1", b.address(), "Ready", 0));
-        ServeProcess old = process(config, 0);
-        int first = old.console(), listen = old.port();
-        assertEquals("done\n", call(first, "READY"));
-        assertEquals("done\n", call(first, "DISABLE s-0"));
-        int before = banned.get();
-        AtomicBoolean over = new AtomicBoolean();
-        List<String> wrong = new ArrayList<>();
+        StubServer enabled = stubServer(m -> m.answer(StubServer.ok("", "b")));
+        String config =
+                config(member("s-0", disabled.address(), "Ready", 0), member("s-1", enabled.address(), "Ready", 0));
+        ServeProcess old = startProcess(config, 0);
+        int oldConsole = old.awaitConsolePort();
+        int listen = old.awaitPort();
+        assertEquals("done\n", call(oldConsole, "READY"));
+        assertEquals("done\n", call(oldConsole, "DISABLE s-0"));
+        int requestsBefore = disabledRequests.get();
+        AtomicBoolean stop = new AtomicBoolean();
+        List<String> failures = new ArrayList<>();
         AtomicInteger answered = new AtomicInteger();
         Thread clients = new Thread(
                 () -> {
-                    for (int i = 0; !over.get(); i++) {
-                        // A connection for each request: none may be refused or reset.
+                    for (int i = 0; !stop.get(); i++) {
+                        // A new connection for each request: none may be refused or reset.
                         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), listen)) {
                             client.setSoTimeout(60_000);
                             Map<String, String> headers = headers("t-" + i, "order", "20000");
                             write(client, "POST /api", headers, "book");
                             StubServer.Message answer = StubServer.read(client);
                             if (answer == null) {
-                                wrong.add("t-" + i + ": no answer");
+                                failures.add("t-" + i + ": no response");
                             }
                             answered.incrementAndGet();
                         } catch (Exception e) {
-                            wrong.add("t-" + i + ": " + e);
+                            failures.add("t-" + i + ": " + e);
                         }
                     }
                 },
                 "clients");
         clients.start();
-        ServeProcess fresh = process(config, listen);
-        int second = fresh.console();
-        fresh.port();
-        for (int i = 0; !call(second, "READY").equals("done\n"); i++) {
-            assertTrue(i < 600, "the new process never took clients");
+        ServeProcess fresh = startProcess(config, listen);
+        int newConsole = fresh.awaitConsolePort();
+        fresh.awaitPort();
+        for (int i = 0; !call(newConsole, "READY").equals("done\n"); i++) {
+            assertTrue(i < 600, "the new process never became ready");
             Thread.sleep(50);
         }
-        old.await("2 processes act as this node");
+        old.awaitLine("2 processes act as this node");
         old.signal("TERM");
-        assertEquals(0, old.ended());
+        assertEquals(0, old.awaitExit());
         assertTrue(
-                old.rest().stream().noneMatch(line -> line.startsWith("the listening socket")),
-                "no trouble in it: " + old.said);
-        fresh.await("alone again");
-        over.set(true);
+                old.awaitFullOutput().stream().noneMatch(line -> line.startsWith("the listening socket")),
+                "the old process logged an error of its listening socket: " + old.output);
+        fresh.awaitLine("alone again");
+        stop.set(true);
         clients.join();
-        // The kernel resets what is in the middle of its handshake at the one moment at which a socket closes.
-        assertTrue(wrong.size() <= 1, wrong.size() + " of " + answered + ": " + wrong);
-        assertEquals(before, banned.get(), "a server out by hand stays out over the change");
-        assertEquals("done\n", call(second, "ENABLE s-0"), "the new process knows of it");
+        // The kernel resets a connection whose handshake is incomplete at the moment at which the socket closes.
+        assertTrue(failures.size() <= 1, failures.size() + " of " + answered + ": " + failures);
+        assertEquals(
+                requestsBefore, disabledRequests.get(), "a disabled server must stay disabled over the replacement");
+        assertEquals("done\n", call(newConsole, "ENABLE s-0"), "the new process must know that the server is disabled");
         assertTrue(Files.isDirectory(folder.resolve("rushpin")));
     }
 }
--- a/src/test/java/rushpin/node/XdsPoolTest.java
+++ b/src/test/java/rushpin/node/XdsPoolTest.java
@@ -229,7 +229,8 @@
         startManagementServer();
         CompletableFuture<Void> go = new CompletableFuture<>();
         StubServer app = stubServer(m -> {
-            if (m.startLine().contains("slot=4") && m.headers().get("x-trace-id").equals("held")) {
+            if (m.startLine().contains("slot=4")
+                    && m.headers().get("x-trace-id").equals("held")) {
                 go.join();
             }
             m.answer(StubServer.ok("", "x"));
@@ -254,7 +255,8 @@
     @Test
     void theNextManagementServerIsUsedWhenTheFirstIsUnreachable() throws Exception {
         StubServer app = startOneServerCluster();
-        EdgeNode node = node("servers = [\"127.0.0.1:" + ServeProcess.unusedPort() + "\", \"" + server.address() + "\"]\n");
+        EdgeNode node =
+                node("servers = [\"127.0.0.1:" + ServeProcess.unusedPort() + "\", \"" + server.address() + "\"]\n");
         awaitBody(node, "x");
     }
 
