--- a/src/main/java/rushpin/net/GroupGate.java
+++ b/src/main/java/rushpin/net/GroupGate.java
@@ -17,7 +17,7 @@
 import java.util.function.Function;
 import rushpin.budget.ConnectionBudget;
 import rushpin.gateway.Ports.Request;
-import rushpin.pooling.Permit;
+import rushpin.pooling.ConnectionGrant;
 
 /**
  * Limits a pool's connections to its grant at a group of app servers that limits the connections of all processes
@@ -96,7 +96,7 @@
     /** Uses of connections that have not ended, oldest first. */
     private final Set<ConnectionUse> activeUses = new LinkedHashSet<>();
 
-    private Permit grant = Permit.NONE;
+    private ConnectionGrant grant = ConnectionGrant.NONE;
     /** Applies the grant again when its lease, or the process's own part, ends. */
     private Future<?> applyTimer;
 
@@ -107,8 +107,8 @@
      */
     private final List<Future<?>> closeTimers = new ArrayList<>(2);
 
-    /** The last grant that was not {@link Permit#NONE}. */
-    private Permit lastGrant = Permit.NONE;
+    /** The last grant that was not {@link ConnectionGrant#NONE}. */
+    private ConnectionGrant lastGrant = ConnectionGrant.NONE;
 
     private Runnable emptyCallback;
     private Runnable withinGrantCallback = () -> {};
@@ -148,7 +148,7 @@
      * Replaces the grant. Connections beyond it are closed now if they are idle, else after the request that uses
      * them.
      */
-    public void setGrant(Permit next) {
+    public void setGrant(ConnectionGrant next) {
         grant = next;
         applyGrant();
     }
@@ -193,8 +193,8 @@
         usage.set(grant.at(now), grant.tenants());
         // A pool that is being replaced has no grant any more: the end of its last lease still limits its connections
         // in use.
-        lastGrant = grant == Permit.NONE ? lastGrant : grant;
-        if (lastGrant != Permit.NONE) {
+        lastGrant = grant == ConnectionGrant.NONE ? lastGrant : grant;
+        if (lastGrant != ConnectionGrant.NONE) {
             scheduleEnds(now);
         }
         shrink.run();
--- a/src/main/java/rushpin/node/Allotments.java
+++ b/src/main/java/rushpin/node/Allotments.java
@@ -9,8 +9,8 @@
 import rushpin.accord.Command;
 import rushpin.accord.Holding;
 import rushpin.accord.Report;
-import rushpin.pooling.Allowance;
-import rushpin.pooling.Permit;
+import rushpin.pooling.GrantState;
+import rushpin.pooling.ConnectionGrant;
 
 /**
  * What this process may have open to groups of app servers, and what the fleet is told of it; on the thread of what is
@@ -19,7 +19,7 @@
 final class Allotments {
     /** One group. */
     private static final class Of {
-        private Allowance allowance;
+        private GrantState allowance;
         private GroupSide.Numbered told;
         private GroupSide.Account last;
         private final Map<String, Report.Need> needs = new TreeMap<>();
@@ -39,8 +39,8 @@
         Of of = groups.get(account.group());
         if (of == null) {
             of = new Of();
-            of.allowance = isLeaving ? Allowance.none(account.group()).leaving() : Allowance.none(account.group());
-            of.told = new GroupSide.Numbered(account.group(), 0, Permit.NONE);
+            of.allowance = isLeaving ? GrantState.none(account.group()).leaving() : GrantState.none(account.group());
+            of.told = new GroupSide.Numbered(account.group(), 0, ConnectionGrant.NONE);
             groups.put(account.group(), of);
             renewed(holding);
         }
@@ -69,7 +69,7 @@
     void told(Allotment word) {
         Of of = groups.get(word.group());
         if (of != null) {
-            turn(of, of.allowance.told(word));
+            turn(of, of.allowance.notified(word));
         }
     }
 
@@ -81,12 +81,12 @@
 
     /** Whether nothing is granted, by the fleet's last words. */
     boolean isBack() {
-        return groups.values().stream().allMatch(of -> of.allowance.isBack());
+        return groups.values().stream().allMatch(of -> of.allowance.isReleased());
     }
 
-    private void turn(Of of, Allowance next) {
+    private void turn(Of of, GrantState next) {
         of.allowance = next;
-        Permit permit = next.permit();
+        ConnectionGrant permit = next.grant();
         if (!permit.equals(of.told.permit())) {
             of.told = new GroupSide.Numbered(next.group(), of.told.number() + 1, permit);
             permits.accept(of.told);
@@ -107,7 +107,7 @@
     /** That was sent. */
     void said(Command.Cede cede, long now) {
         Of of = groups.get(cede.group());
-        of.allowance = of.allowance.said(cede, now);
+        of.allowance = of.allowance.sent(cede, now);
     }
 
     /** Whether there is any group: then somebody looks in now and then. */
--- a/src/main/java/rushpin/node/Divisions.java
+++ b/src/main/java/rushpin/node/Divisions.java
@@ -13,7 +13,7 @@
 import rushpin.accord.Command;
 import rushpin.accord.Report;
 import rushpin.config.GroupConfig;
-import rushpin.pooling.Divider;
+import rushpin.pooling.ConnectionAllocator;
 import rushpin.pooling.Rules;
 
 /**
@@ -141,7 +141,7 @@
             }
         }
         Rules rules = new Rules(figures, tenants, Math.max(1, group.maxConnections() * LEAST / HUNDRED), CALM);
-        return Divider.next(inForce, Divider.Sight.of(look.sessions().keySet(), inForce, told), rules, look.at())
+        return ConnectionAllocator.next(inForce, ConnectionAllocator.Demand.of(look.sessions().keySet(), inForce, told), rules, look.at())
                 .map(draft -> new Command.Divide(
                         look.session(),
                         look.fence(),
--- a/src/main/java/rushpin/node/GroupSide.java
+++ b/src/main/java/rushpin/node/GroupSide.java
@@ -14,7 +14,7 @@
 import rushpin.gateway.Ports.Request;
 import rushpin.net.GroupGate;
 import rushpin.net.ServerPool;
-import rushpin.pooling.Permit;
+import rushpin.pooling.ConnectionGrant;
 
 /**
  * One pool's side of a group of app servers that takes a number of connections from all processes; on the pool's loop. It
@@ -22,7 +22,7 @@
  */
 final class GroupSide {
     /** A permit, and its number in this process. */
-    record Numbered(String group, long number, Permit permit) {}
+    record Numbered(String group, long number, ConnectionGrant permit) {}
 
     /**
      * What a pool has and wants of its group.
@@ -60,7 +60,7 @@
     GroupSide(GroupConfig group, List<String> plans, ServerPool servers, EventLoop loop, Consumer<Account> accounts) {
         this.plans = plans;
         this.accounts = accounts;
-        last = new Numbered(group.name(), 0, Permit.NONE);
+        last = new Numbered(group.name(), 0, ConnectionGrant.NONE);
         gate = servers.joinGroup(group.halfOpen(), group.longest(), this::tenant);
         gate.onWithinGrant(this::tell);
         change(group);
@@ -91,7 +91,7 @@
 
     /** From now on this holds. */
     void permit(Numbered next) {
-        Permit before = last.permit(), now = next.permit();
+        ConnectionGrant before = last.permit(), now = next.permit();
         last = next;
         gate.setGrant(now);
         if (now.most() != before.most()
@@ -118,7 +118,7 @@
     void close() {
         beat.cancel(false);
         gate.onWithinGrant(() -> {});
-        gate.setGrant(Permit.NONE);
+        gate.setGrant(ConnectionGrant.NONE);
     }
 
     /** Tells, once, when nothing is open at the other side any more. */
--- a/src/main/java/rushpin/pooling/Divider.java
+++ b/src/main/java/rushpin/pooling/ConnectionAllocator.java
@@ -28,7 +28,7 @@
  *
  * <p>A division costs processes times tenants, some rounds of it.
  */
-public final class Divider {
+public final class ConnectionAllocator {
     /** What is to be published. */
     public record Draft(long after, List<String> tenants, List<Budget.Share> shares) {}
 
@@ -38,9 +38,9 @@
      * @param members sessions that are not over and take part, each with what it said lately; who was not heard of lately is
      *     there with nothing
      */
-    public record Sight(Map<Long, List<Report.Need>> members) {
+    public record Demand(Map<Long, List<Report.Need>> members) {
         /** Copies. */
-        public Sight {
+        public Demand {
             members = Collections.unmodifiableMap(new TreeMap<>(members));
         }
 
@@ -50,13 +50,13 @@
          * @param live sessions that are not over
          * @param told what each session said lately of the group ({@link rushpin.accord.Evidence#needs})
          */
-        public static Sight of(Collection<Long> live, Optional<Budget> inForce, Map<Long, List<Report.Need>> told) {
+        public static Demand of(Collection<Long> live, Optional<Budget> inForce, Map<Long, List<Report.Need>> told) {
             Map<Long, List<Report.Need>> members = new TreeMap<>(told);
             inForce.ifPresent(budget -> budget.shares().stream()
                     .filter(share -> share.connections() > 0)
                     .forEach(share -> members.putIfAbsent(share.session(), List.of())));
             members.keySet().retainAll(live);
-            return new Sight(members);
+            return new Demand(members);
         }
     }
 
@@ -74,7 +74,7 @@
 
     private final int[] own, needs, before;
 
-    private Divider(Optional<Budget> inForce, Sight sight, Rules rules) {
+    private ConnectionAllocator(Optional<Budget> inForce, Demand sight, Rules rules) {
         this.inForce = inForce;
         this.rules = rules;
         many = rules.tenants().size();
@@ -115,8 +115,8 @@
      * @param inForce what the machine has of the group; empty for nothing yet
      * @param now log time
      */
-    public static Optional<Draft> next(Optional<Budget> inForce, Sight sight, Rules rules, long now) {
-        return new Divider(inForce, sight, rules).next(now);
+    public static Optional<Draft> next(Optional<Budget> inForce, Demand sight, Rules rules, long now) {
+        return new ConnectionAllocator(inForce, sight, rules).next(now);
     }
 
     private Optional<Draft> next(long now) {
--- a/src/main/java/rushpin/pooling/Permit.java
+++ b/src/main/java/rushpin/pooling/ConnectionGrant.java
@@ -13,12 +13,12 @@
  * @param tenants at most so many connections carry a tenant's requests at once; a tenant that isn't named has none of its own
  *     and takes what the others leave. Their sum may be above {@code most}: unused parts are lent
  */
-public record Permit(int most, int own, long until, long forget, Map<String, Integer> tenants) {
+public record ConnectionGrant(int most, int own, long until, long forget, Map<String, Integer> tenants) {
     /** Nothing may be opened: before the first word of the fleet. */
-    public static final Permit NONE = new Permit(0, 0, Long.MIN_VALUE, Long.MIN_VALUE, Map.of());
+    public static final ConnectionGrant NONE = new ConnectionGrant(0, 0, Long.MIN_VALUE, Long.MIN_VALUE, Map.of());
 
     /** Copies. */
-    public Permit {
+    public ConnectionGrant {
         tenants = Map.copyOf(tenants);
         if (own < 0 || most < own) {
             throw new IllegalArgumentException("most " + most + ", own " + own);
--- a/src/test/java/rushpin/accord/Connections.java
+++ b/src/test/java/rushpin/accord/Connections.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import rushpin.pooling.Allowance;
-import rushpin.pooling.Permit;
+import rushpin.pooling.GrantState;
+import rushpin.pooling.ConnectionGrant;
 
 /**
  * Processes, one log and one group of app servers in small whole time: a world for {@link Explore}. Clocks and messages are
@@ -92,8 +92,8 @@
      *
      * @param closed connections that it has closed and the group's side may not have
      */
-    private record Process(Who who, long now, int rate, long sent, Allowance allowance, int open, int closed) {
-        Process with(Allowance next) {
+    private record Process(Who who, long now, int rate, long sent, GrantState allowance, int open, int closed) {
+        Process with(GrantState next) {
             return new Process(who, now, rate, sent, next, open, closed);
         }
 
@@ -103,16 +103,16 @@
         }
 
         int may(Fault fault) {
-            Permit permit = allowance.permit();
-            return fault == Fault.NEVER_FORGETS && permit != Permit.NONE && now >= permit.until()
+            ConnectionGrant permit = allowance.grant();
+            return fault == Fault.NEVER_FORGETS && permit != ConnectionGrant.NONE && now >= permit.until()
                     ? permit.own()
                     : permit.at(now);
         }
 
         /** What can still be open: what it may have had open an effect ago. */
         int longest(Fault fault) {
-            Permit permit = allowance.permit();
-            return permit == Permit.NONE
+            ConnectionGrant permit = allowance.grant();
+            return permit == ConnectionGrant.NONE
                             || fault == Fault.LEAVES_WITHOUT_AN_END && allowance.isLeaving()
                             || now - EFFECT < permit.until()
                     ? Integer.MAX_VALUE
@@ -171,7 +171,7 @@
                     0,
                     1 + (rates >> p & 1),
                     0,
-                    Allowance.none(GROUP).renewed(joined.session(), 0, set.terms()),
+                    GrantState.none(GROUP).renewed(joined.session(), 0, set.terms()),
                     0,
                     0);
         }
@@ -220,7 +220,7 @@
                     continue;
                 }
                 if (isNear(p)) {
-                    all[p] = all[p].with(all[p].allowance.told(told.word())).opening(fault);
+                    all[p] = all[p].with(all[p].allowance.notified(told.word())).opening(fault);
                 } else {
                     answers = put(answers, new Message(p, all[p].who.incarnation(), 0, told.word()), set.mostAnswers);
                 }
@@ -253,9 +253,9 @@
                 Command.Cede cede = of.allowance.due(may + of.closed, of.now).orElse(null);
                 all[p] = of;
                 if (cede != null) {
-                    all[p] = of.with(of.allowance.said(cede, of.now));
+                    all[p] = of.with(of.allowance.sent(cede, of.now));
                     if (apply(cede) instanceof Outcome.Allotted answer) {
-                        all[p] = all[p].with(all[p].allowance.told(answer.word()))
+                        all[p] = all[p].with(all[p].allowance.notified(answer.word()))
                                 .opening(fault);
                     }
                 }
@@ -395,8 +395,8 @@
     /** A renewal or a Join, once a tick. */
     private void renew(int p, Explore.Step<Connections> step) {
         Process of = all[p];
-        boolean isAlive = of.allowance.session() != 0 && of.now < of.allowance.asked() + LEASE;
-        if (of.sent == of.now || isAlive && of.allowance.asked() == of.now) {
+        boolean isAlive = of.allowance.session() != 0 && of.now < of.allowance.renewalSentAt() + LEASE;
+        if (of.sent == of.now || isAlive && of.allowance.renewalSentAt() == of.now) {
             return;
         }
         Command command = isAlive ? new Command.Renew(of.allowance.session()) : new Command.Join(of.who);
@@ -411,7 +411,7 @@
         int open = has(Fault.CEDED_WHEN_SAID) ? 0 : of.open + of.closed;
         of.allowance.due(open, of.now).ifPresent(cede -> {
             Connections next = new Connections(this);
-            next.all[p] = of.with(of.allowance.said(cede, of.now));
+            next.all[p] = of.with(of.allowance.sent(cede, of.now));
             next.asks = put(asks, new Message(p, of.who.incarnation(), of.now, cede), set.mostAsks);
             step.to(next.settled(), () -> of.who.name() + " with " + open + " open says " + cede);
         });
@@ -457,17 +457,17 @@
         Process of = all[p];
         Connections next = new Connections(this);
         next.answers = without(answers, i);
-        Allowance allowance = of.allowance;
+        GrantState allowance = of.allowance;
         long asked = has(Fault.LEASE_FROM_THE_ANSWER) ? of.now : answer.asked;
         if (answer.body instanceof Allotment word) {
             if (has(Fault.LATE_WORD)) {
                 allowance =
-                        new Allowance(GROUP, allowance.session(), LEASE, allowance.asked(), null, 0, 0, 0, 9, false);
+                        new GrantState(GROUP, allowance.session(), LEASE, allowance.renewalSentAt(), null, 0, 0, 0, 9, false);
             }
             boolean isEarlier = has(Fault.WORD_OF_AN_EARLIER_SESSION)
                     && word.session() < allowance.session()
-                    && allowance.word() == null;
-            allowance = allowance.told(
+                    && allowance.allotment() == null;
+            allowance = allowance.notified(
                     isEarlier
                             ? new Allotment(
                                     GROUP,
@@ -504,7 +504,7 @@
         Connections next = troubled();
         Who who = new Who(of.who.name(), of.who.incarnation() + 1, "z", "", Machine.LEVEL);
         next.halfOpen += of.open + of.closed;
-        next.all[p] = new Process(who, of.now, of.rate, -1, Allowance.none(GROUP), 0, 0);
+        next.all[p] = new Process(who, of.now, of.rate, -1, GrantState.none(GROUP), 0, 0);
         next.answers = answers.stream().filter(answer -> answer.process != p).toList();
         step.to(next.settled(), () -> who.name() + " dies with " + of.open + " open and starts anew");
     }
@@ -603,14 +603,14 @@
     }
 
     private boolean matters(Message answer) {
-        Allowance allowance = all[answer.process].allowance;
+        GrantState allowance = all[answer.process].allowance;
         if (answer.body instanceof Allotment word) {
             return has(Fault.LATE_WORD)
                     || has(Fault.WORD_OF_AN_EARLIER_SESSION)
                     || word.session() > allowance.session()
-                    || !allowance.told(word).equals(allowance);
+                    || !allowance.notified(word).equals(allowance);
         }
-        boolean isLonger = answer.asked > allowance.asked() || has(Fault.LEASE_FROM_THE_ANSWER);
+        boolean isLonger = answer.asked > allowance.renewalSentAt() || has(Fault.LEASE_FROM_THE_ANSWER);
         return answer.body instanceof Outcome.Joined joined
                         && joined.session() >= allowance.session()
                         && (joined.session() > allowance.session() || isLonger)
@@ -674,7 +674,7 @@
         }
         int[] seen = new int[all.length + 1];
         for (int p = 0; p < all.length; p++) {
-            Allotment word = now[0].all[p].allowance.word();
+            Allotment word = now[0].all[p].allowance.allotment();
             seen[p] = word == null ? -1 : word.most();
         }
         seen[all.length] = now[0].granted();
@@ -698,8 +698,8 @@
         }
         for (Process each : all) {
             ranks.put(each.allowance.session(), 0);
-            if (each.allowance.word() != null) {
-                ranks.put(each.allowance.word().number(), 0);
+            if (each.allowance.allotment() != null) {
+                ranks.put(each.allowance.allotment().number(), 0);
             }
         }
         for (List<Message> way : List.of(asks, answers)) {
@@ -744,24 +744,24 @@
                             .add(grant.isLive() ? 99 : grant.renewed() - logTime));
         }
         for (Process each : all) {
-            Allowance a = each.allowance;
+            GrantState a = each.allowance;
             print.add(each.who.incarnation())
                     .add(each.rate)
                     .add(each.open)
                     .add(each.closed)
                     .add(each.sent == each.now ? 1 : 0)
                     .add(ranks.get(a.session()))
-                    .add(Math.max(-9, a.asked() - each.now))
+                    .add(Math.max(-9, a.renewalSentAt() - each.now))
                     .add(a.kept())
                     .add(Math.max(-2, a.keptUntil() - each.now))
-                    .add(Math.max(-3, a.again() - each.now))
-                    .add(a.to())
+                    .add(Math.max(-3, a.nextSendAt() - each.now))
+                    .add(a.lastCeded())
                     .add(a.isLeaving() ? 1 : 0);
-            if (a.word() != null) {
-                print.add(ranks.get(a.word().number()))
-                        .add(a.word().most())
-                        .add(a.word().own())
-                        .add(a.word().granted());
+            if (a.allotment() != null) {
+                print.add(ranks.get(a.allotment().number()))
+                        .add(a.allotment().most())
+                        .add(a.allotment().own())
+                        .add(a.allotment().granted());
             }
         }
         long sum = 0;
--- a/src/test/java/rushpin/net/GroupGateTest.java
+++ b/src/test/java/rushpin/net/GroupGateTest.java
@@ -45,7 +45,7 @@
 import rushpin.membership.Member;
 import rushpin.membership.Names;
 import rushpin.membership.ServerListUpdate;
-import rushpin.pooling.Permit;
+import rushpin.pooling.ConnectionGrant;
 
 /** Tests a pool limited by a connection grant, with servers that count the connections open at their side. */
 @Timeout(60)
@@ -128,7 +128,7 @@
     private void grant(int max, long lease, int own, Map<String, Integer> tenants) throws Exception {
         long now = System.nanoTime();
         call(() -> {
-            gate.setGrant(new Permit(max, own, now + lease, now + LONG, tenants));
+            gate.setGrant(new ConnectionGrant(max, own, now + lease, now + LONG, tenants));
             return null;
         });
     }
@@ -290,7 +290,7 @@
         long now = System.nanoTime();
         long forget = now + 3_000 * NANOS_PER_MS;
         call(() -> {
-            gate.setGrant(new Permit(1, 1, now, forget, Map.of("a", 1)));
+            gate.setGrant(new ConnectionGrant(1, 1, now, forget, Map.of("a", 1)));
             return null;
         });
         send("one", 0, "s0", LONG);
--- a/src/test/java/rushpin/pooling/DividerTest.java
+++ b/src/test/java/rushpin/pooling/ConnectionAllocatorTest.java
@@ -26,8 +26,8 @@
 import rushpin.accord.Who;
 import rushpin.peer.Codec;
 
-/** Divider, machine and allowances together, in steps of a tenth of a second. Each request takes half a second. */
-class DividerTest {
+/** ConnectionAllocator, machine and allowances together, in steps of a tenth of a second. Each request takes half a second. */
+class ConnectionAllocatorTest {
     private static final String GROUP = "db";
     private static final int SECOND = 10, REQUEST = 5, HALF_OPEN = 20, EFFECT = 20;
     private static final Terms TERMS = new Terms(60, 20_000, EFFECT, 400, 9);
@@ -43,7 +43,7 @@
         final List<int[]> closed = new ArrayList<>();
         final List<Allotment> words = new ArrayList<>();
         final int[] peak, wanted;
-        Allowance allowance = Allowance.none(GROUP);
+        GrantState allowance = GrantState.none(GROUP);
         int open, handshakes, pausedAt = -1, idleUntil = Integer.MAX_VALUE;
         boolean isCut;
 
@@ -88,7 +88,7 @@
                 each[0] = 0;
                 each[REQUEST] = 0;
             }
-            Permit permit = allowance.permit();
+            ConnectionGrant permit = allowance.grant();
             int may = permit.at((long) (now * rate));
             while (open() > may && open > used()) {
                 open--;
@@ -188,7 +188,7 @@
             }
             List<Allotment> words = List.copyOf(node.words);
             node.words.clear();
-            words.forEach(word -> node.allowance = node.allowance.told(word));
+            words.forEach(word -> node.allowance = node.allowance.notified(word));
             node.work(now, rules.tenants());
             talk(node);
         }
@@ -213,7 +213,7 @@
             node.allowance = node.allowance.renewed(node.allowance.session(), own, TERMS);
         }
         node.allowance.due(node.open(), own).ifPresent(cede -> {
-            node.allowance = node.allowance.said(cede, own);
+            node.allowance = node.allowance.sent(cede, own);
             if (apply(cede) instanceof Outcome.Allotted answer) {
                 node.words.add(answer.word());
             }
@@ -236,7 +236,7 @@
                 .filter(each -> each != divider)
                 .toList();
         told.keySet().retainAll(live);
-        Divider.next(budget, Divider.Sight.of(live, budget, told), rules, now).ifPresent(draft -> {
+        ConnectionAllocator.next(budget, ConnectionAllocator.Demand.of(live, budget, told), rules, now).ifPresent(draft -> {
             Outcome outcome = apply(new Command.Divide(
                     divider, fence, draft.after(), GROUP, rules.figures(), draft.tenants(), draft.shares()));
             assertTrue(outcome instanceof Outcome.Divided, () -> what + ": " + outcome + " of " + draft);
@@ -352,7 +352,7 @@
         }
         Rules greatest = new Rules(new Budget.Figures(1 << 20, 9, 3, 1, 1), tenants, 9, 9);
         long start = System.nanoTime();
-        Divider.Draft draft = Divider.next(Optional.empty(), new Divider.Sight(told), greatest, 0)
+        ConnectionAllocator.Draft draft = ConnectionAllocator.next(Optional.empty(), new ConnectionAllocator.Demand(told), greatest, 0)
                 .orElseThrow();
         System.out.printf(
                 "divided among 1,000 processes and 36 tenants in %.0f ms%n", (System.nanoTime() - start) / 1e6);
@@ -374,7 +374,7 @@
     @Test
     void neverOverTheNumber() {
         for (int seed = 0; seed < 30; seed++) {
-            DividerTest run = new DividerTest();
+            ConnectionAllocatorTest run = new ConnectionAllocatorTest();
             run.what = "seed " + seed;
             run.history(new SplittableRandom(seed));
         }
