--- a/src/main/java/rushpin/node/Allotments.java
+++ b/src/main/java/rushpin/node/Allotments.java
@@ -9,8 +9,8 @@
 import rushpin.accord.Command;
 import rushpin.accord.Holding;
 import rushpin.accord.Report;
-import rushpin.pooling.GrantState;
 import rushpin.pooling.ConnectionGrant;
+import rushpin.pooling.GrantState;
 
 /**
  * What this process may have open to groups of app servers, and what the fleet is told of it; on the thread of what is
--- a/src/main/java/rushpin/node/Divisions.java
+++ b/src/main/java/rushpin/node/Divisions.java
@@ -141,7 +141,11 @@
             }
         }
         Rules rules = new Rules(figures, tenants, Math.max(1, group.maxConnections() * LEAST / HUNDRED), CALM);
-        return ConnectionAllocator.next(inForce, ConnectionAllocator.Demand.of(look.sessions().keySet(), inForce, told), rules, look.at())
+        return ConnectionAllocator.next(
+                        inForce,
+                        ConnectionAllocator.Demand.of(look.sessions().keySet(), inForce, told),
+                        rules,
+                        look.at())
                 .map(draft -> new Command.Divide(
                         look.session(),
                         look.fence(),
--- a/src/main/java/rushpin/pooling/ConnectionAllocator.java
+++ b/src/main/java/rushpin/pooling/ConnectionAllocator.java
@@ -13,45 +13,54 @@
 import rushpin.accord.Report;
 
 /**
- * Makes the next division of a group's connections from the one in force and from what processes say. A function: all it
- * remembers stands in the division in force, so that the next divider goes on from there.
+ * Computes the next allocation of a group's connections from the one in force and the processes' reports. A pure
+ * function: all state is in the allocation in force, so that another process that becomes allocator continues from
+ * there.
  *
- * <p>First over tenants, for the whole fleet: weighted max-min, each with its floor and its cap, in whole connections by the
- * largest remainder. Then each tenant's part over processes, by where it is wanted. A process keeps what it has as long as
- * nobody else is short of it; what nobody asks for is handed out evenly, three quarters of it, so that a burst has
- * connections at once, and comes back first.
+ * <p>First it allocates among tenants for the whole fleet: weighted max-min with a floor and a cap per tenant, rounded
+ * to whole connections by the largest remainder. Then it allocates each tenant's part among processes by demand. A
+ * process keeps its connections as long as no other process is short of them. Three quarters of the connections that
+ * nobody wants are spread evenly, so that a burst finds connections at once; these are the first to be taken back.
  *
- * <p>What a process wants for a tenant counts up to twice what it uses, its own part and {@link Rules#least} more, or up to
- * the tenant's floor; what it
- * uses, up to what it was granted. So who lies has little more than doubled after each division, and never has more for a tenant
- * than that tenant would get by a flood through this one process: its part by weight. No other tenant pays with more.
+ * <p>The demand of a process for a tenant is limited to twice the connections in use plus the process's own part and
+ * {@link Rules#minMoved}, or to the tenant's floor if that is more; use is limited to what the process was granted. A
+ * process that reports too much therefore gets little more than double in each allocation, and never more for a tenant
+ * than the tenant would get if it sent all its load through this process: its weighted part. Other tenants lose no
+ * more than that.
  *
- * <p>A division costs processes times tenants, some rounds of it.
+ * <p>The cost is proportional to processes times tenants, for a few iterations.
  */
 public final class ConnectionAllocator {
-    /** What is to be published. */
+    /**
+     * An allocation to be published.
+     *
+     * @param after number of the allocation that it replaces; 0 if there is none
+     * @param tenants names of the tenants, in the order of each share's quotas
+     * @param shares one for each process, by session
+     */
     public record Draft(long after, List<String> tenants, List<Budget.Share> shares) {}
 
     /**
-     * What a divider knows of the group's processes at one moment.
+     * The reported demand of a group's processes at one moment.
      *
-     * @param members sessions that are not over and take part, each with what it said lately; who was not heard of lately is
-     *     there with nothing
+     * @param members recent reports by session, for each live session that takes part; empty for one without a recent
+     *     report
      */
     public record Demand(Map<Long, List<Report.Need>> members) {
-        /** Copies. */
+        /** Copies the map, sorted by session. */
         public Demand {
             members = Collections.unmodifiableMap(new TreeMap<>(members));
         }
 
         /**
-         * Of what there is: who has a part or says that it takes part.
+         * Collects the live sessions that have a share in the allocation in force or have reported a need.
          *
-         * @param live sessions that are not over
-         * @param told what each session said lately of the group ({@link rushpin.accord.Evidence#needs})
+         * @param live sessions that have not ended
+         * @param inForce the allocation in force, if any
+         * @param reports recent reports on this group by session ({@link rushpin.accord.Evidence#needs})
          */
-        public static Demand of(Collection<Long> live, Optional<Budget> inForce, Map<Long, List<Report.Need>> told) {
-            Map<Long, List<Report.Need>> members = new TreeMap<>(told);
+        public static Demand of(Collection<Long> live, Optional<Budget> inForce, Map<Long, List<Report.Need>> reports) {
+            Map<Long, List<Report.Need>> members = new TreeMap<>(reports);
             inForce.ifPresent(budget -> budget.shares().stream()
                     .filter(share -> share.connections() > 0)
                     .forEach(share -> members.putIfAbsent(share.session(), List.of())));
@@ -60,147 +69,168 @@
         }
     }
 
-    /** Bytes of a command that shares may take, and those of one beside two for each tenant. */
-    static final int MOST_BYTES = 92_000, SHARE_BYTES = 20;
-    /** The most that a tenant may have in one process: what two bytes hold. */
-    static final int MOST_QUOTA = (1 << 14) - 1;
+    /** Bytes of a command that all shares together may take. */
+    static final int MAX_SHARES_BYTES = 92_000;
+    /** Bytes of one share, besides two for each tenant. */
+    static final int SHARE_BYTES = 20;
+    /** Maximum quota of a tenant in one process: the greatest number that is encoded in two bytes. */
+    static final int MAX_QUOTA = (1 << 14) - 1;
 
     private final Rules rules;
     private final Optional<Budget> inForce;
     private final List<Long> sessions;
-    private final int most, many;
-    /** Of each tenant and member: what counts of what is wanted, and what it gets. */
-    private final int[][] wanted, given;
+    /** Connections that can be allocated: the group's limit less its reserve. */
+    private final int capacity;
 
-    private final int[] own, needs, before;
+    private final int tenantCount;
+    /** Demand that counts, by tenant and process; the last row is for tenants that aren't configured. */
+    private final int[][] wanted;
+    /** Connections allocated, by tenant and process, in the same order. */
+    private final int[][] allocated;
+    /** The reserved part of each process. */
+    private final int[] own;
+    /** What each process needs: its allocated connections, at least its own part. */
+    private final int[] needs;
+    /** What each process has in the allocation in force. */
+    private final int[] before;
 
-    private ConnectionAllocator(Optional<Budget> inForce, Demand sight, Rules rules) {
+    private ConnectionAllocator(Optional<Budget> inForce, Demand demand, Rules rules) {
         this.inForce = inForce;
         this.rules = rules;
-        many = rules.tenants().size();
-        sessions = sight.members().keySet().stream()
-                .limit(MOST_BYTES / (2 * many + SHARE_BYTES))
+        tenantCount = rules.tenants().size();
+        sessions = demand.members().keySet().stream()
+                .limit(MAX_SHARES_BYTES / (2 * tenantCount + SHARE_BYTES))
                 .toList();
-        most = Math.max(0, rules.figures().most() - rules.figures().reserve());
-        wanted = new int[many + 1][sessions.size()];
-        given = new int[many + 1][sessions.size()];
+        capacity = Math.max(0, rules.figures().most() - rules.figures().reserve());
+        wanted = new int[tenantCount + 1][sessions.size()];
+        allocated = new int[tenantCount + 1][sessions.size()];
         own = new int[sessions.size()];
         needs = new int[sessions.size()];
         before = new int[sessions.size()];
-        Arrays.fill(own, Math.min(rules.figures().own(), sessions.isEmpty() ? 0 : most / sessions.size()));
-        Map<Long, Integer> granted = new TreeMap<>(), shares = new TreeMap<>();
+        Arrays.fill(own, Math.min(rules.figures().own(), sessions.isEmpty() ? 0 : capacity / sessions.size()));
+        Map<Long, Integer> granted = new TreeMap<>();
+        Map<Long, Integer> shares = new TreeMap<>();
         inForce.ifPresent(budget -> {
             budget.grants().forEach(grant -> granted.put(grant.session(), grant.granted()));
             budget.shares().forEach(share -> shares.put(share.session(), share.connections()));
         });
         Map<String, Integer> order = new TreeMap<>();
         rules.tenants().forEach(tenant -> order.put(tenant.name(), order.size()));
-        // Never so little that it alone would move nothing.
-        int more = rules.figures().own() + rules.least();
+        // Demand may grow by enough that this growth alone leads to a new allocation.
+        int margin = rules.figures().own() + rules.minMoved();
         for (int p = 0; p < sessions.size(); p++) {
             before[p] = shares.getOrDefault(sessions.get(p), 0);
-            for (Report.Need need : sight.members().get(sessions.get(p))) {
-                // Tenants without a name of their own are one, which has what the others leave.
-                int t = order.getOrDefault(need.tenant(), many);
+            for (Report.Need need : demand.members().get(sessions.get(p))) {
+                // Tenants that are not configured share one row, which gets what the others leave.
+                int t = order.getOrDefault(need.tenant(), tenantCount);
                 long used = Math.min(need.used(), granted.getOrDefault(sessions.get(p), 0));
-                long counts = Math.max(t < many ? rules.tenants().get(t).floor() : 0, 2 * used + more);
-                wanted[t][p] = (int) Math.min(most, wanted[t][p] + Math.min(need.wanted(), counts));
+                long limit = Math.max(t < tenantCount ? rules.tenants().get(t).floor() : 0, 2 * used + margin);
+                wanted[t][p] = (int) Math.min(capacity, wanted[t][p] + Math.min(need.wanted(), limit));
             }
         }
     }
 
     /**
-     * What is to be in force instead of what is; empty if that stands.
+     * Returns the allocation that is to replace the one in force; empty if that one stays.
      *
-     * @param inForce what the machine has of the group; empty for nothing yet
-     * @param now log time
+     * @param inForce the group's allocation as the state machine has it; empty if there is none
+     * @param demand the reported demand of the processes
+     * @param rules the operator's settings
+     * @param now log time, in the unit of {@link Rules#minInterval}
      */
-    public static Optional<Draft> next(Optional<Budget> inForce, Demand sight, Rules rules, long now) {
-        return new ConnectionAllocator(inForce, sight, rules).next(now);
+    public static Optional<Draft> next(Optional<Budget> inForce, Demand demand, Rules rules, long now) {
+        return new ConnectionAllocator(inForce, demand, rules).next(now);
     }
 
     private Optional<Draft> next(long now) {
-        int[] tenants = divide();
-        int[] connections = connections();
+        int[] tenantParts = allocateToTenants();
+        int[] connections = allocateToProcesses();
         int missing = missing();
         List<Budget.Share> shares = new ArrayList<>();
         for (int p = 0; p < sessions.size(); p++) {
-            shares.add(new Budget.Share(sessions.get(p), connections[p], quotas(p, connections[p], tenants)));
+            shares.add(new Budget.Share(sessions.get(p), connections[p], quotas(p, connections[p], tenantParts)));
         }
         List<String> names = rules.tenants().stream().map(Rules.Tenant::name).toList();
-        if (stands(names, shares, tenants, missing, now)) {
+        if (isInForceKept(names, shares, tenantParts, missing, now)) {
             return Optional.empty();
         }
         return Optional.of(new Draft(inForce.map(Budget::number).orElse(0L), names, shares));
     }
 
-    /** Each tenant's part, which lies in {@code given} then; less what processes keep beyond what is given to them. */
-    private int[] divide() {
-        int[] asked = new int[many + 1];
-        for (int t = 0; t <= many; t++) {
-            asked[t] =
-                    (int) Math.min(most, Arrays.stream(wanted[t]).asLongStream().sum());
+    /**
+     * Allocates among tenants, and each tenant's part among processes into {@code allocated}. Repeats with fewer
+     * connections while the own parts of processes need more than the capacity leaves. Returns the part of each tenant.
+     */
+    private int[] allocateToTenants() {
+        int[] totals = new int[tenantCount + 1];
+        for (int t = 0; t <= tenantCount; t++) {
+            totals[t] = (int)
+                    Math.min(capacity, Arrays.stream(wanted[t]).asLongStream().sum());
         }
-        int all = most;
+        int available = capacity;
         while (true) {
-            int[] parts = Fair.divide(all, rules.tenants(), Arrays.copyOf(asked, many));
-            int rest = all - Arrays.stream(parts).sum();
-            parts = Arrays.copyOf(parts, many + 1);
-            parts[many] = Math.min(rest, asked[many]);
+            int[] parts = MaxMinAllocation.allocate(available, rules.tenants(), Arrays.copyOf(totals, tenantCount));
+            int rest = available - Arrays.stream(parts).sum();
+            parts = Arrays.copyOf(parts, tenantCount + 1);
+            parts[tenantCount] = Math.min(rest, totals[tenantCount]);
             int sum = 0;
-            for (int t = 0; t <= many; t++) {
-                given[t] = Fair.spread(parts[t], wanted[t]);
+            for (int t = 0; t <= tenantCount; t++) {
+                allocated[t] = MaxMinAllocation.spread(parts[t], wanted[t]);
             }
             for (int p = 0; p < sessions.size(); p++) {
                 needs[p] = own[p];
                 int used = 0;
-                for (int t = 0; t <= many; t++) {
-                    used += given[t][p];
+                for (int t = 0; t <= tenantCount; t++) {
+                    used += allocated[t][p];
                 }
                 needs[p] = Math.max(own[p], used);
                 sum += needs[p];
             }
-            if (sum <= most || all == 0) {
+            if (sum <= capacity || available == 0) {
                 return parts;
             }
-            all = Math.max(0, all - (sum - most));
+            available = Math.max(0, available - (sum - capacity));
         }
     }
 
-    /** Who has enough keeps it; who is short gets it, and some more, out of what is spare, and then out of what others have over. */
-    private int[] connections() {
-        int all = sessions.size();
-        int spare = most - Arrays.stream(needs).sum();
-        int more = all == 0 ? 0 : Math.max(0, spare * 3 / 4 / all);
-        int[] to = new int[all];
-        for (int p = 0; p < all; p++) {
-            to[p] = before[p] < needs[p] + more / 2 ? Math.max(before[p], needs[p] + more) : before[p];
+    /**
+     * Allocates connections to processes. A process that has enough keeps what it has; one that is short gets what it
+     * needs and a margin, first out of spare connections, then out of what other processes have beyond their need.
+     */
+    private int[] allocateToProcesses() {
+        int count = sessions.size();
+        int spare = capacity - Arrays.stream(needs).sum();
+        int margin = count == 0 ? 0 : Math.max(0, spare * 3 / 4 / count);
+        int[] target = new int[count];
+        for (int p = 0; p < count; p++) {
+            target[p] = before[p] < needs[p] + margin / 2 ? Math.max(before[p], needs[p] + margin) : before[p];
         }
-        int over = Arrays.stream(to).sum() - most;
-        if (over > 0) {
+        int excess = Arrays.stream(target).sum() - capacity;
+        if (excess > 0) {
             List<Integer> order = new ArrayList<>();
-            for (int p = 0; p < all; p++) {
+            for (int p = 0; p < count; p++) {
                 order.add(p);
             }
-            order.sort(Comparator.comparingInt((Integer p) -> needs[p] - to[p]).thenComparing(p -> p));
-            // From those that have most over, down to the next one's, and so on.
-            int level =
-                    Fair.level(order.stream().mapToInt(p -> to[p] - needs[p]).toArray(), over);
+            order.sort(
+                    Comparator.comparingInt((Integer p) -> needs[p] - target[p]).thenComparing(p -> p));
+            // Reduces the greatest excesses to a common level, then one connection each until the sum fits.
+            int level = MaxMinAllocation.reductionLevel(
+                    order.stream().mapToInt(p -> target[p] - needs[p]).toArray(), excess);
             for (int p : order) {
-                int less = Math.min(over, Math.max(0, to[p] - needs[p] - level));
-                to[p] -= less;
-                over -= less;
+                int reduction = Math.min(excess, Math.max(0, target[p] - needs[p] - level));
+                target[p] -= reduction;
+                excess -= reduction;
             }
             for (int p : order) {
-                int less = over > 0 && to[p] > needs[p] ? 1 : 0;
-                to[p] -= less;
-                over -= less;
+                int reduction = excess > 0 && target[p] > needs[p] ? 1 : 0;
+                target[p] -= reduction;
+                excess -= reduction;
             }
         }
-        return to;
+        return target;
     }
 
-    /** How many connections processes need and don't have by the division in force. */
+    /** Returns how many connections processes need but do not have in the allocation in force. */
     private int missing() {
         int missing = 0;
         for (int p = 0; p < needs.length; p++) {
@@ -209,25 +239,32 @@
         return missing;
     }
 
-    /** What it was given, and what of the process's connections is nobody's; one at least of what it may still claim. */
+    /**
+     * Returns the tenants' quotas in a process: the allocated connections and, up to the tenant's cap, those of the
+     * process that are allocated to no tenant; at least 1 for a tenant that has less than its floor, so that it can
+     * claim the rest.
+     */
     private List<Integer> quotas(int p, int connections, int[] parts) {
         int spare = connections;
-        for (int t = 0; t <= many; t++) {
-            spare -= given[t][p];
+        for (int t = 0; t <= tenantCount; t++) {
+            spare -= allocated[t][p];
         }
         List<Integer> quotas = new ArrayList<>();
-        for (int t = 0; t < many; t++) {
+        for (int t = 0; t < tenantCount; t++) {
             Rules.Tenant tenant = rules.tenants().get(t);
-            int room = Math.max(0, tenant.cap() - parts[t]) / sessions.size();
-            int quota = given[t][p] + Math.max(0, Math.min(spare, room));
+            int headroom = Math.max(0, tenant.cap() - parts[t]) / sessions.size();
+            int quota = allocated[t][p] + Math.max(0, Math.min(spare, headroom));
             boolean isClaimable = parts[t] < Math.min(tenant.floor(), tenant.cap()) && connections > 0;
-            quotas.add(Math.min(MOST_QUOTA, isClaimable ? Math.max(1, quota) : quota));
+            quotas.add(Math.min(MAX_QUOTA, isClaimable ? Math.max(1, quota) : quota));
         }
         return quotas;
     }
 
-    /** Whether the one in force may stay: moves are few, but a floor is given back at once. */
-    private boolean stands(List<String> names, List<Budget.Share> shares, int[] parts, int missing, long now) {
+    /**
+     * Returns whether the allocation in force stays, to keep moves rare. A floor that a tenant lacks is given back at
+     * once; moves below {@link Rules#minMoved} wait for eight intervals.
+     */
+    private boolean isInForceKept(List<String> names, List<Budget.Share> shares, int[] parts, int missing, long now) {
         if (inForce.isEmpty()
                 || !inForce.get().figures().equals(rules.figures())
                 || !inForce.get().tenants().equals(names)
@@ -237,21 +274,21 @@
                         .equals(sessions)) {
             return inForce.isEmpty() && shares.isEmpty();
         }
-        int other = 0;
-        boolean isOwed = false;
+        int changed = 0;
+        boolean isFloorOwed = false;
         for (int p = 0; p < shares.size(); p++) {
-            List<Integer> was = inForce.get().shares().get(p).tenants();
-            for (int t = 0; t < many; t++) {
-                int more = shares.get(p).tenants().get(t) - was.get(t);
-                other += Math.abs(more);
-                isOwed |= given[t][p] > was.get(t)
+            List<Integer> previous = inForce.get().shares().get(p).tenants();
+            for (int t = 0; t < tenantCount; t++) {
+                int change = shares.get(p).tenants().get(t) - previous.get(t);
+                changed += Math.abs(change);
+                isFloorOwed |= allocated[t][p] > previous.get(t)
                         && parts[t] <= rules.tenants().get(t).floor();
             }
         }
-        long since = now - inForce.get().at();
-        boolean isEnough = missing >= rules.least() || other >= 2 * rules.least();
-        return !isOwed
-                && !(isEnough && since >= rules.calm())
-                && !((missing > 0 || other > 0) && since >= 8 * rules.calm());
+        long age = now - inForce.get().at();
+        boolean isEnough = missing >= rules.minMoved() || changed >= 2 * rules.minMoved();
+        return !isFloorOwed
+                && !(isEnough && age >= rules.minInterval())
+                && !((missing > 0 || changed > 0) && age >= 8 * rules.minInterval());
     }
 }
--- a/src/main/java/rushpin/pooling/GrantState.java
+++ b/src/main/java/rushpin/pooling/GrantState.java
@@ -8,24 +8,30 @@
 import rushpin.accord.Terms;
 
 /**
- * What one process may have open to one group, as it may see it itself: the fleet's words, renewals of its session and its
- * own count in, a {@link ConnectionGrant} and what is to be said out. A value; no clock, no chance.
+ * The connection grant of one process for one group, as the process itself knows it. Input: allotments from the fleet,
+ * session renewals and the process's own count of connections. Output: a {@link ConnectionGrant} and the messages to
+ * send to the fleet. An immutable value that reads no clock and uses no randomness.
  *
- * <p>Words may come late, twice, in any order or not at all: the greatest number of the session at hand counts, and words of
- * other sessions count for nothing. The lease counts from the latest asking that was answered. A process that comes back
- * under another session keeps what it kept when it was cut off, for as long, until the first allotment to the new one.
+ * <p>Allotments may arrive late, twice, out of order or never: the one with the greatest number of the current session
+ * applies, and allotments of other sessions are ignored. The lease starts when the latest acknowledged renewal was
+ * sent. A process that gets a new session keeps the connections that it could keep when it was cut off, for the same
+ * time, until the new session has its first allotment.
  *
- * <p>At most one thing is said a round (a third of a lease), and once more when it has closed down to what it may have.
+ * <p>At most one message is sent per third of a lease, and one more when the process has closed down to its grant.
  *
- * @param session whose words count; 0 for none yet
- * @param lease of the session, nanoseconds
- * @param renewalSentAt when the latest renewal that was answered was renewalSentAt
- * @param allotment the allotment that counts; null before the first to this session
- * @param kept how many connections it kept of the session before
- * @param keptUntil until when
- * @param nextSendAt when to say something nextSendAt
- * @param lastCeded what it said last by this allotment to have closed down to
- * @param isLeaving it opens nothing any more
+ * <p>Times are nanoseconds of the process's monotonic clock.
+ *
+ * @param group name of the group of app servers
+ * @param session the current session; 0 before the first
+ * @param lease duration of the session's lease, nanoseconds
+ * @param renewalSentAt when the latest acknowledged renewal was sent
+ * @param allotment the allotment that applies; null before the first of this session
+ * @param kept connections kept from the previous session
+ * @param keptUntil when the kept connections end
+ * @param nextSendAt the earliest time of the next message
+ * @param lastCeded the connection count of the latest message that reported closing under this allotment;
+ *     {@link Integer#MAX_VALUE} if there was none
+ * @param isLeaving whether the process opens no more connections because it leaves
  */
 public record GrantState(
         String group,
@@ -38,43 +44,69 @@
         long nextSendAt,
         int lastCeded,
         boolean isLeaving) {
-    private static final int ROUNDS = 3;
+    /** Messages that a process may send per lease. */
+    private static final int MESSAGES_PER_LEASE = 3;
 
-    /** Before the first session. */
+    /** Returns the state before the first session. */
     public static GrantState none(String group) {
         return new GrantState(group, 0, 0, 0, null, 0, 0, 0, Integer.MAX_VALUE, false);
     }
 
     /**
-     * The session goes on, or there is a new one.
+     * Returns the state after a session was renewed or created; a renewal of an older session changes nothing.
      *
-     * @param at when that was <em>renewalSentAt</em>, own time
+     * @param renewedSession number of the session
+     * @param sentAt when the request for it was <em>sent</em>, on the process's clock
+     * @param terms the fleet's terms, from which a new session takes its lease
      */
-    public GrantState renewed(long by, long at, Terms terms) {
-        if (by < session) {
+    public GrantState renewed(long renewedSession, long sentAt, Terms terms) {
+        if (renewedSession < session) {
             return this;
         }
-        if (by == session) {
-            return at - renewalSentAt <= 0
+        if (renewedSession == session) {
+            return sentAt - renewalSentAt <= 0
                     ? this
-                    : new GrantState(group, session, lease, at, allotment, kept, keptUntil, nextSendAt, lastCeded, isLeaving);
+                    : new GrantState(
+                            group,
+                            session,
+                            lease,
+                            sentAt,
+                            allotment,
+                            kept,
+                            keptUntil,
+                            nextSendAt,
+                            lastCeded,
+                            isLeaving);
         }
         return allotment == null
-                ? new GrantState(group, by, terms.lease(), at, null, kept, keptUntil, at, Integer.MAX_VALUE, isLeaving)
+                ? new GrantState(
+                        group,
+                        renewedSession,
+                        terms.lease(),
+                        sentAt,
+                        null,
+                        kept,
+                        keptUntil,
+                        sentAt,
+                        Integer.MAX_VALUE,
+                        isLeaving)
                 : new GrantState(
                         group,
-                        by,
+                        renewedSession,
                         terms.lease(),
-                        at,
+                        sentAt,
                         null,
                         allotment.own(),
                         renewalSentAt + allotment.forget(),
-                        at,
+                        sentAt,
                         Integer.MAX_VALUE,
                         isLeaving);
     }
 
-    /** The fleet's allotment, told or answered; of another group or session, or late, it changes nothing. */
+    /**
+     * Returns the state after an allotment arrived, pushed or as an answer. An allotment of another group or session,
+     * or an outdated one, changes nothing.
+     */
     public GrantState notified(Allotment next) {
         if (!next.group().equals(group)
                 || session == 0
@@ -99,17 +131,18 @@
                 isLeaving);
     }
 
-    /** Opens nothing from now on, and says so as it closes down. */
+    /** Returns the state of a process that leaves: it opens nothing more and reports connections as it closes them. */
     public GrantState leaving() {
-        return new GrantState(group, session, lease, renewalSentAt, allotment, kept, keptUntil, renewalSentAt, lastCeded, true);
+        return new GrantState(
+                group, session, lease, renewalSentAt, allotment, kept, keptUntil, renewalSentAt, lastCeded, true);
     }
 
-    /** Whether nothing is granted to it, by the allotment that counts. */
+    /** Returns whether the fleet counts no connections for this process under the allotment that applies. */
     public boolean isReleased() {
         return allotment == null || allotment.granted() == 0;
     }
 
-    /** What its pools go by. */
+    /** Returns the grant that the pools of this process must keep to. */
     public ConnectionGrant grant() {
         if (session == 0 || allotment == null && kept == 0) {
             return ConnectionGrant.NONE;
@@ -118,7 +151,7 @@
             return new ConnectionGrant(isLeaving ? 0 : kept, isLeaving ? 0 : kept, keptUntil, keptUntil, Map.of());
         }
         if (isLeaving) {
-            // What is still open ends with the lease all the same.
+            // The lease still bounds connections that are open.
             return new ConnectionGrant(0, 0, renewalSentAt + lease, renewalSentAt + allotment.forget(), Map.of());
         }
         return new ConnectionGrant(
@@ -131,11 +164,13 @@
     }
 
     /**
-     * What is to be said to the fleet now, if anything: that it has closed down, or, where no allotment came for a lease, what the
-     * allotment is. Nothing while the lease is over: it could not be true any more when it is heard.
+     * Returns the message to send to the fleet now, if any: that connections were closed or, if no allotment arrived
+     * for a lease, a query for the current one (number 0). Empty once the lease is over, as the message could be wrong
+     * on arrival.
      *
-     * @param open connections that are open, are being made, or may still be open at the group's side, of all its pools, after
-     *     all of them have taken the permit
+     * @param open connections of all pools of the group that are open, being made or possibly still open at the
+     *     group's side, counted after all pools have applied the grant
+     * @param now time on the process's clock
      */
     public Optional<Command.Cede> due(int open, long now) {
         if (session == 0 || now - renewalSentAt - lease >= 0) {
@@ -144,17 +179,20 @@
         if (allotment == null) {
             return now - nextSendAt >= 0 ? Optional.of(new Command.Cede(session, group, 0, 0)) : Optional.empty();
         }
-        int most = isLeaving ? 0 : allotment.most(), down = Math.max(open, most);
-        boolean isDown = down < allotment.granted();
-        if (isDown && (now - nextSendAt >= 0 || down == most && down < lastCeded)) {
-            return Optional.of(new Command.Cede(session, group, allotment.number(), down));
+        int max = isLeaving ? 0 : allotment.most();
+        int remaining = Math.max(open, max);
+        boolean isBelowGranted = remaining < allotment.granted();
+        if (isBelowGranted && (now - nextSendAt >= 0 || remaining == max && remaining < lastCeded)) {
+            return Optional.of(new Command.Cede(session, group, allotment.number(), remaining));
         }
-        return !isDown && now - nextSendAt >= lease ? Optional.of(new Command.Cede(session, group, 0, 0)) : Optional.empty();
+        return !isBelowGranted && now - nextSendAt >= lease
+                ? Optional.of(new Command.Cede(session, group, 0, 0))
+                : Optional.empty();
     }
 
-    /** That was sent. */
+    /** Returns the state after a message of {@link #due} was sent. */
     public GrantState sent(Command.Cede cede, long now) {
-        boolean isAsking = cede.number() == 0;
+        boolean isQuery = cede.number() == 0;
         return new GrantState(
                 group,
                 session,
@@ -163,8 +201,8 @@
                 allotment,
                 kept,
                 keptUntil,
-                now + Math.max(1, lease / ROUNDS),
-                isAsking ? lastCeded : Math.min(lastCeded, cede.to()),
+                now + Math.max(1, lease / MESSAGES_PER_LEASE),
+                isQuery ? lastCeded : Math.min(lastCeded, cede.to()),
                 isLeaving);
     }
 }
--- a/src/main/java/rushpin/pooling/package-info.java
+++ b/src/main/java/rushpin/pooling/package-info.java
@@ -1,2 +1,5 @@
-/** Who may hold how many connections to a group of app servers, over all processes and their tenants. No I/O, no clock. */
+/**
+ * Allocates the connections to a group of app servers among all processes and their tenants. Does no I/O and reads no
+ * clock.
+ */
 package rushpin.pooling;
--- a/src/test/java/rushpin/accord/Connections.java
+++ b/src/test/java/rushpin/accord/Connections.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import rushpin.pooling.GrantState;
 import rushpin.pooling.ConnectionGrant;
+import rushpin.pooling.GrantState;
 
 /**
  * Processes, one log and one group of app servers in small whole time: a world for {@link Explore}. Clocks and messages are
@@ -461,8 +461,8 @@
         long asked = has(Fault.LEASE_FROM_THE_ANSWER) ? of.now : answer.asked;
         if (answer.body instanceof Allotment word) {
             if (has(Fault.LATE_WORD)) {
-                allowance =
-                        new GrantState(GROUP, allowance.session(), LEASE, allowance.renewalSentAt(), null, 0, 0, 0, 9, false);
+                allowance = new GrantState(
+                        GROUP, allowance.session(), LEASE, allowance.renewalSentAt(), null, 0, 0, 0, 9, false);
             }
             boolean isEarlier = has(Fault.WORD_OF_AN_EARLIER_SESSION)
                     && word.session() < allowance.session()
