--- a/src/main/java/rushpin/cli/ModelCommand.java
+++ b/src/main/java/rushpin/cli/ModelCommand.java
@@ -27,7 +27,7 @@
 import rushpin.study.Runner;
 import rushpin.study.Study;
 import rushpin.study.Unusable;
-import rushpin.traffic.Recorded;
+import rushpin.traffic.RecordedTraffic;
 
 /**
  * {@code model ...}: the fleet in simulated time. Exit 0: done, 1: a file can't be used or a claim falls short, 2:
@@ -50,7 +50,7 @@
         return new CommandLine(new ModelCommand())
                 .setExecutionExceptionHandler((e, line, result) -> {
                     if (!(e instanceof Unusable
-                            || e instanceof Recorded.Unreadable
+                            || e instanceof RecordedTraffic.Unreadable
                             || e instanceof IllegalArgumentException
                             || e instanceof IOException)) {
                         throw e;
@@ -129,11 +129,11 @@
             return Choice.of(text, settings);
         }
 
-        Fit.Columns replay(Choice choice, Map<String, String> pairs) throws Recorded.Unreadable {
+        Fit.Columns replay(Choice choice, Map<String, String> pairs) throws RecordedTraffic.Unreadable {
             if (records == null) {
                 return null;
             }
-            Fit fit = new Fit(Recorded.read(records), choice.settings(), pairs, pool);
+            Fit fit = new Fit(RecordedTraffic.read(records), choice.settings(), pairs, pool);
             fit.notes().stream()
                     .filter(note -> note.contains("left out") || note.contains("not written"))
                     .forEach(note -> System.out.println("replay: " + note));
@@ -220,7 +220,7 @@
         @Override
         public Integer call() throws Exception {
             Fit fit = new Fit(
-                    Recorded.read(records), Choice.of(settings.toString(), null).settings(), DayFile.read(given), pool);
+                    RecordedTraffic.read(records), Choice.of(settings.toString(), null).settings(), DayFile.read(given), pool);
             fit.notes().forEach(note -> System.err.println(note));
             String text = DayFile.text(fit.day(), fit.notes());
             Day day = Day.of(fit.day());
--- a/src/main/java/rushpin/config/OperatorConfig.java
+++ b/src/main/java/rushpin/config/OperatorConfig.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import rushpin.route.Route;
-import rushpin.traffic.Keeping;
+import rushpin.traffic.RecordingConfig;
 
 /**
  * The operator's configuration, read from its file and checked whole.
@@ -22,7 +22,7 @@
         ResourceLimits total,
         List<PoolConfig> pools,
         List<Route> routes,
-        Keeping records,
+        RecordingConfig records,
         FleetConfig fleet) {
     /** Which listening socket the process serves on. */
     public enum Listener {
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -28,7 +28,7 @@
 import rushpin.route.RequestTarget;
 import rushpin.route.Route;
 import rushpin.route.RouteTable;
-import rushpin.traffic.Keeping;
+import rushpin.traffic.RecordingConfig;
 import rushpin.traffic.Recorder;
 
 /**
@@ -112,7 +112,7 @@
                         .toUpperCase(Locale.ROOT));
         String state = process.text("state", false);
         process.done();
-        Keeping records = root.has("records") ? records(root.table("records")) : null;
+        RecordingConfig records = root.has("records") ? records(root.table("records")) : null;
         FleetConfig fleet = root.has("fleet") ? FleetTableReader.read(root.table("fleet"), folder, platform) : null;
         List<TableReader> tables = root.tables("pool", MAX_POOLS);
         if (tables.isEmpty()) {
@@ -150,26 +150,26 @@
     }
 
     /** Reads where traffic is recorded; an unusable key for pseudonyms is a fault. */
-    private Keeping records(TableReader table) {
+    private RecordingConfig records(TableReader table) {
         String target = table.text("folder", true);
         String key = table.text("pseudonym-key", true);
-        long fileBytes = table.whole("file-bytes", Keeping.FILE_BYTES, 1L << 16, 1L << 30);
-        long maxBytes = table.whole("most-bytes", Keeping.MOST_BYTES, 1L << 18, MAX_AMOUNT);
-        int perSecond = (int) table.whole("most-per-second", Keeping.MOST_PER_SECOND, 1, 1_000_000);
+        long fileBytes = table.whole("file-bytes", RecordingConfig.DEFAULT_FILE_BYTES, 1L << 16, 1L << 30);
+        long maxBytes = table.whole("most-bytes", RecordingConfig.DEFAULT_MAX_BYTES, 1L << 18, MAX_AMOUNT);
+        int perSecond = (int) table.whole("most-per-second", RecordingConfig.DEFAULT_MAX_PER_SECOND, 1, 1_000_000);
         if (maxBytes < 3 * fileBytes) {
             table.fault(
                     "most-bytes",
                     "found " + maxBytes,
                     "three times records.file-bytes, " + 3 * fileBytes + ", or more");
         }
-        String why = key == null ? null : Recorder.fault(folder.resolve(key));
+        String why = key == null ? null : Recorder.keyFault(folder.resolve(key));
         if (why != null) {
             table.fault("pseudonym-key", key + " " + why, "a file of 16 bytes or more, the same at all nodes");
         }
         table.done();
         return target == null || key == null
                 ? null
-                : new Keeping(folder.resolve(target), folder.resolve(key), fileBytes, maxBytes, perSecond);
+                : new RecordingConfig(folder.resolve(target), folder.resolve(key), fileBytes, maxBytes, perSecond);
     }
 
     private static ResourceLimits limits(TableReader table, ResourceLimits defaults, ResourceLimits max) {
--- a/src/main/java/rushpin/fit/Fit.java
+++ b/src/main/java/rushpin/fit/Fit.java
@@ -14,7 +14,7 @@
 import org.apache.commons.math3.stat.inference.KolmogorovSmirnovTest;
 import rushpin.model.Play;
 import rushpin.traffic.Entry;
-import rushpin.traffic.Recorded;
+import rushpin.traffic.RecordedTraffic;
 
 /**
  * What records tell of a day, put into the model's words; what they can't tell is taken from the operator and said. It keeps
@@ -47,7 +47,7 @@
      * @param pool the pool whose requests are meant
      * @throws IllegalArgumentException if nothing of the records can be used
      */
-    public Fit(Recorded recorded, Map<String, String> settings, Map<String, String> given, String pool) {
+    public Fit(RecordedTraffic recorded, Map<String, String> settings, Map<String, String> given, String pool) {
         this.settings = settings;
         day = new TreeMap<>(given);
         classes = Play.names(settings, "classes");
@@ -65,7 +65,7 @@
         untold(given);
     }
 
-    private void choose(Recorded recorded, String pool) {
+    private void choose(RecordedTraffic recorded, String pool) {
         Map<String, Integer> left = new TreeMap<>();
         for (Entry e : recorded.entries()) {
             String why = !e.pool().equals(pool)
--- a/src/main/java/rushpin/node/PooledServices.java
+++ b/src/main/java/rushpin/node/PooledServices.java
@@ -183,7 +183,7 @@
         if (recorder != null) {
             // Each pool may use the whole rate; records beyond it in total are dropped at the full queue.
             pool.setRecorder(new RequestRecorder(
-                    recorder, node, plan.name(), recorder.mostPerSecond(), clock.wallMs(), clock.now()));
+                    recorder, node, plan.name(), recorder.maxPerSecond(), clock.wallMs(), clock.now()));
         }
         if (zoneReports != null) {
             pool.setWitness(
--- a/src/main/java/rushpin/node/RequestRecorder.java
+++ b/src/main/java/rushpin/node/RequestRecorder.java
@@ -7,7 +7,7 @@
 import rushpin.gateway.Ports.Outcome;
 import rushpin.gateway.Ports.Request;
 import rushpin.net.OpenRequest;
-import rushpin.traffic.Allowance;
+import rushpin.traffic.PerSecondLimit;
 import rushpin.traffic.Entry;
 import rushpin.traffic.Recorder;
 
@@ -19,7 +19,7 @@
     private final Recorder recorder;
     private final String node;
     private final String pool;
-    private final Allowance allowance;
+    private final PerSecondLimit allowance;
     /** Unix time in microseconds at nanosecond 0 of the loop's clock, taken at the start. */
     private final long unixMicrosAtZero;
 
@@ -47,7 +47,7 @@
         this.recorder = recorder;
         this.node = node;
         this.pool = pool;
-        allowance = new Allowance(maxPerSecond);
+        allowance = new PerSecondLimit(maxPerSecond);
         unixMicrosAtZero = wallMs * 1_000 - now / 1_000;
     }
 
@@ -73,7 +73,7 @@
     void attemptEnded(OpenRequest request, Outcome outcome, double trueUnits, long now) {
         Draft draft = drafts.get(request);
         if (draft != null && draft.server != null) {
-            if (draft.tries.size() < Entry.MOST_TRIES) {
+            if (draft.tries.size() < Entry.MAX_TRIES) {
                 draft.tries.add(new Entry.Try(
                         draft.server,
                         (draft.sentAt - draft.arrivedAt) / 1_000,
--- a/src/main/java/rushpin/rig/ModelScenario.java
+++ b/src/main/java/rushpin/rig/ModelScenario.java
@@ -11,7 +11,7 @@
 import rushpin.study.Choice;
 import rushpin.study.Runner;
 import rushpin.study.Study;
-import rushpin.traffic.Recorded;
+import rushpin.traffic.RecordedTraffic;
 
 /**
  * The model held against reality: a loopback fleet is played and recorded, a day is fitted to the records, and what the model then
@@ -112,8 +112,8 @@
             // A block of records ends each second.
             Thread.sleep(1_500);
             long end = System.currentTimeMillis() * 1_000;
-            Recorded all = Recorded.read(yard.folder.resolve("records"));
-            Recorded recorded = new Recorded(
+            RecordedTraffic all = RecordedTraffic.read(yard.folder.resolve("records"));
+            RecordedTraffic recorded = new RecordedTraffic(
                     all.entries().stream()
                             .filter(e -> e.at() >= begin && e.at() <= end)
                             .toList(),
--- a/src/main/java/rushpin/traffic/Entry.java
+++ b/src/main/java/rushpin/traffic/Entry.java
@@ -14,7 +14,7 @@
  * @param repeat whether its client marked it as a repeat
  * @param spread how many nodes the customer comes through, {@code first} the first of them
  * @param took from its coming to its answer, microseconds
- * @param tries its attempts in their order, {@link #MOST_TRIES} at most
+ * @param tries its attempts in their order, {@link #MAX_TRIES} at most
  * @param dropped how many requests before it, since the one last written, are not here
  */
 public record Entry(
@@ -35,7 +35,7 @@
         List<Try> tries,
         long dropped) {
     /** Attempts of a request that are written down; the settings allow fewer nearly everywhere. */
-    public static final int MOST_TRIES = 8;
+    public static final int MAX_TRIES = 8;
 
     /** How a request ended for its client. */
     public enum End {
--- a/src/main/java/rushpin/traffic/Allowance.java
+++ b/src/main/java/rushpin/traffic/PerSecondLimit.java
@@ -1,14 +1,14 @@
 package rushpin.traffic;
 
 /** So many in a second and no more, whatever comes: the bound on the CPU that records take. One thread's. */
-public final class Allowance {
+public final class PerSecondLimit {
     private static final long SECOND = 1_000_000_000L;
     private final int most;
     private long second = Long.MIN_VALUE;
     private int used;
 
     /** {@code most} in each second. */
-    public Allowance(int most) {
+    public PerSecondLimit(int most) {
         this.most = most;
     }
 
--- a/src/main/java/rushpin/traffic/Recorded.java
+++ b/src/main/java/rushpin/traffic/RecordedTraffic.java
@@ -21,7 +21,7 @@
  * @param notes what was not read and why, a line each; nothing is left out in silence
  * @param dropped how many requests the nodes themselves say that they did not write
  */
-public record Recorded(List<Entry> entries, List<String> notes, long dropped) {
+public record RecordedTraffic(List<Entry> entries, List<String> notes, long dropped) {
     /** More are not read: some 400 bytes of heap each. */
     public static final int MOST = 4_000_000;
     /** Files of one node that overlap by more than this are from a clock that was set, or from two processes. */
@@ -37,7 +37,7 @@
     }
 
     /** Reads all files of a folder, or one file. */
-    public static Recorded read(Path from) throws Unreadable {
+    public static RecordedTraffic read(Path from) throws Unreadable {
         List<Path> files;
         try (Stream<Path> all = Files.isDirectory(from) ? Files.list(from) : Stream.of(from)) {
             files = all.filter(file -> file.getFileName().toString().endsWith(".avro"))
@@ -79,7 +79,7 @@
             throw new Unreadable(from + " holds no request: " + String.join("; ", notes));
         }
         entries.sort(Comparator.comparingLong(Entry::at).thenComparing(Entry::node));
-        return new Recorded(
+        return new RecordedTraffic(
                 List.copyOf(entries),
                 List.copyOf(notes),
                 entries.stream().mapToLong(Entry::dropped).sum());
--- a/src/main/java/rushpin/traffic/Recorder.java
+++ b/src/main/java/rushpin/traffic/Recorder.java
@@ -37,7 +37,7 @@
         OutputStream make(Path file) throws IOException;
     }
 
-    private final Keeping keeping;
+    private final RecordingConfig keeping;
     private final Maker maker;
     private final String node;
     private final Consumer<String> log;
@@ -56,7 +56,7 @@
     private int serial, inBlock;
 
     /** Begins; {@code log} is told of trouble, a line at a time. Throws if the key can't be read: pseudonyms would differ. */
-    public Recorder(Keeping keeping, String node, Consumer<String> log) throws IOException {
+    public Recorder(RecordingConfig keeping, String node, Consumer<String> log) throws IOException {
         this(
                 keeping,
                 node,
@@ -65,7 +65,7 @@
     }
 
     /** As above, with files made in a given way. */
-    Recorder(Keeping keeping, String node, Consumer<String> log, Maker maker) throws IOException {
+    Recorder(RecordingConfig keeping, String node, Consumer<String> log, Maker maker) throws IOException {
         this.keeping = keeping;
         this.maker = maker;
         this.node = node;
@@ -78,7 +78,7 @@
     }
 
     /** Why records can't be kept so, in words that name no secret; null if they can. */
-    public static String fault(Path key) {
+    public static String keyFault(Path key) {
         try {
             long bytes = Files.size(key);
             return bytes >= Pseudonyms.LEAST_KEY ? null : "has " + bytes + " bytes";
@@ -88,8 +88,8 @@
     }
 
     /** How many requests a second a pool may offer. */
-    public int mostPerSecond() {
-        return keeping.mostPerSecond();
+    public int maxPerSecond() {
+        return keeping.maxPerSecond();
     }
 
     /** Takes it, or drops it; never waits. */
--- a/src/main/java/rushpin/traffic/Retention.java
+++ b/src/main/java/rushpin/traffic/Retention.java
@@ -15,12 +15,12 @@
     public record Kept(String name, long bytes) {}
 
     /** Whether a file of so many bytes is to be followed by the next. */
-    public static boolean isFull(long bytes, Keeping keeping) {
+    public static boolean isFull(long bytes, RecordingConfig keeping) {
         return bytes >= keeping.fileBytes();
     }
 
     /** The names to delete before a file is begun, the oldest first, so that all fit with the new one in full. */
-    public static List<String> surplus(List<Kept> files, Keeping keeping) {
+    public static List<String> surplus(List<Kept> files, RecordingConfig keeping) {
         List<Kept> sorted =
                 files.stream().sorted(Comparator.comparing(Kept::name)).toList();
         long sum = sorted.stream().mapToLong(Kept::bytes).sum();
--- a/src/test/java/rushpin/cli/ModelCommandTest.java
+++ b/src/test/java/rushpin/cli/ModelCommandTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rushpin.traffic.Entry;
-import rushpin.traffic.Keeping;
+import rushpin.traffic.RecordingConfig;
 import rushpin.traffic.Recorder;
 
 /** Tests the model command from records to a verdict, with the arguments that the operators' page shows. */
@@ -46,7 +46,7 @@
         SplittableRandom random = new SplittableRandom(4);
         for (int node = 0; node < 3; node++) {
             try (Recorder recorder = new Recorder(
-                    new Keeping(folder.resolve("records"), key, 1 << 22, 1 << 26, 1_000), "n" + node, s -> {})) {
+                    new RecordingConfig(folder.resolve("records"), key, 1 << 22, 1 << 26, 1_000), "n" + node, s -> {})) {
                 double at = 1e15;
                 for (int i = 0; i < 400; i++) {
                     at += -Math.log(1 - random.nextDouble()) / 25 * 1e6;
--- a/src/test/java/rushpin/fit/FitTest.java
+++ b/src/test/java/rushpin/fit/FitTest.java
@@ -17,7 +17,7 @@
 import rushpin.model.Play;
 import rushpin.model.Work;
 import rushpin.traffic.Entry;
-import rushpin.traffic.Recorded;
+import rushpin.traffic.RecordedTraffic;
 
 /** Days made from records whose law is known. */
 class FitTest {
@@ -76,10 +76,10 @@
         return made;
     }
 
-    private static Recorded recorded(List<Entry> entries) {
+    private static RecordedTraffic recorded(List<Entry> entries) {
         List<Entry> sorted = new ArrayList<>(entries);
         sorted.sort(Comparator.comparingLong(Entry::at));
-        return new Recorded(sorted, List.of(), 0);
+        return new RecordedTraffic(sorted, List.of(), 0);
     }
 
     private static Fit fit(List<Entry> entries) {
@@ -166,7 +166,7 @@
         assertTrue(fit(alone).notes().stream()
                 .anyMatch(n -> n.startsWith("records of 1 nodes (n0), the settings know of 2")));
         Fit dropped =
-                new Fit(new Recorded(entries(500, 5), List.of("n0-1.avro: read up to"), 12), settings(), given(), "p");
+                new Fit(new RecordedTraffic(entries(500, 5), List.of("n0-1.avro: read up to"), 12), settings(), given(), "p");
         assertTrue(dropped.notes().get(0).startsWith("n0-1.avro"));
         assertTrue(dropped.notes().get(1).startsWith("12 requests were not written"));
         String why = assertThrows(IllegalArgumentException.class, () -> fit(entries(39, 6)))
--- a/src/test/java/rushpin/node/RecordsNodeTest.java
+++ b/src/test/java/rushpin/node/RecordsNodeTest.java
@@ -15,7 +15,7 @@
 import rushpin.config.OperatorFile;
 import rushpin.traffic.Entry;
 import rushpin.traffic.Entry.End;
-import rushpin.traffic.Recorded;
+import rushpin.traffic.RecordedTraffic;
 
 /** The traffic records that a node on real sockets writes. */
 class RecordsNodeTest extends NodeTestBase {
@@ -53,7 +53,7 @@
             node.drain().get();
             node.close();
         }
-        List<Entry> entries = Recorded.read(folder.resolve("records")).entries();
+        List<Entry> entries = RecordedTraffic.read(folder.resolve("records")).entries();
         assertEquals(2, entries.size(), entries.toString());
         Entry order = entries.stream()
                 .filter(e -> e.requestClass().equals("order"))
@@ -93,7 +93,7 @@
             node.drain().get();
             node.close();
         }
-        List<Entry> entries = Recorded.read(folder.resolve("records")).entries();
+        List<Entry> entries = RecordedTraffic.read(folder.resolve("records")).entries();
         assertEquals(2, entries.size(), entries.toString());
         assertEquals(End.FAILED, entries.get(0).end());
         assertEquals(
--- a/src/test/java/rushpin/traffic/RecorderTest.java
+++ b/src/test/java/rushpin/traffic/RecorderTest.java
@@ -59,11 +59,11 @@
                 0);
     }
 
-    private Keeping keeping(long fileBytes, long mostBytes) {
-        return new Keeping(folder.resolve("records"), key, fileBytes, mostBytes, 1_000);
+    private RecordingConfig keeping(long fileBytes, long mostBytes) {
+        return new RecordingConfig(folder.resolve("records"), key, fileBytes, mostBytes, 1_000);
     }
 
-    private Recorder recorder(String node, Keeping keeping) throws Exception {
+    private Recorder recorder(String node, RecordingConfig keeping) throws Exception {
         return new Recorder(keeping, node, said::add);
     }
 
@@ -81,7 +81,7 @@
                 recorder.offer(entry(node, 1_000_000, 78));
             }
         }
-        Recorded read = Recorded.read(folder.resolve("records"));
+        RecordedTraffic read = RecordedTraffic.read(folder.resolve("records"));
         assertEquals(4, read.entries().size());
         assertEquals(List.of(), read.notes());
         Entry first = read.entries().get(0), last = read.entries().get(3);
@@ -102,7 +102,7 @@
         Path file = files().get(0);
         byte[] all = Files.readAllBytes(file);
         Files.write(file, java.util.Arrays.copyOf(all, all.length - 7));
-        Recorded read = Recorded.read(folder.resolve("records"));
+        RecordedTraffic read = RecordedTraffic.read(folder.resolve("records"));
         assertTrue(
                 read.entries().size() > 0 && read.entries().size() < 3_000,
                 "read " + read.entries().size());
@@ -117,7 +117,7 @@
             writer.setMeta(Form.VERSION_KEY, 2).create(Form.REQUEST, file.toFile());
             writer.append(Form.of(entry("n1", 1, 1)));
         }
-        String why = assertThrows(Recorded.Unreadable.class, () -> Recorded.read(folder.resolve("records")))
+        String why = assertThrows(RecordedTraffic.Unreadable.class, () -> RecordedTraffic.read(folder.resolve("records")))
                 .getMessage();
         assertTrue(why.contains("version 2") && why.contains("reads 1"), why);
     }
@@ -125,11 +125,11 @@
     @Test
     void anEmptyFolderAFileOfNoiseAndAnOddRequestAreSaid() throws Exception {
         Path records = Files.createDirectories(folder.resolve("records"));
-        assertTrue(assertThrows(Recorded.Unreadable.class, () -> Recorded.read(records))
+        assertTrue(assertThrows(RecordedTraffic.Unreadable.class, () -> RecordedTraffic.read(records))
                 .getMessage()
                 .contains("no file"));
         Files.writeString(records.resolve("n0-0.avro"), "noise");
-        assertTrue(assertThrows(Recorded.Unreadable.class, () -> Recorded.read(records))
+        assertTrue(assertThrows(RecordedTraffic.Unreadable.class, () -> RecordedTraffic.read(records))
                 .getMessage()
                 .contains("no request"));
         try (DataFileWriter<GenericRecord> writer = new DataFileWriter<>(new GenericDatumWriter<>(Form.REQUEST))) {
@@ -140,7 +140,7 @@
             odd.put("end", "VANISHED");
             writer.append(odd);
         }
-        Recorded read = Recorded.read(records);
+        RecordedTraffic read = RecordedTraffic.read(records);
         assertEquals(1, read.entries().size());
         assertTrue(
                 read.notes().stream()
@@ -156,7 +156,7 @@
             }
             Thread.sleep(2);
         }
-        assertTrue(Recorded.read(folder.resolve("records")).notes().get(0).contains("begins 80 s before"));
+        assertTrue(RecordedTraffic.read(folder.resolve("records")).notes().get(0).contains("begins 80 s before"));
     }
 
     /** The machine's clock is set by so many seconds between two processes of one node. */
@@ -167,18 +167,18 @@
         record(keeping(100, 1 << 20), begun);
         long bytes = Files.size(files().get(0));
         // Room for one old file beside the one that is begun.
-        Keeping small = keeping(100, 125 + bytes * 3 / 2);
+        RecordingConfig small = keeping(100, 125 + bytes * 3 / 2);
         record(small, after);
         record(small, after + 1);
         assertEquals(
                 List.of(1_000 * after, 1_000 * (after + 1)),
-                Recorded.read(folder.resolve("records")).entries().stream()
+                RecordedTraffic.read(folder.resolve("records")).entries().stream()
                         .map(Entry::at)
                         .sorted()
                         .toList());
     }
 
-    private void record(Keeping keeping, long atMs) throws Exception {
+    private void record(RecordingConfig keeping, long atMs) throws Exception {
         try (Recorder recorder = recorder("n1", keeping)) {
             recorder.offer(entry("n1", 1_000 * atMs, 1));
         }
@@ -192,7 +192,7 @@
             recorder.offer(entry("n1", i, 1));
         }
         recorder.close();
-        Recorded read = Recorded.read(folder.resolve("records"));
+        RecordedTraffic read = RecordedTraffic.read(folder.resolve("records"));
         assertEquals(offered, read.entries().size() + recorder.dropped());
         assertTrue(read.dropped() <= recorder.dropped(), "a drop is told once");
         assertTrue(recorder.dropped() == 0 || read.entries().size() < offered);
@@ -200,7 +200,7 @@
 
     @Test
     void onlyTheNewestBytesOfANodeStayAndOthersAreLeftAlone() throws Exception {
-        Keeping small = keeping(100, 1_000);
+        RecordingConfig small = keeping(100, 1_000);
         assertTrue(Retention.isFull(100, small) && !Retention.isFull(99, small));
         List<Retention.Kept> kept = List.of(
                 new Retention.Kept("n1-2", 400), new Retention.Kept("n1-1", 400), new Retention.Kept("n1-3", 400));
@@ -271,7 +271,7 @@
 
     @Test
     void noMoreThanTheAllowedNumberASecond() {
-        Allowance allowance = new Allowance(3);
+        PerSecondLimit allowance = new PerSecondLimit(3);
         int taken = 0;
         for (long at = 0; at < 2_000_000_000L; at += 10_000_000) {
             taken += allowance.take(at) ? 1 : 0;
