--- a/src/main/java/rushpin/cli/ModelCommand.java
+++ b/src/main/java/rushpin/cli/ModelCommand.java
@@ -21,12 +21,12 @@
 import rushpin.rig.Rig;
 import rushpin.rig.Scenario;
 import rushpin.study.Choice;
-import rushpin.study.Columns;
+import rushpin.study.TextTable;
 import rushpin.study.DayFile;
 import rushpin.study.Reports;
 import rushpin.study.Runner;
 import rushpin.study.Study;
-import rushpin.study.Unusable;
+import rushpin.study.UnusableInputException;
 import rushpin.traffic.RecordedTraffic;
 
 /**
@@ -49,7 +49,7 @@
     static int run(String[] args) {
         return new CommandLine(new ModelCommand())
                 .setExecutionExceptionHandler((e, line, result) -> {
-                    if (!(e instanceof Unusable
+                    if (!(e instanceof UnusableInputException
                             || e instanceof RecordedTraffic.Unreadable
                             || e instanceof IllegalArgumentException
                             || e instanceof IOException)) {
@@ -119,13 +119,13 @@
                 description = "Real time in seconds after which a run has failed (120).")
         private long runSeconds;
 
-        Map<String, String> pairs() throws Unusable {
+        Map<String, String> pairs() throws UnusableInputException {
             Map<String, String> pairs = DayFile.read(day);
             Day.of(pairs);
             return pairs;
         }
 
-        Choice choice(String text) throws Unusable {
+        Choice choice(String text) throws UnusableInputException {
             return Choice.of(text, settings);
         }
 
@@ -177,9 +177,9 @@
         @Option(names = "--independent", description = "B gets its own seeds: a check of the method.")
         private boolean independent;
 
-        Study.Options options(long seed) throws Unusable {
+        Study.Options options(long seed) throws UnusableInputException {
             if (!(level >= 0.5 && level < 1) || !(width > 0) || budget < 1 || budget > 10_000) {
-                throw new Unusable("allowed: --level from 0.5 to below 1, --width above 0, --budget from 1 to 10000");
+                throw new UnusableInputException("allowed: --level from 0.5 to below 1, --width above 0, --budget from 1 to 10000");
             }
             return new Study.Options(level, width, 10, budget, seed, independent);
         }
@@ -269,7 +269,7 @@
                                         number(forecast.high())));
                             }
                         }
-                        Columns.lines(rows).forEach(System.out::println);
+                        TextTable.lines(rows).forEach(System.out::println);
                         runs.stream()
                                 .map(run -> (String) run.get("breach"))
                                 .filter(breach -> !breach.isEmpty())
@@ -381,7 +381,7 @@
                         }));
                 rows.add(row);
             }
-            Columns.lines(rows).forEach(System.out::println);
+            TextTable.lines(rows).forEach(System.out::println);
             for (int i = 0; i < all.size(); i++) {
                 String value = values.get(i);
                 all.get(i).reasons().forEach(reason -> System.out.println(value + ": " + reason));
@@ -415,7 +415,7 @@
         public Integer call() throws Exception {
             Choice choice = dayOptions.choice(choiceText);
             Study.Options options = confidence.options(dayOptions.seed);
-            int differs = dayOptions.study(choice, options, (study, runner) -> study.differs(choice, comparisons));
+            int differs = dayOptions.study(choice, options, (study, runner) -> study.countDifferences(choice, comparisons));
             BinomialDistribution expected = new BinomialDistribution(null, comparisons, 1 - options.level());
             int maxDiffering = expected.inverseCumulativeProbability(0.995);
             boolean holds = differs <= maxDiffering;
--- a/src/main/java/rushpin/rig/Report.java
+++ b/src/main/java/rushpin/rig/Report.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import rushpin.judge.Breach;
 import rushpin.judge.Judge;
-import rushpin.study.Columns;
+import rushpin.study.TextTable;
 
 /** What a scenario measured, what it claims, and which rules were broken. */
 public final class Report {
@@ -89,7 +89,7 @@
     public void print(PrintStream out) {
         out.println();
         out.println("rig " + scenario + ", seed " + seed);
-        Columns.lines(rows).forEach(out::println);
+        TextTable.lines(rows).forEach(out::println);
         for (Claim claim : claims) {
             out.println((claim.holds ? "holds:        " : "falls short:  ") + claim.what);
         }
--- a/src/main/java/rushpin/study/BuildLoader.java
+++ b/src/main/java/rushpin/study/BuildLoader.java
@@ -18,15 +18,15 @@
     private static final String MODULE = "rushpin.gateway.";
     private final ZipFile jar;
 
-    BuildLoader(Path jar) throws Unusable {
+    BuildLoader(Path jar) throws UnusableInputException {
         super("build " + jar, BuildLoader.class.getClassLoader());
         try {
             this.jar = new ZipFile(jar.toFile());
         } catch (IOException e) {
-            throw new Unusable("the build " + jar + " cannot be read: " + e.getMessage());
+            throw new UnusableInputException("the build " + jar + " cannot be read: " + e.getMessage());
         }
         if (this.jar.getEntry("rushpin/gateway/Gateway.class") == null) {
-            throw new Unusable("the build " + jar + " holds no rushpin.gateway.Gateway");
+            throw new UnusableInputException("the build " + jar + " holds no rushpin.gateway.Gateway");
         }
     }
 
--- a/src/main/java/rushpin/study/Choice.java
+++ b/src/main/java/rushpin/study/Choice.java
@@ -24,7 +24,7 @@
      *
      * @param otherwise the settings file where the choice names none; may be null
      */
-    public static Choice of(String word, Path otherwise) throws Unusable {
+    public static Choice of(String word, Path otherwise) throws UnusableInputException {
         Path file = otherwise, build = null;
         Map<String, String> changed = new HashMap<>(), day = new HashMap<>();
         for (String part : word.split(",")) {
@@ -37,22 +37,22 @@
             } else if (part.indexOf('=') > 0) {
                 changed.put(part.substring(0, part.indexOf('=')), part.substring(part.indexOf('=') + 1));
             } else if (!part.equals("as-is")) {
-                throw new Unusable(
+                throw new UnusableInputException(
                         "choice \"" + word + "\": \"" + part + "\" is none of FILE.json, FILE.jar, KEY=VALUE, as-is");
             }
         }
         if (file == null) {
-            throw new Unusable("choice \"" + word + "\" names no settings; give FILE.json in it or by --settings");
+            throw new UnusableInputException("choice \"" + word + "\" names no settings; give FILE.json in it or by --settings");
         }
         Map<String, String> settings;
         try {
             settings = Config.settingsPairs(file);
         } catch (Config.Invalid e) {
-            throw new Unusable(file + ": " + e.getMessage());
+            throw new UnusableInputException(file + ": " + e.getMessage());
         }
         for (Map.Entry<String, String> each : changed.entrySet()) {
             if (!settings.containsKey(each.getKey())) {
-                throw new Unusable(
+                throw new UnusableInputException(
                         "choice \"" + word + "\": " + file + " has no key " + each.getKey() + " under settings");
             }
             settings.put(each.getKey(), each.getValue());
@@ -68,14 +68,14 @@
     }
 
     /** The same with one setting, or one key of the day, changed. */
-    public Choice with(String key, String value) throws Unusable {
+    public Choice with(String key, String value) throws UnusableInputException {
         if (key.startsWith(DAY)) {
             Map<String, String> other = new HashMap<>(day);
             other.put(key.substring(DAY.length()), value);
             return new Choice(key + "=" + value, settings, build, Map.copyOf(other));
         }
         if (!settings.containsKey(key)) {
-            throw new Unusable(name + " has no key " + key + " under settings");
+            throw new UnusableInputException(name + " has no key " + key + " under settings");
         }
         Map<String, String> changed = new HashMap<>(settings);
         changed.put(key, value);
--- a/src/main/java/rushpin/study/DayFile.java
+++ b/src/main/java/rushpin/study/DayFile.java
@@ -17,19 +17,19 @@
     private DayFile() {}
 
     /** Reads a file; what its keys mean is the model's to check. */
-    public static Map<String, String> read(Path file) throws Unusable {
+    public static Map<String, String> read(Path file) throws UnusableInputException {
         try {
             return parse(Files.readString(file), file.toString());
         } catch (IOException e) {
-            throw new Unusable("the day " + file + " cannot be read: " + e.getMessage());
+            throw new UnusableInputException("the day " + file + " cannot be read: " + e.getMessage());
         }
     }
 
     /** Reads a text; {@code called} is what faults call it. */
-    public static Map<String, String> parse(String text, String called) throws Unusable {
+    public static Map<String, String> parse(String text, String called) throws UnusableInputException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new Unusable(
+            throw new UnusableInputException(
                     called + ", line " + toml.errors().get(0).position().line() + ": this is not TOML: "
                             + toml.errors().get(0).getMessage().replace('\n', ' '));
         }
--- a/src/main/java/rushpin/study/Reports.java
+++ b/src/main/java/rushpin/study/Reports.java
@@ -56,7 +56,7 @@
         of.figures().forEach(figure -> rows.add(row(figure)));
         List<String> lines =
                 new ArrayList<>(List.of("A: " + a, "B: " + b, of.seeds() + " seeds, both choices on each", ""));
-        lines.addAll(Columns.lines(rows));
+        lines.addAll(TextTable.lines(rows));
         lines.add("");
         for (boolean ofA : new boolean[] {true, false}) {
             Comparison.Worst worst = of.worst(ofA);
--- a/src/main/java/rushpin/study/Runner.java
+++ b/src/main/java/rushpin/study/Runner.java
@@ -45,7 +45,7 @@
         });
     }
 
-    private MethodHandle handle(Path build) throws Unusable {
+    private MethodHandle handle(Path build) throws UnusableInputException {
         MethodHandle known = builds.get(build);
         if (known != null) {
             return known;
@@ -57,12 +57,12 @@
             builds.put(build, made);
             return made;
         } catch (ReflectiveOperationException | LinkageError e) {
-            throw new Unusable("the build " + build + " does not fit this model: " + e);
+            throw new UnusableInputException("the build " + build + " does not fit this model: " + e);
         }
     }
 
     /** Plays all, in the order of the jobs whatever the threads do. */
-    public List<Done> play(List<Job> jobs) throws Unusable, InterruptedException {
+    public List<Done> play(List<Job> jobs) throws UnusableInputException, InterruptedException {
         List<Future<Map<String, Object>>> running = new ArrayList<>();
         for (Job job : jobs) {
             MethodHandle play = handle(job.choice().build());
--- a/src/main/java/rushpin/study/Study.java
+++ b/src/main/java/rushpin/study/Study.java
@@ -44,7 +44,7 @@
     }
 
     /** Runs of one choice, with so many seeds. */
-    public List<Map<String, Object>> play(Choice choice, int seeds) throws Unusable, InterruptedException {
+    public List<Map<String, Object>> play(Choice choice, int seeds) throws UnusableInputException, InterruptedException {
         List<Runner.Job> jobs = new ArrayList<>();
         for (int i = 1; i <= seeds; i++) {
             jobs.add(new Runner.Job(choice, choice.on(day), replay, options.seed() + i));
@@ -52,7 +52,7 @@
         List<Map<String, Object>> runs = new ArrayList<>();
         for (Runner.Done done : runner.play(jobs)) {
             if (done.failure() != null) {
-                throw new Unusable(choice.name() + ": " + done.failure());
+                throw new UnusableInputException(choice.name() + ": " + done.failure());
             }
             runs.add(done.figures());
         }
@@ -70,7 +70,7 @@
     }
 
     /** Plays both on the same seeds until enough is known, one fails, or the budget is spent. */
-    public Comparison compare(Choice a, Choice b) throws Unusable, InterruptedException {
+    public Comparison compare(Choice a, Choice b) throws UnusableInputException, InterruptedException {
         Comparison comparison = new Comparison(options.level(), options.halfWidth(), options.first(), options.budget());
         for (int more = comparison.more(), next = 1; more > 0; more = comparison.more()) {
             List<Runner.Job> jobs = new ArrayList<>();
@@ -102,7 +102,7 @@
     /**
      * A choice against itself, each side with seeds of its own, so many times: how many say that it differs.
      */
-    public int differs(Choice choice, int comparisons) throws Unusable, InterruptedException {
+    public int countDifferences(Choice choice, int comparisons) throws UnusableInputException, InterruptedException {
         int differs = 0;
         for (int i = 0; i < comparisons; i++) {
             Options apart = new Options(
@@ -123,7 +123,7 @@
     }
 
     /** One key over values, each against the choice as it stands; the level is corrected for their number. */
-    public List<Comparison> sweep(Choice of, String key, List<String> values) throws Unusable, InterruptedException {
+    public List<Comparison> sweep(Choice of, String key, List<String> values) throws UnusableInputException, InterruptedException {
         Options each = new Options(
                 1 - (1 - options.level()) / Math.max(1, values.size()),
                 options.halfWidth(),
--- a/src/main/java/rushpin/study/Columns.java
+++ b/src/main/java/rushpin/study/TextTable.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /** Rows as lines of a terminal, each column as wide as its widest cell. */
-public final class Columns {
-    private Columns() {}
+public final class TextTable {
+    private TextTable() {}
 
     /** One line a row; rows may be of different lengths. */
     public static List<String> lines(List<List<String>> rows) {
--- a/src/test/java/rushpin/study/StudyTest.java
+++ b/src/test/java/rushpin/study/StudyTest.java
@@ -31,7 +31,7 @@
     @TempDir
     Path folder;
 
-    private static Map<String, String> day() throws Unusable {
+    private static Map<String, String> day() throws UnusableInputException {
         Map<String, String> day = DayFile.read(Path.of("deploy/model/day.toml"));
         day.put("seconds", "15");
         day.put("trouble.0.at-s", "4");
@@ -159,21 +159,21 @@
 
     @Test
     void wordsThatAreNoChoiceAreNamed() throws Exception {
-        assertTrue(assertThrows(Unusable.class, () -> Choice.of("fast", SETTINGS))
+        assertTrue(assertThrows(UnusableInputException.class, () -> Choice.of("fast", SETTINGS))
                 .getMessage()
                 .contains("\"fast\" is none of"));
-        assertTrue(assertThrows(Unusable.class, () -> Choice.of("as-is", null))
+        assertTrue(assertThrows(UnusableInputException.class, () -> Choice.of("as-is", null))
                 .getMessage()
                 .contains("names no settings"));
-        assertTrue(assertThrows(Unusable.class, () -> Choice.of("caps.colour=1", SETTINGS))
+        assertTrue(assertThrows(UnusableInputException.class, () -> Choice.of("caps.colour=1", SETTINGS))
                 .getMessage()
                 .contains("has no key caps.colour"));
-        assertTrue(assertThrows(Unusable.class, () -> Choice.of("nowhere.json", null))
+        assertTrue(assertThrows(UnusableInputException.class, () -> Choice.of("nowhere.json", null))
                 .getMessage()
                 .contains("nowhere.json"));
         Files.writeString(folder.resolve("empty.jar"), "no jar");
         String no = folder.resolve("empty.jar").toString();
-        assertTrue(assertThrows(Unusable.class, () -> compare("as-is", no, 6, 1))
+        assertTrue(assertThrows(UnusableInputException.class, () -> compare("as-is", no, 6, 1))
                 .getMessage()
                 .contains("cannot be read"));
     }
@@ -195,7 +195,7 @@
         day.put("class.window-lookup.work", "quantiles 1 2 3");
         assertEquals(day, DayFile.parse(DayFile.text(day, List.of("a note")), "written"));
         Day.of(day);
-        assertTrue(assertThrows(Unusable.class, () -> DayFile.parse("a = ", "x.toml"))
+        assertTrue(assertThrows(UnusableInputException.class, () -> DayFile.parse("a = ", "x.toml"))
                 .getMessage()
                 .contains("x.toml, line 1"));
         Map<String, String> given = DayFile.read(Path.of("deploy/model/given.toml"));
