--- a/src/main/java/rushpin/fit/Fit.java
+++ b/src/main/java/rushpin/fit/Fit.java
@@ -36,7 +36,7 @@
     private final List<String> classes, plans;
     private final List<String> notes = new ArrayList<>();
     private final List<Entry> entries = new ArrayList<>(), firsts = new ArrayList<>();
-    private final Map<String, Family> work = new TreeMap<>();
+    private final Map<String, FittedDistribution> work = new TreeMap<>();
     private long from, until;
 
     /**
@@ -81,9 +81,9 @@
         }
         left.forEach((why, count) -> notes.add(count + " requests left out: " + why));
         entries.stream().filter(e -> !e.repeat()).forEach(firsts::add);
-        if (firsts.size() < Family.LEAST) {
+        if (firsts.size() < FittedDistribution.MIN_SAMPLES) {
             throw new IllegalArgumentException(firsts.size() + " first tries of pool \"" + pool + "\" are left, "
-                    + Family.LEAST + " at least are needed" + (notes.isEmpty() ? "" : ": " + String.join("; ", notes)));
+                    + FittedDistribution.MIN_SAMPLES + " at least are needed" + (notes.isEmpty() ? "" : ": " + String.join("; ", notes)));
         }
         from = firsts.get(0).at();
         until = firsts.get(firsts.size() - 1).at();
@@ -248,15 +248,15 @@
             if (!day.containsKey("class." + name + ".share")) {
                 continue;
             }
-            if (found.size() < Family.LEAST) {
-                notes.add("class " + name + ": " + found.size() + " attempts tell of its work, " + Family.LEAST
+            if (found.size() < FittedDistribution.MIN_SAMPLES) {
+                notes.add("class " + name + ": " + found.size() + " attempts tell of its work, " + FittedDistribution.MIN_SAMPLES
                         + " are needed: "
                         + (day.containsKey("class." + name + ".work")
                                 ? "the operator's figure stands"
                                 : "say class." + name + ".work"));
                 continue;
             }
-            Family law = Family.of(found.stream().mapToDouble(x -> x).toArray());
+            FittedDistribution law = FittedDistribution.of(found.stream().mapToDouble(x -> x).toArray());
             work.put(name, law);
             day.put("class." + name + ".work", law.work());
             notes.add(String.format(
@@ -320,7 +320,7 @@
     }
 
     /** The laws of work by class. */
-    public Map<String, Family> laws() {
+    public Map<String, FittedDistribution> distributions() {
         return Map.copyOf(work);
     }
 
--- a/src/main/java/rushpin/fit/Family.java
+++ b/src/main/java/rushpin/fit/FittedDistribution.java
@@ -20,9 +20,9 @@
  * @param p how likely the other half is under it
  * @param kept whether that family was let pass
  */
-public record Family(String work, String name, double p, boolean kept, int samples) {
+public record FittedDistribution(String work, String name, double p, boolean kept, int samples) {
     /** So many figures are too few to choose by. */
-    public static final int LEAST = 40;
+    public static final int MIN_SAMPLES = 40;
 
     private static final double TURNED_DOWN = 0.01;
     /** With more, a difference of no consequence turns down every family. */
@@ -30,8 +30,8 @@
 
     private static final int STEPS = 100;
 
-    /** For {@link #LEAST} figures above 0 or more, in any order; the order decides the halves. */
-    public static Family of(double[] sample) {
+    /** For {@link #MIN_SAMPLES} figures above 0 or more, in any order; the order decides the halves. */
+    public static FittedDistribution of(double[] sample) {
         double[] fitted = half(sample, 0), tested = half(sample, 1);
         KolmogorovSmirnovTest test = new KolmogorovSmirnovTest();
         DescriptiveStatistics whole = new DescriptiveStatistics(sample);
@@ -56,14 +56,14 @@
         if (p >= TURNED_DOWN) {
             StringBuilder text = new StringBuilder(best);
             Arrays.stream(figures).forEach(f -> text.append(String.format(Locale.ROOT, " %.6g", f)));
-            return new Family(text.toString(), best, p, true, sample.length);
+            return new FittedDistribution(text.toString(), best, p, true, sample.length);
         }
         StringBuilder text = new StringBuilder("quantiles");
         for (int i = 0; i <= STEPS; i++) {
             text.append(String.format(
                     Locale.ROOT, " %.6g", i == 0 ? whole.getMin() : whole.getPercentile(100.0 * i / STEPS)));
         }
-        return new Family(text.toString(), best == null ? "no family" : best, p, false, sample.length);
+        return new FittedDistribution(text.toString(), best == null ? "no family" : best, p, false, sample.length);
     }
 
     /** Every second figure, of no more than are tested. */
--- a/src/main/java/rushpin/rig/ModelScenario.java
+++ b/src/main/java/rushpin/rig/ModelScenario.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import rushpin.fit.Family;
+import rushpin.fit.FittedDistribution;
 import rushpin.fit.Fit;
 import rushpin.judge.Judge;
 import rushpin.study.Choice;
@@ -122,7 +122,7 @@
             Path settings = yard.folder.resolve("n0.json");
             Choice choice = Choice.of(settings.toString(), null);
             Fit fit = new Fit(recorded, choice.settings(), given(), POOL);
-            for (Map.Entry<String, Family> law : fit.laws().entrySet()) {
+            for (Map.Entry<String, FittedDistribution> law : fit.distributions().entrySet()) {
                 report.claim(
                         String.format(
                                 Locale.ROOT,
@@ -131,7 +131,7 @@
                                 law.getValue().samples(),
                                 law.getValue().kept() ? law.getValue().name() : "its own quantiles",
                                 law.getValue().p()),
-                        law.getValue().samples() >= Family.LEAST);
+                        law.getValue().samples() >= FittedDistribution.MIN_SAMPLES);
             }
             Map<String, String> day = fit.day();
             try (Runner runner = new Runner(Math.max(1, Runtime.getRuntime().availableProcessors() / 2), 120)) {
--- a/src/test/java/rushpin/fit/FitTest.java
+++ b/src/test/java/rushpin/fit/FitTest.java
@@ -93,7 +93,7 @@
         assertEquals(50, Double.parseDouble(day.get("clients.rate")), 3);
         assertEquals("20", day.get("plan.bulk.customers"));
         assertEquals(0, Double.parseDouble(day.get("plan.bulk.skew")), 0.25);
-        assertEquals("uniform", fit.laws().get("lookup").name());
+        assertEquals("uniform", fit.distributions().get("lookup").name());
         assertEquals(30, Work.of(day.get("class.lookup.work")).mean(), 0.5);
         assertEquals(0.5, Work.of(day.get("fleet.node")).mean(), 0.01);
         assertEquals("2", day.get("fleet.nodes"));
@@ -206,7 +206,7 @@
         for (long seed = 1; seed <= 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             double[] sample = random.doubles(800).map(u -> quantile(law, u)).toArray();
-            Family found = Family.of(sample);
+            FittedDistribution found = FittedDistribution.of(sample);
             kept += found.kept() ? 1 : 0;
             var of = new org.apache.commons.math3.stat.descriptive.DescriptiveStatistics(sample);
             assertEquals(
@@ -224,7 +224,7 @@
         double[] sample = random.doubles(2_000)
                 .map(u -> u < 0.5 ? 10 + 4 * u : 90 + 10 * u)
                 .toArray();
-        Family found = Family.of(sample);
+        FittedDistribution found = FittedDistribution.of(sample);
         assertTrue(!found.kept() && found.work().startsWith("quantiles"), found.toString());
         assertEquals(
                 java.util.Arrays.stream(sample).average().orElseThrow(),
