--- a/src/main/java/rushpin/cli/ModelCommand.java
+++ b/src/main/java/rushpin/cli/ModelCommand.java
@@ -21,11 +21,11 @@
 import rushpin.rig.Rig;
 import rushpin.rig.Scenario;
 import rushpin.study.Choice;
-import rushpin.study.TextTable;
 import rushpin.study.DayFile;
 import rushpin.study.Reports;
 import rushpin.study.Runner;
 import rushpin.study.Study;
+import rushpin.study.TextTable;
 import rushpin.study.UnusableInputException;
 import rushpin.traffic.RecordedTraffic;
 
@@ -179,7 +179,8 @@
 
         Study.Options options(long seed) throws UnusableInputException {
             if (!(level >= 0.5 && level < 1) || !(width > 0) || budget < 1 || budget > 10_000) {
-                throw new UnusableInputException("allowed: --level from 0.5 to below 1, --width above 0, --budget from 1 to 10000");
+                throw new UnusableInputException(
+                        "allowed: --level from 0.5 to below 1, --width above 0, --budget from 1 to 10000");
             }
             return new Study.Options(level, width, 10, budget, seed, independent);
         }
@@ -220,7 +221,10 @@
         @Override
         public Integer call() throws Exception {
             Fit fit = new Fit(
-                    RecordedTraffic.read(records), Choice.of(settings.toString(), null).settings(), DayFile.read(given), pool);
+                    RecordedTraffic.read(records),
+                    Choice.of(settings.toString(), null).settings(),
+                    DayFile.read(given),
+                    pool);
             fit.notes().forEach(note -> System.err.println(note));
             String text = DayFile.text(fit.day(), fit.notes());
             Day day = Day.of(fit.day());
@@ -415,7 +419,8 @@
         public Integer call() throws Exception {
             Choice choice = dayOptions.choice(choiceText);
             Study.Options options = confidence.options(dayOptions.seed);
-            int differs = dayOptions.study(choice, options, (study, runner) -> study.countDifferences(choice, comparisons));
+            int differs =
+                    dayOptions.study(choice, options, (study, runner) -> study.countDifferences(choice, comparisons));
             BinomialDistribution expected = new BinomialDistribution(null, comparisons, 1 - options.level());
             int maxDiffering = expected.inverseCumulativeProbability(0.995);
             boolean holds = differs <= maxDiffering;
--- a/src/main/java/rushpin/config/OperatorFile.java
+++ b/src/main/java/rushpin/config/OperatorFile.java
@@ -28,8 +28,8 @@
 import rushpin.route.RequestTarget;
 import rushpin.route.Route;
 import rushpin.route.RouteTable;
-import rushpin.traffic.RecordingConfig;
 import rushpin.traffic.Recorder;
+import rushpin.traffic.RecordingConfig;
 
 /**
  * Reads and checks the operator's file (TOML 1.0) and the settings files that it names. All faults are reported
--- a/src/main/java/rushpin/fit/Fit.java
+++ b/src/main/java/rushpin/fit/Fit.java
@@ -17,35 +17,47 @@
 import rushpin.traffic.RecordedTraffic;
 
 /**
- * What records tell of a day, put into the model's words; what they can't tell is taken from the operator and said. It keeps
- * to what the settings know: requests of other classes and plans are counted and left out.
+ * Fits a day of the model to traffic records. What records can't show is taken from the operator or the model's
+ * defaults; a note names each default used. Requests of classes and plans that the settings do not contain are counted
+ * and left out.
  */
 public final class Fit {
-    private static final double US = 1e6;
-    /** A server that is first seen so long after the first request may be cold; it says nothing of work. */
-    private static final long NEW_US = 1_000_000;
-    /** A request is waited for by its node only where nothing was in its way. */
-    private static final long AT_ONCE_US = 2_000;
+    private static final double SECOND_US = 1e6;
+    /** A server first seen later than this after the first request may be cold; its attempts are ignored. */
+    private static final long NEW_SERVER_US = 1_000_000;
 
-    private static final int MOST_GAPS = 1_000, STEPS = 100;
+    /** An attempt sent within this time was not queued, so the rest of the request's time is overhead. */
+    private static final long MAX_SEND_DELAY_US = 2_000;
 
-    /** Recorded first tries, a column each as the model takes them. */
+    private static final int MAX_GAPS = 1_000;
+    private static final int QUANTILE_STEPS = 100;
+
+    /** Recorded first tries in the columns that the model replays. */
     public record Columns(double[][] figures, long[] customers) {}
 
-    private final Map<String, String> settings, day;
-    private final List<String> classes, plans;
+    private final Map<String, String> settings;
+    private final Map<String, String> day;
+    private final List<String> classes;
+    private final List<String> plans;
     private final List<String> notes = new ArrayList<>();
-    private final List<Entry> entries = new ArrayList<>(), firsts = new ArrayList<>();
-    private final Map<String, FittedDistribution> work = new TreeMap<>();
-    private long from, until;
+    private final List<Entry> entries = new ArrayList<>();
+    /** The entries that are not marked as repeats. */
+    private final List<Entry> firsts = new ArrayList<>();
+
+    private final Map<String, FittedDistribution> workByClass = new TreeMap<>();
+    /** Arrival of the first of {@link #firsts}, microseconds of Unix time. */
+    private long fromUs;
+    /** Arrival of the last of {@link #firsts}, microseconds of Unix time. */
+    private long untilUs;
 
     /**
-     * Fits.
+     * Fits a day.
      *
-     * @param settings path=value pairs, with names
-     * @param given what the operator says of the day; {@code servers.cores} has to be among it
-     * @param pool the pool whose requests are meant
-     * @throws IllegalArgumentException if nothing of the records can be used
+     * @param recorded the records
+     * @param settings path=value pairs under the platform's names
+     * @param given keys of the day that the operator provides; {@code servers.cores} is required
+     * @param pool the pool whose requests are used
+     * @throws IllegalArgumentException if {@code servers.cores} is missing or too few first tries are left
      */
     public Fit(RecordedTraffic recorded, Map<String, String> settings, Map<String, String> given, String pool) {
         this.settings = settings;
@@ -56,37 +68,40 @@
         if (recorded.dropped() > 0) {
             notes.add(recorded.dropped() + " requests were not written by the nodes: rates are too low by as many");
         }
-        choose(recorded, pool);
-        arrivals();
-        customers();
-        servers();
-        work();
-        overhead();
-        untold(given);
+        selectEntries(recorded, pool);
+        fitArrivals();
+        fitCustomers();
+        countServers();
+        fitWork();
+        fitOverhead();
+        noteDefaults(given);
     }
 
-    private void choose(RecordedTraffic recorded, String pool) {
-        Map<String, Integer> left = new TreeMap<>();
+    private void selectEntries(RecordedTraffic recorded, String pool) {
+        Map<String, Integer> leftOut = new TreeMap<>();
         for (Entry e : recorded.entries()) {
             String why = !e.pool().equals(pool)
                     ? "pool \"" + e.pool() + "\""
                     : !classes.contains(e.requestClass())
-                            ? "class " + e.requestClass() + ", which the settings don't know"
-                            : !plans.contains(e.plan()) ? "plan " + e.plan() + ", which the settings don't know" : null;
+                            ? "class " + e.requestClass() + ", which the settings do not contain"
+                            : !plans.contains(e.plan())
+                                    ? "plan " + e.plan() + ", which the settings do not contain"
+                                    : null;
             if (why != null) {
-                left.merge(why, 1, Integer::sum);
+                leftOut.merge(why, 1, Integer::sum);
             } else {
                 entries.add(e);
             }
         }
-        left.forEach((why, count) -> notes.add(count + " requests left out: " + why));
+        leftOut.forEach((why, count) -> notes.add(count + " requests left out: " + why));
         entries.stream().filter(e -> !e.repeat()).forEach(firsts::add);
         if (firsts.size() < FittedDistribution.MIN_SAMPLES) {
-            throw new IllegalArgumentException(firsts.size() + " first tries of pool \"" + pool + "\" are left, "
-                    + FittedDistribution.MIN_SAMPLES + " at least are needed" + (notes.isEmpty() ? "" : ": " + String.join("; ", notes)));
+            throw new IllegalArgumentException(
+                    firsts.size() + " first tries of pool \"" + pool + "\" are left, " + FittedDistribution.MIN_SAMPLES
+                            + " are required" + (notes.isEmpty() ? "" : ": " + String.join("; ", notes)));
         }
-        from = firsts.get(0).at();
-        until = firsts.get(firsts.size() - 1).at();
+        fromUs = firsts.get(0).at();
+        untilUs = firsts.get(firsts.size() - 1).at();
         TreeSet<String> nodes = new TreeSet<>();
         entries.forEach(e -> nodes.add(e.node()));
         int siblings = (int) Double.parseDouble(settings.getOrDefault("siblings", "1"));
@@ -100,19 +115,19 @@
                 String.valueOf(Math.min(
                         siblings, entries.stream().mapToInt(Entry::spread).max().orElse(1))));
         if (entries.size() == firsts.size()) {
-            notes.add("no request is marked as a repeat: if clients come again unmarked, they are counted as new ones");
+            notes.add("no request is marked as a repeat: unmarked retries by clients are counted as new requests");
         }
     }
 
     private double seconds() {
-        return Math.max(1e-3, (until - from) / US);
+        return Math.max(1e-3, (untilUs - fromUs) / SECOND_US);
     }
 
     private static String number(double x) {
         return String.format(Locale.ROOT, "%.6g", x);
     }
 
-    private void arrivals() {
+    private void fitArrivals() {
         day.putIfAbsent("seconds", number(Math.floor(seconds()) + 1));
         day.put("clients.rate", number(firsts.size() / seconds()));
         for (String name : classes) {
@@ -122,18 +137,18 @@
                 day.put("class." + name + ".share", number(count / (double) firsts.size()));
             }
         }
-        int step = Math.max(1, firsts.size() / MOST_GAPS);
+        int step = Math.max(1, firsts.size() / MAX_GAPS);
         double[] gaps = new double[(firsts.size() - 1) / step];
         double sum = 0;
         for (int i = 0; i < gaps.length; i++) {
             gaps[i] = Math.max(
-                    1e-7, (firsts.get(i * step + 1).at() - firsts.get(i * step).at()) / US);
+                    1e-7, (firsts.get(i * step + 1).at() - firsts.get(i * step).at()) / SECOND_US);
             sum += gaps[i];
         }
         double p = new KolmogorovSmirnovTest()
                 .kolmogorovSmirnovTest(new ExponentialDistribution(null, sum / gaps.length), gaps, false);
         double[] counts = new double[(int) Math.ceil(seconds())];
-        firsts.forEach(e -> counts[(int) Math.min(counts.length - 1, (e.at() - from) / 1_000_000)]++);
+        firsts.forEach(e -> counts[(int) Math.min(counts.length - 1, (e.at() - fromUs) / 1_000_000)]++);
         DescriptiveStatistics perSecond = new DescriptiveStatistics(counts);
         double dispersion = counts.length < 3 ? 1 : perSecond.getVariance() / Math.max(1e-9, perSecond.getMean());
         notes.add(String.format(
@@ -143,11 +158,13 @@
                 firsts.size() / seconds(),
                 p,
                 dispersion,
-                dispersion > 1.5 ? ": the rate changes, replay keeps that and a drawn day does not" : ""));
+                dispersion > 1.5
+                        ? ": the rate varies, which a replay reproduces and randomly drawn arrivals do not"
+                        : ""));
     }
 
-    /** The skew whose weights vary as the counts do beyond chance. */
-    private void customers() {
+    /** Fits customers per plan; the skew's weights vary as much as the counts do beyond Poisson noise. */
+    private void fitCustomers() {
         for (String plan : plans) {
             Map<Long, Integer> counts = new HashMap<>();
             firsts.stream()
@@ -156,15 +173,16 @@
             if (counts.isEmpty()) {
                 continue;
             }
-            DescriptiveStatistics of = new DescriptiveStatistics(
+            DescriptiveStatistics perCustomer = new DescriptiveStatistics(
                     counts.values().stream().mapToDouble(x -> x).toArray());
-            double mean = of.getMean(), beyond = Math.max(0, (of.getVariance() - mean) / (mean * mean));
+            double mean = perCustomer.getMean();
+            double variation = Math.max(0, (perCustomer.getVariance() - mean) / (mean * mean));
             int n = counts.size();
-            double skew = n < 2 || beyond < 1e-3
+            double skew = n < 2 || variation < 1e-3
                     ? 0
-                    : variation(n, 3) <= beyond
+                    : squaredVariation(n, 3) <= variation
                             ? 3
-                            : new BisectionSolver(1e-3).solve(100, s -> variation(n, s) - beyond, 0, 3);
+                            : new BisectionSolver(1e-3).solve(100, s -> squaredVariation(n, s) - variation, 0, 3);
             day.put("plan." + plan + ".share", number(mean * n / firsts.size()));
             day.put("plan." + plan + ".customers", String.valueOf(n));
             day.put("plan." + plan + ".skew", number(skew));
@@ -173,7 +191,7 @@
                 firsts.stream().mapToDouble(Entry::units).toArray());
         day.put("clients.units-mean", number(Math.max(0.01, units.getMean())));
         day.put("clients.units-most", number(Math.max(units.getMean(), units.getMax())));
-        double[] parts = firsts.stream()
+        double[] patience = firsts.stream()
                 .mapToDouble(e -> e.patience()
                         * 1e3
                         / Double.parseDouble(
@@ -182,11 +200,12 @@
                 .toArray();
         day.put(
                 "clients.patience",
-                number(Math.min(1, parts[parts.length / 50])) + ","
-                        + number(Math.min(1, parts[parts.length - 1 - parts.length / 50])));
+                number(Math.min(1, patience[patience.length / 50])) + ","
+                        + number(Math.min(1, patience[patience.length - 1 - patience.length / 50])));
     }
 
-    private static double variation(int n, double skew) {
+    /** Returns the squared coefficient of variation of the weights of n customers. */
+    private static double squaredVariation(int n, double skew) {
         DescriptiveStatistics weights = new DescriptiveStatistics();
         for (int i = 1; i <= n; i++) {
             weights.addValue(Math.pow(i, -skew));
@@ -194,25 +213,26 @@
         return weights.getVariance() / (weights.getMean() * weights.getMean());
     }
 
-    private void servers() {
+    private void countServers() {
         TreeSet<String> seen = new TreeSet<>();
         entries.forEach(e -> e.tries().forEach(t -> seen.add(t.server())));
         day.putIfAbsent("servers.count", String.valueOf(Math.max(1, seen.size())));
     }
 
-    /** An attempt with the class of its request. */
+    /** An attempt with the class of its request; times are microseconds of Unix time. */
     private record Attempt(long from, long until, String requestClass, String outcome) {}
 
-    /** Spans of attempts that began while a core was free: what they took is work and two ways, and no wait. */
-    private void work() {
+    /** Fits work to attempts that began while a core was free: their duration is work and network, without queueing. */
+    private void fitWork() {
         int cores;
         try {
             cores = (int) Double.parseDouble(day.getOrDefault("servers.cores", ""));
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(
-                    "servers.cores is missing: no record can tell how many requests a server works " + "on at once");
+                    "servers.cores is missing: records do not show how many requests a server "
+                            + "works on concurrently");
         }
-        double ways = 2 * Double.parseDouble(day.getOrDefault("network.one-way-us", "100"));
+        double roundTripUs = 2 * Double.parseDouble(day.getOrDefault("network.one-way-us", "100"));
         Map<String, List<Attempt>> byServer = new TreeMap<>();
         Map<String, List<Double>> samples = new TreeMap<>();
         for (Entry e : entries) {
@@ -222,73 +242,77 @@
                                 e.at() + t.after(), e.at() + t.after() + t.took(), e.requestClass(), t.outcome()));
             }
         }
-        int waited = 0;
+        int unused = 0;
         for (List<Attempt> attempts : byServer.values()) {
             attempts.sort((a, b) -> Long.compare(a.from, b.from));
-            boolean isNew = attempts.get(0).from - from > NEW_US;
+            boolean isNew = attempts.get(0).from - fromUs > NEW_SERVER_US;
             PriorityQueue<Long> ends = new PriorityQueue<>();
-            for (Attempt each : attempts) {
-                while (!ends.isEmpty() && ends.peek() <= each.from) {
+            for (Attempt attempt : attempts) {
+                while (!ends.isEmpty() && ends.peek() <= attempt.from) {
                     ends.poll();
                 }
-                if (each.outcome.equals("OK") && !isNew && ends.size() < cores) {
-                    samples.computeIfAbsent(each.requestClass, c -> new ArrayList<>())
-                            .add(Math.max(1e-3, (each.until - each.from - ways) / 1e3));
-                } else if (each.outcome.equals("OK")) {
-                    waited++;
+                if (attempt.outcome.equals("OK") && !isNew && ends.size() < cores) {
+                    samples.computeIfAbsent(attempt.requestClass, c -> new ArrayList<>())
+                            .add(Math.max(1e-3, (attempt.until - attempt.from - roundTripUs) / 1e3));
+                } else if (attempt.outcome.equals("OK")) {
+                    unused++;
                 }
-                // What was given up may be worked on still: as long again stands for that.
-                ends.add(each.outcome.equals("OK") ? each.until : 2 * each.until - each.from);
+                // A server may still work on an attempt that was abandoned: assume as long again.
+                ends.add(attempt.outcome.equals("OK") ? attempt.until : 2 * attempt.until - attempt.from);
             }
         }
-        notes.add("work: " + samples.values().stream().mapToInt(List::size).sum() + " attempts began with a core free, "
-                + waited + " others say nothing of work");
+        notes.add("work: " + samples.values().stream().mapToInt(List::size).sum()
+                + " attempts began while a core was free, " + unused + " others are not used");
         for (String name : classes) {
             List<Double> found = samples.getOrDefault(name, List.of());
             if (!day.containsKey("class." + name + ".share")) {
                 continue;
             }
             if (found.size() < FittedDistribution.MIN_SAMPLES) {
-                notes.add("class " + name + ": " + found.size() + " attempts tell of its work, " + FittedDistribution.MIN_SAMPLES
-                        + " are needed: "
+                notes.add("class " + name + ": " + found.size() + " attempts are usable to fit its work, "
+                        + FittedDistribution.MIN_SAMPLES
+                        + " are required: "
                         + (day.containsKey("class." + name + ".work")
-                                ? "the operator's figure stands"
-                                : "say class." + name + ".work"));
+                                ? "the operator's value is used"
+                                : "provide class." + name + ".work"));
                 continue;
             }
-            FittedDistribution law = FittedDistribution.of(found.stream().mapToDouble(x -> x).toArray());
-            work.put(name, law);
-            day.put("class." + name + ".work", law.work());
+            FittedDistribution fitted =
+                    FittedDistribution.of(found.stream().mapToDouble(x -> x).toArray());
+            workByClass.put(name, fitted);
+            day.put("class." + name + ".work", fitted.work());
             notes.add(String.format(
                     Locale.ROOT,
                     "class %s: %s, p = %.3f over %d attempts%s",
                     name,
-                    law.name(),
-                    law.p(),
-                    law.samples(),
-                    law.kept() ? "" : ": turned down, the records' quantiles are used"));
+                    fitted.name(),
+                    fitted.p(),
+                    fitted.samples(),
+                    fitted.kept() ? "" : ": rejected, the records' quantiles are used"));
         }
     }
 
-    /** What a node adds to its one attempt, where that was sent at once. */
-    private void overhead() {
-        double[] spans = entries.stream()
+    /** Fits what a node adds to a request's single attempt, if that was sent without delay. */
+    private void fitOverhead() {
+        double[] overheadsUs = entries.stream()
                 .filter(e -> e.end() == Entry.End.SERVED
                         && e.tries().size() == 1
-                        && e.tries().get(0).after() < AT_ONCE_US)
+                        && e.tries().get(0).after() < MAX_SEND_DELAY_US)
                 .mapToDouble(e -> e.took() - e.tries().get(0).took())
                 .sorted()
                 .toArray();
-        if (spans.length > 0) {
+        if (overheadsUs.length > 0) {
             StringBuilder text = new StringBuilder("quantiles");
-            for (int i = 0; i <= STEPS; i++) {
-                text.append(' ').append(number(Math.max(0, spans[(spans.length - 1) * i / STEPS] / 1e3)));
+            for (int i = 0; i <= QUANTILE_STEPS; i++) {
+                text.append(' ')
+                        .append(number(Math.max(0, overheadsUs[(overheadsUs.length - 1) * i / QUANTILE_STEPS] / 1e3)));
             }
             day.putIfAbsent("fleet.node", text.toString());
         }
     }
 
-    private void untold(Map<String, String> given) {
+    /** Notes the keys that records can't show and the operator did not provide. */
+    private void noteDefaults(Map<String, String> given) {
         for (String key : List.of(
                 "servers.line",
                 "servers.cancel-stops",
@@ -302,36 +326,35 @@
                 "discovery.delay-ms",
                 "counter.call-us")) {
             if (!given.containsKey(key)) {
-                notes.add(
-                        key
-                                + ": the records can't tell it and the operator does not say; the model's own default is taken");
+                notes.add(key
+                        + ": the records can't tell it and the operator gives no value; the model's default is used");
             }
         }
     }
 
-    /** The day in the model's words. */
+    /** Returns the day as path=value pairs. */
     public Map<String, String> day() {
         return new TreeMap<>(day);
     }
 
-    /** What was found, left out, or could not be told, a line each. */
+    /** Returns what was found, left out, or could not be determined, one line each. */
     public List<String> notes() {
         return List.copyOf(notes);
     }
 
-    /** The laws of work by class. */
+    /** Returns the fitted distributions of work by class. */
     public Map<String, FittedDistribution> distributions() {
-        return Map.copyOf(work);
+        return Map.copyOf(workByClass);
     }
 
-    /** The first tries for a replay. Repeats are the model's to make. */
+    /** Returns the first tries for a replay; the model generates the repeats. */
     public Columns columns() {
         int n = firsts.size();
         double[][] figures = new double[5][n];
         long[] customers = new long[n];
         for (int i = 0; i < n; i++) {
             Entry e = firsts.get(i);
-            figures[0][i] = (e.at() - from) * 1e3;
+            figures[0][i] = (e.at() - fromUs) * 1e3;
             figures[1][i] = classes.indexOf(e.requestClass());
             figures[2][i] = plans.indexOf(e.plan());
             figures[3][i] = e.units();
--- a/src/main/java/rushpin/fit/FittedDistribution.java
+++ b/src/main/java/rushpin/fit/FittedDistribution.java
@@ -12,63 +12,71 @@
 import rushpin.model.Work;
 
 /**
- * A law for a sample: the family that is nearest by Kolmogorov and Smirnov on one half, held against the other half. Where none is
- * let pass, the sample's own quantiles.
+ * A distribution fitted to a sample. Each family is fitted to one half of the sample; the one with the smallest
+ * Kolmogorov-Smirnov distance is tested against the other half. If it is rejected, the sample's own quantiles are used.
  *
- * @param work the law in the model's words
+ * @param work the distribution as text in the form of {@link Work}
  * @param name the nearest family
- * @param p how likely the other half is under it
- * @param kept whether that family was let pass
+ * @param p p-value of the other half under that family
+ * @param kept whether the family was accepted
+ * @param samples the number of values in the sample
  */
 public record FittedDistribution(String work, String name, double p, boolean kept, int samples) {
-    /** So many figures are too few to choose by. */
+    /** Minimum number of values; fewer are too few to choose a family. */
     public static final int MIN_SAMPLES = 40;
 
-    private static final double TURNED_DOWN = 0.01;
-    /** With more, a difference of no consequence turns down every family. */
-    private static final int MOST_TESTED = 400;
+    /** A family with a lower p-value is rejected. */
+    private static final double MIN_P = 0.01;
+    /** Maximum number of values tested; with more, irrelevant differences would reject every family. */
+    private static final int MAX_TESTED = 400;
 
-    private static final int STEPS = 100;
+    /** Number of steps between the quantiles. */
+    private static final int QUANTILE_STEPS = 100;
 
-    /** For {@link #MIN_SAMPLES} figures above 0 or more, in any order; the order decides the halves. */
+    /**
+     * Fits a distribution.
+     *
+     * @param sample at least {@link #MIN_SAMPLES} values of 0 or more; their order decides which half each belongs to
+     */
     public static FittedDistribution of(double[] sample) {
-        double[] fitted = half(sample, 0), tested = half(sample, 1);
+        double[] fitted = half(sample, 0);
+        double[] tested = half(sample, 1);
         KolmogorovSmirnovTest test = new KolmogorovSmirnovTest();
         DescriptiveStatistics whole = new DescriptiveStatistics(sample);
         String best = null;
-        double[] figures = null;
-        double least = Double.MAX_VALUE;
+        double[] bestParameters = null;
+        double minDistance = Double.MAX_VALUE;
         for (String name : Work.FAMILIES) {
-            double[] f = figures(name, fitted);
-            RealDistribution law = f == null ? null : law(name, f);
-            // A queue hangs on the mean before all else: who misses it by more than chance is no law of this sample.
-            boolean near = law != null
-                    && Math.abs(law.getNumericalMean() - whole.getMean())
+            double[] parameters = estimate(name, fitted);
+            RealDistribution distribution = parameters == null ? null : distribution(name, parameters);
+            // Queueing depends on the mean above all, so a family that misses it by more than chance is excluded.
+            boolean hasMean = distribution != null
+                    && Math.abs(distribution.getNumericalMean() - whole.getMean())
                             <= 2 * whole.getStandardDeviation() / Math.sqrt(whole.getN());
-            double distance = !near ? Double.MAX_VALUE : test.kolmogorovSmirnovStatistic(law, fitted);
-            if (distance < least) {
-                least = distance;
+            double distance = !hasMean ? Double.MAX_VALUE : test.kolmogorovSmirnovStatistic(distribution, fitted);
+            if (distance < minDistance) {
+                minDistance = distance;
                 best = name;
-                figures = f;
+                bestParameters = parameters;
             }
         }
-        double p = best == null ? 0 : test.kolmogorovSmirnovTest(law(best, figures), tested, false);
-        if (p >= TURNED_DOWN) {
+        double p = best == null ? 0 : test.kolmogorovSmirnovTest(distribution(best, bestParameters), tested, false);
+        if (p >= MIN_P) {
             StringBuilder text = new StringBuilder(best);
-            Arrays.stream(figures).forEach(f -> text.append(String.format(Locale.ROOT, " %.6g", f)));
+            Arrays.stream(bestParameters).forEach(x -> text.append(String.format(Locale.ROOT, " %.6g", x)));
             return new FittedDistribution(text.toString(), best, p, true, sample.length);
         }
         StringBuilder text = new StringBuilder("quantiles");
-        for (int i = 0; i <= STEPS; i++) {
+        for (int i = 0; i <= QUANTILE_STEPS; i++) {
             text.append(String.format(
-                    Locale.ROOT, " %.6g", i == 0 ? whole.getMin() : whole.getPercentile(100.0 * i / STEPS)));
+                    Locale.ROOT, " %.6g", i == 0 ? whole.getMin() : whole.getPercentile(100.0 * i / QUANTILE_STEPS)));
         }
         return new FittedDistribution(text.toString(), best == null ? "no family" : best, p, false, sample.length);
     }
 
-    /** Every second figure, of no more than are tested. */
+    /** Returns every second value, thinned to about {@link #MAX_TESTED}; {@code from}, 0 or 1, selects the half. */
     private static double[] half(double[] sample, int from) {
-        int step = 2 * Math.max(1, sample.length / 2 / MOST_TESTED);
+        int step = 2 * Math.max(1, sample.length / 2 / MAX_TESTED);
         double[] half = new double[(sample.length - from * step / 2 + step - 1) / step];
         for (int i = 0; i < half.length; i++) {
             half[i] = sample[from * step / 2 + i * step];
@@ -76,43 +84,50 @@
         return half;
     }
 
-    private static RealDistribution law(String name, double[] figures) {
+    private static RealDistribution distribution(String name, double[] parameters) {
         try {
-            return Work.family(name, figures);
+            return Work.family(name, parameters);
         } catch (IllegalArgumentException e) {
             return null;
         }
     }
 
-    /** By moments, but for the uniform's ends and the logarithm's; null where the sample allows none. */
-    private static double[] figures(String name, double[] of) {
-        DescriptiveStatistics s = new DescriptiveStatistics(of);
-        double mean = s.getMean(), sd = s.getStandardDeviation();
-        if (!(sd > 0) || !(s.getMin() > 0)) {
+    /**
+     * Estimates a family's parameters by the method of moments, except for uniform (from the extremes) and lognormal
+     * (from the logarithms); null if the sample allows no estimate.
+     */
+    private static double[] estimate(String name, double[] sample) {
+        DescriptiveStatistics statistics = new DescriptiveStatistics(sample);
+        double mean = statistics.getMean();
+        double sd = statistics.getStandardDeviation();
+        if (!(sd > 0) || !(statistics.getMin() > 0)) {
             return null;
         }
         switch (name) {
             case "exponential":
                 return new double[] {mean};
             case "uniform":
-                // The ends of a sample lie inside those of its law, by a part of its width in n + 1.
-                double beyond = (s.getMax() - s.getMin()) / (of.length - 1);
-                return new double[] {Math.max(0, s.getMin() - beyond), s.getMax() + beyond};
+                // On average a sample's extremes lie 1 / (n + 1) of the distribution's width inside its bounds.
+                // That is 1 / (n - 1) of the sample's range.
+                double margin = (statistics.getMax() - statistics.getMin()) / (sample.length - 1);
+                return new double[] {Math.max(0, statistics.getMin() - margin), statistics.getMax() + margin};
             case "normal":
                 return new double[] {mean, sd};
             case "lognormal":
                 DescriptiveStatistics logs = new DescriptiveStatistics(
-                        Arrays.stream(of).map(Math::log).toArray());
+                        Arrays.stream(sample).map(Math::log).toArray());
                 return new double[] {logs.getMean(), logs.getStandardDeviation()};
             case "gamma":
                 return new double[] {mean * mean / (sd * sd), sd * sd / mean};
             default:
                 try {
-                    double cv = sd * sd / (mean * mean);
+                    double squaredVariation = sd * sd / (mean * mean);
                     double shape = new BrentSolver(1e-6)
                             .solve(
                                     200,
-                                    k -> Math.exp(Gamma.logGamma(1 + 2 / k) - 2 * Gamma.logGamma(1 + 1 / k)) - 1 - cv,
+                                    k -> Math.exp(Gamma.logGamma(1 + 2 / k) - 2 * Gamma.logGamma(1 + 1 / k))
+                                            - 1
+                                            - squaredVariation,
                                     0.2,
                                     200);
                     return new double[] {shape, mean / Math.exp(Gamma.logGamma(1 + 1 / shape))};
--- a/src/main/java/rushpin/node/RequestRecorder.java
+++ b/src/main/java/rushpin/node/RequestRecorder.java
@@ -7,8 +7,8 @@
 import rushpin.gateway.Ports.Outcome;
 import rushpin.gateway.Ports.Request;
 import rushpin.net.OpenRequest;
-import rushpin.traffic.PerSecondLimit;
 import rushpin.traffic.Entry;
+import rushpin.traffic.PerSecondLimit;
 import rushpin.traffic.Recorder;
 
 /**
--- a/src/main/java/rushpin/study/DayFile.java
+++ b/src/main/java/rushpin/study/DayFile.java
@@ -12,11 +12,11 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlTable;
 
-/** A day as a file (TOML 1.0) and as path=value pairs. */
+/** Converts a simulated day between a TOML 1.0 file and path=value pairs. */
 public final class DayFile {
     private DayFile() {}
 
-    /** Reads a file; what its keys mean is the model's to check. */
+    /** Reads a file; the model checks keys and values. */
     public static Map<String, String> read(Path file) throws UnusableInputException {
         try {
             return parse(Files.readString(file), file.toString());
@@ -25,12 +25,12 @@
         }
     }
 
-    /** Reads a text; {@code called} is what faults call it. */
-    public static Map<String, String> parse(String text, String called) throws UnusableInputException {
+    /** Parses the text of a file; {@code name} names it in error messages. */
+    public static Map<String, String> parse(String text, String name) throws UnusableInputException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
             throw new UnusableInputException(
-                    called + ", line " + toml.errors().get(0).position().line() + ": this is not TOML: "
+                    name + ", line " + toml.errors().get(0).position().line() + ": this is not TOML: "
                             + toml.errors().get(0).getMessage().replace('\n', ' '));
         }
         Map<String, String> pairs = new TreeMap<>();
@@ -41,8 +41,8 @@
     private static void flatten(String prefix, TomlTable table, Map<String, String> into) {
         for (String key : table.keySet()) {
             Object value = table.get(List.of(key));
-            if (value instanceof TomlTable below) {
-                flatten(prefix + key + ".", below, into);
+            if (value instanceof TomlTable nested) {
+                flatten(prefix + key + ".", nested, into);
             } else if (value instanceof TomlArray array
                     && array.toList().stream().anyMatch(TomlTable.class::isInstance)) {
                 into.put(prefix + key + ".count", String.valueOf(array.size()));
@@ -61,23 +61,23 @@
         }
     }
 
-    /** The pairs as a file's text, troubles last. */
+    /** Formats the pairs as a file's text: comments first, then one table per prefix. */
     public static String text(Map<String, String> pairs, List<String> comments) {
         StringBuilder text = new StringBuilder();
         comments.forEach(line -> text.append("# ").append(line).append('\n'));
         Map<String, List<String>> tables = new TreeMap<>();
         pairs.forEach((key, value) -> {
-            int point = key.lastIndexOf('.');
-            String table = point < 0 ? "" : key.substring(0, point);
+            int dot = key.lastIndexOf('.');
+            String table = dot < 0 ? "" : key.substring(0, dot);
             if (!key.equals("trouble.count")) {
                 tables.computeIfAbsent(table, t -> new ArrayList<>())
-                        .add(key.substring(point + 1) + " = " + value(value));
+                        .add(key.substring(dot + 1) + " = " + value(value));
             }
         });
         tables.forEach((table, lines) -> {
-            String head =
+            String header =
                     table.startsWith("trouble.") ? "\n[[trouble]]\n" : table.isEmpty() ? "" : "\n[" + table + "]\n";
-            text.append(head);
+            text.append(header);
             lines.forEach(line -> text.append(line).append('\n'));
         });
         return text.toString();
--- a/src/main/java/rushpin/study/Reports.java
+++ b/src/main/java/rushpin/study/Reports.java
@@ -17,15 +17,16 @@
 import rushpin.model.Comparison;
 import rushpin.model.Comparison.Figure;
 
-/** A comparison as a table, as JSON, and as one page that needs nothing else. */
+/** Formats a comparison as a table, as JSON, or as a self-contained HTML page. */
 public final class Reports {
-    private static final int WIDE = 860, HIGH = 320;
+    private static final int CHART_WIDTH = 860;
+    private static final int CHART_HEIGHT = 320;
 
     private Reports() {}
 
-    /** The verdict in words: A, B, or cannot tell. */
-    public static String verdict(Comparison of) {
-        return switch (of.verdict()) {
+    /** Returns the verdict as text: A, B, or cannot tell. */
+    public static String verdict(Comparison comparison) {
+        return switch (comparison.verdict()) {
             case A -> "A";
             case B -> "B";
             case CANNOT_TELL -> "cannot tell";
@@ -50,38 +51,38 @@
 
     private static final List<String> HEAD = List.of("figure", "A", "B", "B less A", "from", "to", "level", "");
 
-    /** Lines for a terminal. */
-    public static List<String> table(Comparison of, String a, String b) {
+    /** Returns the comparison as lines of text; {@code a} and {@code b} are the names of the choices. */
+    public static List<String> table(Comparison comparison, String a, String b) {
         List<List<String>> rows = new ArrayList<>(List.of(HEAD));
-        of.figures().forEach(figure -> rows.add(row(figure)));
+        comparison.figures().forEach(figure -> rows.add(row(figure)));
         List<String> lines =
-                new ArrayList<>(List.of("A: " + a, "B: " + b, of.seeds() + " seeds, both choices on each", ""));
+                new ArrayList<>(List.of("A: " + a, "B: " + b, comparison.seeds() + " seeds, both choices on each", ""));
         lines.addAll(TextTable.lines(rows));
         lines.add("");
-        for (boolean ofA : new boolean[] {true, false}) {
-            Comparison.Worst worst = of.worst(ofA);
+        for (boolean isA : new boolean[] {true, false}) {
+            Comparison.Worst worst = comparison.worst(isA);
             if (worst != null) {
-                lines.add("worst seed of " + (ofA ? "A" : "B") + ": " + worst.seed() + ", service "
+                lines.add("worst seed of " + (isA ? "A" : "B") + ": " + worst.seed() + ", service "
                         + number(worst.service()));
             }
         }
-        lines.addAll(of.reasons());
-        lines.add("verdict: " + verdict(of));
+        lines.addAll(comparison.reasons());
+        lines.add("verdict: " + verdict(comparison));
         return lines;
     }
 
-    /** The same for programs. */
-    public static String json(Comparison of, String a, String b, Map<String, String> day) {
+    /** Returns the comparison as JSON, with the day that was simulated. */
+    public static String json(Comparison comparison, String a, String b, Map<String, String> day) {
         ObjectNode root = new ObjectMapper()
                 .createObjectNode()
                 .put("a", a)
                 .put("b", b)
-                .put("seeds", of.seeds())
-                .put("verdict", verdict(of));
+                .put("seeds", comparison.seeds())
+                .put("verdict", verdict(comparison));
         ArrayNode reasons = root.putArray("reasons");
-        of.reasons().forEach(reasons::add);
+        comparison.reasons().forEach(reasons::add);
         ArrayNode figures = root.putArray("figures");
-        for (Figure f : of.figures()) {
+        for (Figure f : comparison.figures()) {
             figures.addObject()
                     .put("name", f.name())
                     .put("a", f.a())
@@ -92,40 +93,45 @@
                     .put("p", f.difference().p())
                     .put("level", f.level());
         }
-        ObjectNode played = root.putObject("day");
-        day.forEach(played::put);
+        ObjectNode dayNode = root.putObject("day");
+        day.forEach(dayNode::put);
         return root.toPrettyString() + "\n";
     }
 
-    /** A page with its plots inside: service over time, the spread of latency, the difference seed by seed. */
-    public static String page(Comparison of, String a, String b) throws IOException {
+    /** Returns an HTML page with inlined plots: service over time, percentiles of latency, the difference per seed. */
+    public static String page(Comparison comparison, String a, String b) throws IOException {
         System.setProperty("java.awt.headless", "true");
         StringBuilder page = new StringBuilder(
                         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>model: ")
-                .append(escape(verdict(of)))
+                .append(escape(verdict(comparison)))
                 .append("</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}"
-                        + "table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ccc}"
+                        + "table{border-collapse:collapse}"
+                        + "td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ccc}"
                         + "td:first-child{text-align:left}</style></head><body><h1>Verdict: ")
-                .append(escape(verdict(of)))
+                .append(escape(verdict(comparison)))
                 .append("</h1><p>A: ")
                 .append(escape(a))
                 .append("<br>B: ")
                 .append(escape(b))
                 .append("<br>")
-                .append(of.seeds())
+                .append(comparison.seeds())
                 .append(" seeds, both choices on each.</p>");
-        of.reasons().forEach(reason -> page.append("<p>").append(escape(reason)).append("</p>"));
+        comparison
+                .reasons()
+                .forEach(reason -> page.append("<p>").append(escape(reason)).append("</p>"));
         page.append("<table><tr>");
         HEAD.forEach(head -> page.append("<th>").append(head).append("</th>"));
         page.append("</tr>");
-        for (Figure figure : of.figures()) {
+        for (Figure figure : comparison.figures()) {
             page.append("<tr>");
             row(figure).forEach(cell -> page.append("<td>").append(escape(cell)).append("</td>"));
             page.append("</tr>");
         }
         page.append("</table>");
-        if (of.seeds() > 0) {
-            page.append(plot(overTime(of))).append(plot(latency(of))).append(plot(bySeed(of)));
+        if (comparison.seeds() > 0) {
+            page.append(plot(serviceOverTime(comparison)))
+                    .append(plot(latencyPercentiles(comparison)))
+                    .append(plot(differenceBySeed(comparison)));
         }
         return page.append("</body></html>\n").toString();
     }
@@ -136,8 +142,8 @@
 
     private static XYChart chart(String title, String x, String y) {
         XYChart chart = new XYChartBuilder()
-                .width(WIDE)
-                .height(HIGH)
+                .width(CHART_WIDTH)
+                .height(CHART_HEIGHT)
                 .title(title)
                 .xAxisTitle(x)
                 .yAxisTitle(y)
@@ -146,54 +152,55 @@
         return chart;
     }
 
-    private static double[] meanOf(List<Map<String, Object>> runs, String series) {
+    private static double[] mean(List<Map<String, Object>> runs, String series) {
         double[] mean = new double[((double[]) runs.get(0).get(series)).length];
         for (Map<String, Object> run : runs) {
-            double[] one = (double[]) run.get(series);
+            double[] values = (double[]) run.get(series);
             for (int i = 0; i < mean.length; i++) {
-                mean[i] += one[i] / runs.size();
+                mean[i] += values[i] / runs.size();
             }
         }
         return mean;
     }
 
-    private static double[] steps(int n) {
-        double[] steps = new double[n];
+    private static double[] indices(int n) {
+        double[] indices = new double[n];
         for (int i = 0; i < n; i++) {
-            steps[i] = i;
+            indices[i] = i;
         }
-        return steps;
+        return indices;
     }
 
-    private static XYChart overTime(Comparison of) {
-        XYChart chart = chart("Part served of what was asked for in each second, mean of the seeds", "s", "part");
-        for (boolean a : new boolean[] {true, false}) {
-            double[] asked = meanOf(of.runs(a), "series.asked"), served = meanOf(of.runs(a), "series.served");
+    private static XYChart serviceOverTime(Comparison comparison) {
+        XYChart chart = chart("Share of requests served in each second, mean over the seeds", "s", "share");
+        for (boolean isA : new boolean[] {true, false}) {
+            double[] asked = mean(comparison.runs(isA), "series.asked");
+            double[] served = mean(comparison.runs(isA), "series.served");
             for (int i = 0; i < asked.length; i++) {
                 served[i] = asked[i] > 0 ? served[i] / asked[i] : 1;
             }
-            chart.addSeries(a ? "A" : "B", steps(served.length), served).setMarker(SeriesMarkers.NONE);
+            chart.addSeries(isA ? "A" : "B", indices(served.length), served).setMarker(SeriesMarkers.NONE);
         }
         return chart;
     }
 
-    private static XYChart latency(Comparison of) {
-        XYChart chart = chart("Latency of what was served, mean of the seeds' percentiles", "percentile", "ms");
-        for (boolean a : new boolean[] {true, false}) {
-            double[] ms = meanOf(of.runs(a), "latency-ms");
-            chart.addSeries(a ? "A" : "B", steps(ms.length), ms).setMarker(SeriesMarkers.NONE);
+    private static XYChart latencyPercentiles(Comparison comparison) {
+        XYChart chart = chart("Latency of served requests, percentiles averaged over the seeds", "percentile", "ms");
+        for (boolean isA : new boolean[] {true, false}) {
+            double[] ms = mean(comparison.runs(isA), "latency-ms");
+            chart.addSeries(isA ? "A" : "B", indices(ms.length), ms).setMarker(SeriesMarkers.NONE);
         }
         return chart;
     }
 
-    private static XYChart bySeed(Comparison of) {
-        XYChart chart = chart("Service, B less A, seed by seed", "seed in order", "difference");
-        double[] differences = new double[of.seeds()];
+    private static XYChart differenceBySeed(Comparison comparison) {
+        XYChart chart = chart("Service, B less A, per seed", "seed in order", "difference");
+        double[] differences = new double[comparison.seeds()];
         for (int i = 0; i < differences.length; i++) {
-            differences[i] = (Double) of.runs(false).get(i).get(Comparison.FIGURE)
-                    - (Double) of.runs(true).get(i).get(Comparison.FIGURE);
+            differences[i] = (Double) comparison.runs(false).get(i).get(Comparison.FIGURE)
+                    - (Double) comparison.runs(true).get(i).get(Comparison.FIGURE);
         }
-        chart.addSeries("B less A", steps(differences.length), differences);
+        chart.addSeries("B less A", indices(differences.length), differences);
         return chart;
     }
 
--- a/src/main/java/rushpin/study/Runner.java
+++ b/src/main/java/rushpin/study/Runner.java
@@ -17,101 +17,117 @@
 import java.util.concurrent.atomic.AtomicLong;
 import rushpin.fit.Fit;
 
-/** Plays runs on several threads. Each run is one thread's from begin to end, so their number changes no figure. */
+/**
+ * Runs simulations on several threads. Each run stays on one thread from start to end, so the number of threads does
+ * not affect results.
+ */
 public final class Runner implements AutoCloseable {
     private static final MethodType PLAY =
             MethodType.methodType(Map.class, Map.class, Map.class, double[][].class, long[].class, long.class);
 
-    /** One run. */
+    /** One run to simulate; {@code replay} is null if arrivals are drawn at random. */
     public record Job(Choice choice, Map<String, String> day, Fit.Columns replay, long seed) {}
 
-    /** Its figures, or why there are none. */
-    public record Done(Map<String, Object> figures, String failure) {}
+    /** The result of a run: its figures, or the reason of its failure; the other is null. */
+    public record Result(Map<String, Object> figures, String failure) {}
 
-    private final ExecutorService threads;
-    private final long most;
-    private final Map<Path, MethodHandle> builds = new HashMap<>();
-    /** Nanoseconds of all runs together, and how many requests they had. */
-    private final AtomicLong spent = new AtomicLong(), asked = new AtomicLong();
+    private final ExecutorService executor;
+    private final long timeoutS;
+    private final Map<Path, MethodHandle> playByBuild = new HashMap<>();
+    /** Sum of all runs' durations, nanoseconds. */
+    private final AtomicLong totalNanos = new AtomicLong();
 
-    /** {@code most} seconds of real time a run; one that takes longer has failed, and its thread is left behind. */
-    public Runner(int count, long most) {
-        this.most = most;
-        // A module that goes round can't be stopped: its thread must not keep the program from ending.
-        threads = Executors.newFixedThreadPool(count, work -> {
-            Thread made = new Thread(work, "model");
-            made.setDaemon(true);
-            return made;
+    /** Sum of all runs' simulated requests, counting each retry by a client. */
+    private final AtomicLong totalTries = new AtomicLong();
+
+    /**
+     * Creates a runner.
+     *
+     * @param threads the number of threads
+     * @param timeoutS real time allowed for a run, in seconds; a run that takes longer has failed, and its thread is
+     *     abandoned
+     */
+    public Runner(int threads, long timeoutS) {
+        this.timeoutS = timeoutS;
+        // A module in an endless loop can't be stopped, so its daemon thread must not keep the JVM from exiting.
+        executor = Executors.newFixedThreadPool(threads, task -> {
+            Thread thread = new Thread(task, "model");
+            thread.setDaemon(true);
+            return thread;
         });
     }
 
-    private MethodHandle handle(Path build) throws UnusableInputException {
-        MethodHandle known = builds.get(build);
-        if (known != null) {
-            return known;
+    private MethodHandle playMethod(Path build) throws UnusableInputException {
+        MethodHandle cached = playByBuild.get(build);
+        if (cached != null) {
+            return cached;
         }
         ClassLoader loader = build == null ? Runner.class.getClassLoader() : new BuildLoader(build);
         try {
             Class<?> play = Class.forName("rushpin.model.Play", true, loader);
-            MethodHandle made = MethodHandles.publicLookup().findStatic(play, "play", PLAY);
-            builds.put(build, made);
-            return made;
+            MethodHandle method = MethodHandles.publicLookup().findStatic(play, "play", PLAY);
+            playByBuild.put(build, method);
+            return method;
         } catch (ReflectiveOperationException | LinkageError e) {
             throw new UnusableInputException("the build " + build + " does not fit this model: " + e);
         }
     }
 
-    /** Plays all, in the order of the jobs whatever the threads do. */
-    public List<Done> play(List<Job> jobs) throws UnusableInputException, InterruptedException {
+    /**
+     * Runs all jobs; results are in the order of the jobs.
+     *
+     * @throws UnusableInputException if a build can't be used with this model
+     */
+    public List<Result> play(List<Job> jobs) throws UnusableInputException, InterruptedException {
         List<Future<Map<String, Object>>> running = new ArrayList<>();
         for (Job job : jobs) {
-            MethodHandle play = handle(job.choice().build());
-            running.add(threads.submit(() -> one(play, job)));
+            MethodHandle play = playMethod(job.choice().build());
+            running.add(executor.submit(() -> run(play, job)));
         }
-        List<Done> done = new ArrayList<>();
-        boolean late = false;
-        for (Future<Map<String, Object>> each : running) {
+        List<Result> results = new ArrayList<>();
+        boolean hasTimedOut = false;
+        for (Future<Map<String, Object>> run : running) {
             try {
-                // Those behind one that came to no end may have had no thread.
-                done.add(new Done(each.get(late ? 1 : most, TimeUnit.SECONDS), null));
+                // Runs queued behind one that did not end may never have had a thread: wait for them only briefly.
+                results.add(new Result(run.get(hasTimedOut ? 1 : timeoutS, TimeUnit.SECONDS), null));
             } catch (ExecutionException e) {
-                done.add(new Done(null, String.valueOf(e.getCause())));
+                results.add(new Result(null, String.valueOf(e.getCause())));
             } catch (TimeoutException e) {
-                late = true;
-                each.cancel(true);
-                done.add(new Done(null, "it came to no end within " + most + " s"));
+                hasTimedOut = true;
+                run.cancel(true);
+                results.add(new Result(null, "it did not end within " + timeoutS + " s"));
             }
         }
-        return done;
+        return results;
     }
 
-    private Map<String, Object> one(MethodHandle play, Job job) throws Exception {
-        long begin = System.nanoTime();
+    private Map<String, Object> run(MethodHandle play, Job job) throws Exception {
+        long start = System.nanoTime();
         try {
             double[][] columns = job.replay() == null ? null : job.replay().figures();
             long[] customers = job.replay() == null ? null : job.replay().customers();
             @SuppressWarnings("unchecked")
             Map<String, Object> figures = (Map<String, Object>)
                     play.invokeExact(job.choice().settings(), job.day(), columns, customers, job.seed());
-            asked.addAndGet(Math.round((Double) figures.get("tries")));
+            totalTries.addAndGet(Math.round((Double) figures.get("tries")));
             return figures;
         } catch (Exception e) {
             throw e;
         } catch (Throwable e) {
-            // A module that overflows its stack, or that fits no port of this model, has failed like one that throws.
+            // A stack overflow or a linkage error in the module is a failed run, like an exception.
             throw new IllegalStateException(e);
         } finally {
-            spent.addAndGet(System.nanoTime() - begin);
+            totalNanos.addAndGet(System.nanoTime() - start);
         }
     }
 
-    /** Microseconds of one core for each simulated try, over all that was played. */
+    /** Returns the average real time per simulated request, retries included, in microseconds of one thread. */
     public double microsPerTry() {
-        return spent.get() / 1e3 / Math.max(1, asked.get());
+        return totalNanos.get() / 1e3 / Math.max(1, totalTries.get());
     }
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/rushpin/study/Study.java
+++ b/src/main/java/rushpin/study/Study.java
@@ -8,34 +8,37 @@
 import rushpin.fit.Fit;
 import rushpin.model.Comparison;
 
-/** What is asked of the model: a forecast of one choice, a comparison of two, one key over a range. */
+/** Simulation studies: the forecast of one choice, the comparison of two, and a sweep of one key over values. */
 public final class Study {
     /**
-     * How it is played.
+     * Parameters of a study.
      *
-     * @param level of verdicts and intervals, as 0.95
-     * @param halfWidth the interval for service should be so wide to each side
-     * @param first seeds before their number is set; {@code budget} the most
-     * @param seed the seeds are those after it
-     * @param independent whether B gets seeds of its own: for checks of the method
+     * @param level confidence level of verdicts and intervals, such as 0.95
+     * @param halfWidth wanted half width of the confidence interval of service
+     * @param first number of seeds simulated before the total number of seeds is computed
+     * @param budget maximum number of seeds
+     * @param seed the seeds used are those that follow this one
+     * @param independent whether B gets other seeds than A, to check the method
      */
     public record Options(double level, double halfWidth, int first, int budget, long seed, boolean independent) {}
 
-    /** Where a figure will lie in one further run. */
+    /** A prediction interval of a figure for one further run. */
     public record Forecast(double low, double mean, double high) {
-        /** Whether it lies there. */
-        public boolean holds(double figure) {
+        /** Whether the figure lies within the interval. */
+        public boolean contains(double figure) {
             return figure >= low && figure <= high;
         }
     }
 
-    private static final long APART = 1_000_003;
+    /** Distance of B's seeds from A's if both are independent. */
+    private static final long INDEPENDENT_SEED_OFFSET = 1_000_003;
+
     private final Runner runner;
     private final Map<String, String> day;
     private final Fit.Columns replay;
     private final Options options;
 
-    /** On a day; {@code replay} null where arrivals are drawn. */
+    /** Creates a study of a day; {@code replay} is null if arrivals are drawn at random. */
     public Study(Runner runner, Map<String, String> day, Fit.Columns replay, Options options) {
         this.runner = runner;
         this.day = day;
@@ -43,54 +46,63 @@
         this.options = options;
     }
 
-    /** Runs of one choice, with so many seeds. */
-    public List<Map<String, Object>> play(Choice choice, int seeds) throws UnusableInputException, InterruptedException {
+    /** Simulates one choice with a number of seeds and returns the figures of each run. */
+    public List<Map<String, Object>> play(Choice choice, int seeds)
+            throws UnusableInputException, InterruptedException {
         List<Runner.Job> jobs = new ArrayList<>();
         for (int i = 1; i <= seeds; i++) {
-            jobs.add(new Runner.Job(choice, choice.on(day), replay, options.seed() + i));
+            jobs.add(new Runner.Job(choice, choice.applyTo(day), replay, options.seed() + i));
         }
         List<Map<String, Object>> runs = new ArrayList<>();
-        for (Runner.Done done : runner.play(jobs)) {
-            if (done.failure() != null) {
-                throw new UnusableInputException(choice.name() + ": " + done.failure());
+        for (Runner.Result result : runner.play(jobs)) {
+            if (result.failure() != null) {
+                throw new UnusableInputException(choice.name() + ": " + result.failure());
             }
-            runs.add(done.figures());
+            runs.add(result.figures());
         }
         return runs;
     }
 
-    /** A prediction interval for one further run, from runs that came out of one law. */
+    /** Returns the prediction interval of a figure for one further run; the runs must differ by their seeds only. */
     public static Forecast forecast(List<Map<String, Object>> runs, String figure, double level) {
-        SummaryStatistics of = new SummaryStatistics();
-        runs.forEach(run -> of.addValue((Double) run.get(figure)));
-        double half = new TDistribution(null, Math.max(1, of.getN() - 1)).inverseCumulativeProbability((1 + level) / 2)
-                * of.getStandardDeviation()
-                * Math.sqrt(1 + 1.0 / of.getN());
-        return new Forecast(of.getMean() - half, of.getMean(), of.getMean() + half);
+        SummaryStatistics statistics = new SummaryStatistics();
+        runs.forEach(run -> statistics.addValue((Double) run.get(figure)));
+        double halfWidth = new TDistribution(null, Math.max(1, statistics.getN() - 1))
+                        .inverseCumulativeProbability((1 + level) / 2)
+                * statistics.getStandardDeviation()
+                * Math.sqrt(1 + 1.0 / statistics.getN());
+        return new Forecast(statistics.getMean() - halfWidth, statistics.getMean(), statistics.getMean() + halfWidth);
     }
 
-    /** Plays both on the same seeds until enough is known, one fails, or the budget is spent. */
+    /**
+     * Simulates both choices, on the same seeds unless they are independent, until the verdict has the wanted
+     * precision, a run fails, or the budget of seeds is used up.
+     */
     public Comparison compare(Choice a, Choice b) throws UnusableInputException, InterruptedException {
         Comparison comparison = new Comparison(options.level(), options.halfWidth(), options.first(), options.budget());
         for (int more = comparison.more(), next = 1; more > 0; more = comparison.more()) {
             List<Runner.Job> jobs = new ArrayList<>();
             for (int i = 0; i < more; i++) {
-                jobs.add(new Runner.Job(a, a.on(day), replay, options.seed() + next + i));
+                jobs.add(new Runner.Job(a, a.applyTo(day), replay, options.seed() + next + i));
                 jobs.add(new Runner.Job(
-                        b, b.on(day), replay, options.seed() + next + i + (options.independent() ? APART : 0)));
+                        b,
+                        b.applyTo(day),
+                        replay,
+                        options.seed() + next + i + (options.independent() ? INDEPENDENT_SEED_OFFSET : 0)));
             }
-            List<Runner.Done> done = runner.play(jobs);
+            List<Runner.Result> results = runner.play(jobs);
             for (int i = 0; i < more; i++) {
-                Runner.Done ofA = done.get(2 * i), ofB = done.get(2 * i + 1);
-                if (ofA.failure() == null && ofB.failure() == null) {
-                    comparison.add(options.seed() + next + i, ofA.figures(), ofB.figures());
+                Runner.Result resultA = results.get(2 * i);
+                Runner.Result resultB = results.get(2 * i + 1);
+                if (resultA.failure() == null && resultB.failure() == null) {
+                    comparison.add(options.seed() + next + i, resultA.figures(), resultB.figures());
                     continue;
                 }
-                if (ofA.failure() != null) {
-                    comparison.failed(true, options.seed() + next + i, ofA.failure());
+                if (resultA.failure() != null) {
+                    comparison.failed(true, options.seed() + next + i, resultA.failure());
                 }
-                if (ofB.failure() != null) {
-                    comparison.failed(false, options.seed() + next + i, ofB.failure());
+                if (resultB.failure() != null) {
+                    comparison.failed(false, options.seed() + next + i, resultB.failure());
                 }
                 return comparison;
             }
@@ -100,41 +112,46 @@
     }
 
     /**
-     * A choice against itself, each side with seeds of its own, so many times: how many say that it differs.
+     * Compares a choice with itself on independent seeds a number of times and returns how many comparisons find a
+     * difference, that is the number of false verdicts.
      */
     public int countDifferences(Choice choice, int comparisons) throws UnusableInputException, InterruptedException {
-        int differs = 0;
+        int differences = 0;
         for (int i = 0; i < comparisons; i++) {
-            Options apart = new Options(
+            Options independent = new Options(
                     options.level(),
                     options.halfWidth(),
                     options.first(),
                     options.budget(),
                     options.seed() + i * (long) (options.budget() + 1),
                     true);
-            differs += new Study(runner, day, replay, apart)
+            differences += new Study(runner, day, replay, independent)
                                     .compare(choice, choice)
                                     .verdict()
                             == Comparison.Verdict.CANNOT_TELL
                     ? 0
                     : 1;
         }
-        return differs;
+        return differences;
     }
 
-    /** One key over values, each against the choice as it stands; the level is corrected for their number. */
-    public List<Comparison> sweep(Choice of, String key, List<String> values) throws UnusableInputException, InterruptedException {
-        Options each = new Options(
+    /**
+     * Compares a choice with copies that differ in the value of one key; the level is corrected for the number of
+     * values (Bonferroni).
+     */
+    public List<Comparison> sweep(Choice choice, String key, List<String> values)
+            throws UnusableInputException, InterruptedException {
+        Options corrected = new Options(
                 1 - (1 - options.level()) / Math.max(1, values.size()),
                 options.halfWidth(),
                 options.first(),
                 options.budget(),
                 options.seed(),
                 options.independent());
-        List<Comparison> all = new ArrayList<>();
+        List<Comparison> comparisons = new ArrayList<>();
         for (String value : values) {
-            all.add(new Study(runner, day, replay, each).compare(of, of.with(key, value)));
+            comparisons.add(new Study(runner, day, replay, corrected).compare(choice, choice.with(key, value)));
         }
-        return all;
+        return comparisons;
     }
 }
--- a/src/main/java/rushpin/study/TextTable.java
+++ b/src/main/java/rushpin/study/TextTable.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Rows as lines of a terminal, each column as wide as its widest cell. */
+/** Formats rows as lines of text, each column as wide as its widest cell. */
 public final class TextTable {
     private TextTable() {}
 
-    /** One line a row; rows may be of different lengths. */
+    /** Returns one line per row; rows may differ in their number of cells. */
     public static List<String> lines(List<List<String>> rows) {
         int[] width = new int[rows.stream().mapToInt(List::size).max().orElse(0)];
         rows.forEach(row -> {
--- a/src/main/java/rushpin/study/UnusableInputException.java
+++ b/src/main/java/rushpin/study/UnusableInputException.java
@@ -1,10 +1,10 @@
 package rushpin.study;
 
-/** Words or files that a study can't be made of; the message names them and says what is allowed. */
+/** Thrown for arguments or files that a study can't use; the message names them and what is allowed. */
 public final class UnusableInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what is wrong. */
+    /** Creates the exception; the message is shown to the operator. */
     public UnusableInputException(String message) {
         super(message);
     }
--- a/src/main/java/rushpin/traffic/Entry.java
+++ b/src/main/java/rushpin/traffic/Entry.java
@@ -3,19 +3,25 @@
 import java.util.List;
 
 /**
- * One request as a node saw it. It has no id, key, token, cookie, path or body.
+ * One recorded request. It holds no id, key, token, cookie, path or body.
  *
- * @param node the node's name; pool the pool's, empty for the platform's one
- * @param at when it was taken: microseconds of Unix time by the clock at the node's start and the time since, so that a clock
- *     that is set meanwhile moves nothing
+ * @param node the name of the node
+ * @param pool the name of the pool, empty for the platform's single pool
+ * @param at when the request arrived: microseconds of Unix time, computed from the wall clock at the node's start and
+ *     the monotonic time since, so that setting the clock later has no effect
+ * @param requestClass the name of the request's class
+ * @param plan the name of the customer's plan
  * @param customer the customer's number; a pseudonym once it is written
- * @param units what it takes from the quota by its guess; {@code trueUnits} what the answer told, 0 if nothing
- * @param patience how long its client waits, microseconds
- * @param repeat whether its client marked it as a repeat
- * @param spread how many nodes the customer comes through, {@code first} the first of them
- * @param took from its coming to its answer, microseconds
- * @param tries its attempts in their order, {@link #MAX_TRIES} at most
- * @param dropped how many requests before it, since the one last written, are not here
+ * @param units estimated units of quota
+ * @param trueUnits the units that the response reported, 0 if none
+ * @param patience the client's timeout in microseconds
+ * @param repeat whether the client marked the request as a repeat
+ * @param spread the number of nodes that the customer's requests come through
+ * @param first the first of these nodes
+ * @param end how the request ended for its client
+ * @param took microseconds from arrival to the answer
+ * @param tries the attempts in order, at most {@link #MAX_TRIES}
+ * @param dropped the number of requests dropped since the previous written record
  */
 public record Entry(
         String node,
@@ -34,7 +40,7 @@
         long took,
         List<Try> tries,
         long dropped) {
-    /** Attempts of a request that are written down; the settings allow fewer nearly everywhere. */
+    /** Maximum number of attempts recorded per request; nearly all settings allow fewer. */
     public static final int MAX_TRIES = 8;
 
     /** How a request ended for its client. */
@@ -42,21 +48,22 @@
         SERVED,
         REFUSED,
         FAILED,
+        /** The client went away before it had an answer. */
         GONE
     }
 
     /**
-     * One attempt.
+     * One attempt of a request at an app server.
      *
      * @param server the app server's id
-     * @param after microseconds from the request's coming to the attempt's begin
-     * @param took microseconds from there to its end
-     * @param outcome the name of the module's outcome
+     * @param after microseconds from the request's arrival to the start of the attempt
+     * @param took duration of the attempt in microseconds
+     * @param outcome the name of the gateway's {@code Outcome}
      */
     public record Try(String server, long after, long took, String outcome) {}
 
-    /** The same with what only the writer knows. */
-    Entry written(long pseudonym, long droppedBefore) {
+    /** Returns a copy as it is written, with the pseudonym and the number of requests dropped before it. */
+    Entry asWritten(long pseudonym, long droppedBefore) {
         return new Entry(
                 node,
                 pool,
--- a/src/main/java/rushpin/traffic/Pseudonyms.java
+++ b/src/main/java/rushpin/traffic/Pseudonyms.java
@@ -5,28 +5,31 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Customers under other names: the first 8 bytes of HMAC-SHA256 (RFC 2104) of the customer's number. One thread's. */
+/**
+ * Replaces customer numbers by pseudonyms: the first 8 bytes of HMAC-SHA256 (RFC 2104) of the number. Not thread-safe.
+ */
 final class Pseudonyms {
-    /** Shorter keys could be tried out: customers' numbers are below 2^33. */
-    static final int LEAST_KEY = 16;
+    /** Shorter keys could be found by exhaustive search, as customer numbers are below 2^33. */
+    static final int MIN_KEY_BYTES = 16;
 
     private final Mac mac;
 
-    /** {@code key} has {@link #LEAST_KEY} bytes or more. */
+    /** Throws {@link IllegalArgumentException} if {@code key} is shorter than {@link #MIN_KEY_BYTES}. */
     Pseudonyms(byte[] key) {
-        if (key.length < LEAST_KEY) {
-            throw new IllegalArgumentException("a key of " + key.length + " bytes; " + LEAST_KEY + " at least");
+        if (key.length < MIN_KEY_BYTES) {
+            throw new IllegalArgumentException(
+                    "the pseudonym key has " + key.length + " bytes, at least " + MIN_KEY_BYTES + " are required");
         }
         try {
             mac = Mac.getInstance("HmacSHA256");
             mac.init(new SecretKeySpec(key, "HmacSHA256"));
         } catch (GeneralSecurityException e) {
-            // Every Java platform has this algorithm.
+            // Every Java platform provides this algorithm.
             throw new IllegalStateException(e);
         }
     }
 
-    long of(long customer) {
+    long pseudonym(long customer) {
         return ByteBuffer.wrap(mac.doFinal(
                         ByteBuffer.allocate(Long.BYTES).putLong(customer).array()))
                 .getLong();
--- a/src/main/java/rushpin/traffic/RecordedTraffic.java
+++ b/src/main/java/rushpin/traffic/RecordedTraffic.java
@@ -15,19 +15,19 @@
 import org.apache.avro.generic.GenericRecord;
 
 /**
- * Records of a fleet as they were read, in the order of their times.
+ * Traffic records of a fleet, read from files.
  *
- * @param entries the requests
- * @param notes what was not read and why, a line each; nothing is left out in silence
- * @param dropped how many requests the nodes themselves say that they did not write
+ * @param entries the requests, sorted by arrival time
+ * @param notes everything that was not read and why, one line each
+ * @param dropped the number of requests that the nodes report as not written
  */
 public record RecordedTraffic(List<Entry> entries, List<String> notes, long dropped) {
-    /** More are not read: some 400 bytes of heap each. */
-    public static final int MOST = 4_000_000;
-    /** Files of one node that overlap by more than this are from a clock that was set, or from two processes. */
+    /** Maximum number of requests read; each takes about 400 bytes of heap. */
+    public static final int MAX_ENTRIES = 4_000_000;
+    /** Files of a node that overlap by more than this come from a clock that was set back, or from two processes. */
     private static final long OVERLAP_US = 5_000_000;
 
-    /** A folder that can't be used; the message says why. */
+    /** Thrown for files that can't be used; the message says why. */
     public static final class Unreadable extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -36,7 +36,11 @@
         }
     }
 
-    /** Reads all files of a folder, or one file. */
+    /**
+     * Reads all record files of a folder, or one file.
+     *
+     * @throws Unreadable if there is no record file, a file has another version, or no request could be read
+     */
     public static RecordedTraffic read(Path from) throws Unreadable {
         List<Path> files;
         try (Stream<Path> all = Files.isDirectory(from) ? Files.list(from) : Stream.of(from)) {
@@ -51,16 +55,16 @@
         }
         List<Entry> entries = new ArrayList<>();
         List<String> notes = new ArrayList<>();
-        Map<String, long[]> until = new TreeMap<>();
+        Map<String, long[]> lastByNode = new TreeMap<>();
         for (Path file : files) {
-            List<Entry> found = one(file, notes, MOST - entries.size());
+            List<Entry> found = readFile(file, notes, MAX_ENTRIES - entries.size());
             if (found.isEmpty()) {
-                notes.add(file.getFileName() + ": no request in it");
+                notes.add(file.getFileName() + ": contains no request");
                 continue;
             }
             long first = found.stream().mapToLong(Entry::at).min().orElseThrow();
             long last = found.stream().mapToLong(Entry::at).max().orElseThrow();
-            long[] before = until.putIfAbsent(found.get(0).node(), new long[] {last});
+            long[] before = lastByNode.putIfAbsent(found.get(0).node(), new long[] {last});
             if (before != null && first < before[0] - OVERLAP_US) {
                 notes.add(file.getFileName() + ": begins " + (before[0] - first) / 1_000_000
                         + " s before an earlier file of " + found.get(0).node()
@@ -70,8 +74,9 @@
                 before[0] = Math.max(before[0], last);
             }
             entries.addAll(found);
-            if (entries.size() >= MOST) {
-                notes.add("more than " + MOST + " requests: the files after " + file.getFileName() + " were not read");
+            if (entries.size() >= MAX_ENTRIES) {
+                notes.add("more than " + MAX_ENTRIES + " requests: the files after " + file.getFileName()
+                        + " were not read");
                 break;
             }
         }
@@ -85,47 +90,47 @@
                 entries.stream().mapToLong(Entry::dropped).sum());
     }
 
-    private static List<Entry> one(Path file, List<String> notes, int most) throws Unreadable {
+    private static List<Entry> readFile(Path file, List<String> notes, int max) throws Unreadable {
         List<Entry> found = new ArrayList<>();
-        int odd = 0;
-        String why = "";
+        int invalid = 0;
+        String reason = "";
         try (DataFileReader<GenericRecord> reader =
-                new DataFileReader<>(file.toFile(), new GenericDatumReader<>(null, Form.REQUEST))) {
-            String version = reader.getMetaString(Form.VERSION_KEY);
-            if (!String.valueOf(Form.VERSION).equals(version)) {
+                new DataFileReader<>(file.toFile(), new GenericDatumReader<>(null, AvroFormat.REQUEST))) {
+            String version = reader.getMetaString(AvroFormat.VERSION_KEY);
+            if (!String.valueOf(AvroFormat.VERSION).equals(version)) {
                 throw new Unreadable(
-                        file.getFileName() + ": version " + version + "; this program reads " + Form.VERSION);
+                        file.getFileName() + ": version " + version + "; this program reads " + AvroFormat.VERSION);
             }
             boolean more = true;
-            while (found.size() < most && (more = reader.hasNext())) {
+            while (found.size() < max && (more = reader.hasNext())) {
                 try {
-                    found.add(Form.of(reader.next()));
+                    found.add(AvroFormat.fromAvro(reader.next()));
                 } catch (IllegalArgumentException | ClassCastException | NullPointerException e) {
-                    odd++;
-                    why = String.valueOf(e.getMessage());
+                    invalid++;
+                    reason = String.valueOf(e.getMessage());
                 }
             }
-            // The library takes a block without its end for the end of the file, and says nothing.
+            // The library takes an incomplete block for the end of the file without an error.
             long rest = more ? 0 : Files.size(file) - reader.previousSync();
             if (rest > 0) {
                 notes.add(file.getFileName() + ": read up to its last whole block, " + found.size() + " requests; "
-                        + rest + " bytes behind it left out");
+                        + rest + " bytes after it left out");
             }
         } catch (IOException | AvroRuntimeException e) {
             notes.add(file.getFileName() + ": read up to its last whole block, " + found.size() + " requests: "
-                    + cause(e));
+                    + rootCause(e));
         }
-        if (odd > 0) {
-            notes.add(file.getFileName() + ": " + odd + " requests left out, the last because " + why);
+        if (invalid > 0) {
+            notes.add(file.getFileName() + ": " + invalid + " requests left out, the last because " + reason);
         }
         return found;
     }
 
-    private static String cause(Throwable e) {
-        Throwable last = e;
-        while (last.getCause() != null) {
-            last = last.getCause();
+    private static String rootCause(Throwable e) {
+        Throwable root = e;
+        while (root.getCause() != null) {
+            root = root.getCause();
         }
-        return last.getMessage() == null ? last.getClass().getSimpleName() : last.getMessage();
+        return root.getMessage() == null ? root.getClass().getSimpleName() : root.getMessage();
     }
 }
--- a/src/main/java/rushpin/traffic/Retention.java
+++ b/src/main/java/rushpin/traffic/Retention.java
@@ -4,35 +4,35 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Which files of records stay: the newest of a node's own, within its bytes. It looks at no disk. */
+/** Decides which record files of a node are kept: the newest, up to the configured size. It does no I/O. */
 public final class Retention {
-    /** Bytes kept free for the file that is being written, as a part of a file's: its last block may go beyond. */
-    private static final double ROOM = 1.25;
+    /** Space reserved for the file being written, in file sizes; above 1 as its last block may exceed the size. */
+    private static final double RESERVED_FILES = 1.25;
 
     private Retention() {}
 
-    /** A file of this node's; names of one node sort by their age. */
+    /** A record file of this node. Names of one node sort by age. */
     public record Kept(String name, long bytes) {}
 
-    /** Whether a file of so many bytes is to be followed by the next. */
-    public static boolean isFull(long bytes, RecordingConfig keeping) {
-        return bytes >= keeping.fileBytes();
+    /** Whether a file of this size is to be closed and the next one begun. */
+    public static boolean isFull(long bytes, RecordingConfig config) {
+        return bytes >= config.fileBytes();
     }
 
-    /** The names to delete before a file is begun, the oldest first, so that all fit with the new one in full. */
-    public static List<String> surplus(List<Kept> files, RecordingConfig keeping) {
+    /** Names of the files to delete before a new one is begun, oldest first, so that a full new file fits. */
+    public static List<String> surplus(List<Kept> files, RecordingConfig config) {
         List<Kept> sorted =
                 files.stream().sorted(Comparator.comparing(Kept::name)).toList();
         long sum = sorted.stream().mapToLong(Kept::bytes).sum();
-        double most = keeping.mostBytes() - ROOM * keeping.fileBytes();
-        List<String> gone = new ArrayList<>();
+        double max = config.maxBytes() - RESERVED_FILES * config.fileBytes();
+        List<String> surplus = new ArrayList<>();
         for (Kept file : sorted) {
-            if (sum <= most) {
+            if (sum <= max) {
                 break;
             }
             sum -= file.bytes();
-            gone.add(file.name());
+            surplus.add(file.name());
         }
-        return gone;
+        return surplus;
     }
 }
--- a/src/test/java/rushpin/cli/ModelCommandTest.java
+++ b/src/test/java/rushpin/cli/ModelCommandTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import rushpin.traffic.Entry;
-import rushpin.traffic.RecordingConfig;
 import rushpin.traffic.Recorder;
+import rushpin.traffic.RecordingConfig;
 
 /** Tests the model command from records to a verdict, with the arguments that the operators' page shows. */
 class ModelCommandTest {
@@ -46,7 +46,9 @@
         SplittableRandom random = new SplittableRandom(4);
         for (int node = 0; node < 3; node++) {
             try (Recorder recorder = new Recorder(
-                    new RecordingConfig(folder.resolve("records"), key, 1 << 22, 1 << 26, 1_000), "n" + node, s -> {})) {
+                    new RecordingConfig(folder.resolve("records"), key, 1 << 22, 1 << 26, 1_000),
+                    "n" + node,
+                    s -> {})) {
                 double at = 1e15;
                 for (int i = 0; i < 400; i++) {
                     at += -Math.log(1 - random.nextDouble()) / 25 * 1e6;
--- a/src/test/java/rushpin/config/OperatorFileTest.java
+++ b/src/test/java/rushpin/config/OperatorFileTest.java
@@ -238,7 +238,8 @@
         Files.writeString(folder.resolve("key"), "0123456789abcdef");
         String records = "[records]\nfolder = \"records\"\npseudonym-key = \"key\"\n";
         assertEquals(
-                new rushpin.traffic.RecordingConfig(folder.resolve("records"), folder.resolve("key"), 8 << 20, 64 << 20, 2_000),
+                new rushpin.traffic.RecordingConfig(
+                        folder.resolve("records"), folder.resolve("key"), 8 << 20, 64 << 20, 2_000),
                 OperatorFile.parse(records + POOLS, folder, null).records());
         Files.writeString(folder.resolve("key"), "0123456789abcde");
         assertOnlyFault(records + POOLS, "records.pseudonym-key", "has 15 bytes", "16 bytes or more");
--- a/src/test/java/rushpin/fit/FitTest.java
+++ b/src/test/java/rushpin/fit/FitTest.java
@@ -19,7 +19,7 @@
 import rushpin.traffic.Entry;
 import rushpin.traffic.RecordedTraffic;
 
-/** Days made from records whose law is known. */
+/** Fits days to records that are drawn from known distributions. */
 class FitTest {
     private static Map<String, String> settings() {
         Map<String, String> s = new HashMap<>();
@@ -57,14 +57,14 @@
                 0);
     }
 
-    /** Lookups of 20 to 40 ms, 50 a second, two nodes, 20 customers. */
+    /** Lookups of 20 to 40 ms, 50 per second, from 20 customers over two nodes. */
     private static List<Entry> entries(int count, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Entry> made = new ArrayList<>();
+        List<Entry> entries = new ArrayList<>();
         double at = 1e12;
         for (int i = 0; i < count; i++) {
             at += -Math.log(1 - random.nextDouble()) / 50 * 1e6;
-            made.add(entry(
+            entries.add(entry(
                     "n" + i % 2,
                     (long) at,
                     "lookup",
@@ -73,7 +73,7 @@
                     false,
                     20_000 + random.nextInt(20_000)));
         }
-        return made;
+        return entries;
     }
 
     private static RecordedTraffic recorded(List<Entry> entries) {
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void theLawOfTheRecordsIsFoundAndTheDayCanBePlayed() {
+    void theDistributionOfTheRecordsIsFoundAndTheDayIsValid() {
         Fit fit = fit(entries(4_000, 1));
         Map<String, String> day = fit.day();
         assertEquals(50, Double.parseDouble(day.get("clients.rate")), 3);
@@ -106,9 +106,9 @@
     }
 
     @Test
-    void waitsAreNoWork() {
+    void queueingIsNotCountedAsWork() {
         List<Entry> entries = entries(4_000, 2);
-        // A third of all were behind two others at their server, and took three times as long by that.
+        // Every third request is followed by three more at its server; the last two of them queue, as it has two cores.
         List<Entry> more = new ArrayList<>(entries);
         SplittableRandom random = new SplittableRandom(9);
         for (int i = 0; i < entries.size(); i += 3) {
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void repeatsAreNotPlayedTwiceAndAreNotCountedAsAsked() {
+    void repeatsAreNeitherReplayedNorCountedAsRequests() {
         List<Entry> entries = entries(1_000, 3);
         int firsts = entries.size();
         for (int i = 0; i < 300; i++) {
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void whatTheSettingsDoNotKnowIsCountedAndLeftOut() {
+    void requestsUnknownToTheSettingsAreCountedAndLeftOut() {
         List<Entry> entries = entries(500, 4);
         entries.add(entry("n0", 1_000_000_000_000L, "refund", "bulk", 1, false, 1));
         entries.add(entry("n0", 1_000_000_000_001L, "lookup", "gold", 1, false, 1));
@@ -160,18 +160,18 @@
     }
 
     @Test
-    void aMissingNodeADroppedPartAndTooFewAreSaid() {
+    void aMissingNodeDroppedRequestsAndTooFewRequestsAreReported() {
         List<Entry> alone =
                 entries(500, 5).stream().filter(e -> e.node().equals("n0")).toList();
         assertTrue(fit(alone).notes().stream()
                 .anyMatch(n -> n.startsWith("records of 1 nodes (n0), the settings know of 2")));
-        Fit dropped =
-                new Fit(new RecordedTraffic(entries(500, 5), List.of("n0-1.avro: read up to"), 12), settings(), given(), "p");
+        Fit dropped = new Fit(
+                new RecordedTraffic(entries(500, 5), List.of("n0-1.avro: read up to"), 12), settings(), given(), "p");
         assertTrue(dropped.notes().get(0).startsWith("n0-1.avro"));
         assertTrue(dropped.notes().get(1).startsWith("12 requests were not written"));
-        String why = assertThrows(IllegalArgumentException.class, () -> fit(entries(39, 6)))
+        String message = assertThrows(IllegalArgumentException.class, () -> fit(entries(39, 6)))
                 .getMessage();
-        assertTrue(why.contains("39 first tries"), why);
+        assertTrue(message.contains("39 first tries"), message);
         assertTrue(assertThrows(
                         IllegalArgumentException.class,
                         () -> new Fit(recorded(entries(500, 7)), settings(), new HashMap<>(), "p"))
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void arrivalsInBurstsAreSaidToBeNone() {
+    void arrivalsInBurstsAreNotExponential() {
         List<Entry> bursts = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             bursts.add(entry(
@@ -200,26 +200,26 @@
 
     @ParameterizedTest
     @CsvSource({"exponential 30", "uniform 30 60", "normal 60 5", "lognormal 3 0.7", "gamma 3 12", "weibull 0.8 30"})
-    void eachFamilyIsLetPassByItsOwnSample(String text) {
+    void eachFamilyIsAcceptedForItsOwnSample(String text) {
         int kept = 0;
-        Work law = Work.of(text);
+        Work work = Work.of(text);
         for (long seed = 1; seed <= 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            double[] sample = random.doubles(800).map(u -> quantile(law, u)).toArray();
+            double[] sample = random.doubles(800).map(u -> quantile(work, u)).toArray();
             FittedDistribution found = FittedDistribution.of(sample);
             kept += found.kept() ? 1 : 0;
-            var of = new org.apache.commons.math3.stat.descriptive.DescriptiveStatistics(sample);
+            var statistics = new org.apache.commons.math3.stat.descriptive.DescriptiveStatistics(sample);
             assertEquals(
-                    of.getMean(),
+                    statistics.getMean(),
                     Work.of(found.work()).mean(),
-                    2.01 * of.getStandardDeviation() / Math.sqrt(800),
+                    2.01 * statistics.getStandardDeviation() / Math.sqrt(800),
                     text + ", seed " + seed);
         }
-        assertTrue(kept >= 17, text + ": kept " + kept + " of 20");
+        assertTrue(kept >= 17, text + ": accepted " + kept + " of 20");
     }
 
     @Test
-    void twoHumpsAreNoFamilyAndKeepTheirQuantiles() {
+    void aBimodalSampleIsNoFamilyAndKeepsItsQuantiles() {
         SplittableRandom random = new SplittableRandom(1);
         double[] sample = random.doubles(2_000)
                 .map(u -> u < 0.5 ? 10 + 4 * u : 90 + 10 * u)
@@ -232,8 +232,8 @@
                 1);
     }
 
-    private static double quantile(Work law, double u) {
-        String[] parts = law.toString().split(" ");
+    private static double quantile(Work work, double u) {
+        String[] parts = work.toString().split(" ");
         double[] f = new double[parts.length - 1];
         for (int i = 0; i < f.length; i++) {
             f[i] = Double.parseDouble(parts[i + 1]);
--- a/src/test/java/rushpin/study/StudyTest.java
+++ b/src/test/java/rushpin/study/StudyTest.java
@@ -23,7 +23,7 @@
 import rushpin.model.Comparison.Verdict;
 import rushpin.model.Day;
 
-/** Choices from words, files and other builds, and what a study makes of them. */
+/** Parses choices from text, files and other builds, and runs studies with them. */
 @Tag("long")
 class StudyTest {
     private static final Path SETTINGS = Path.of("deploy/pools/lookups.json");
@@ -50,7 +50,7 @@
         }
     }
 
-    /** A build whose gateway is the running one's, or one of this body. */
+    /** Creates the jar of a build with the gateway of this one, or with one whose constructor has the given body. */
     private String jar(String name, String body) throws Exception {
         Path classes = Files.createDirectories(folder.resolve(name));
         Path own = Path.of(Gateway.class
@@ -66,15 +66,23 @@
                             + "public Gateway(Ports.Settings s, long seed, long now, Ports.Actions a) { " + body
                             + " }\n"
                             + "public void list(long n, Ports.ListKind k, java.util.List<Ports.Server> e) { }\n"
-                            + "public void request(long n, Ports.Request r) { throw new IllegalStateException(\"made to\"); }\n"
-                            + "public void attemptEnded(long n, Ports.Result r) { }\npublic void streamStarted(long n, String i) { }\n"
-                            + "public void bodyGone(long n, String i) { }\npublic void clientGone(long n, String i) { }\n"
+                            + "public void request(long n, Ports.Request r) {"
+                            + " throw new IllegalStateException(\"test failure\"); }\n"
+                            + "public void attemptEnded(long n, Ports.Result r) { }\n"
+                            + "public void streamStarted(long n, String i) { }\n"
+                            + "public void bodyGone(long n, String i) { }\n"
+                            + "public void clientGone(long n, String i) { }\n"
                             + "public void counted(long n, long m, Ports.Outcome o, double t) { }\n"
-                            + "public void probed(long n, String s, Ports.Outcome o, long t, java.util.List<Double> r) { }\n"
-                            + "public void timer(long n, long t) { }\npublic void restore(long n, long c, int p, int s, double u) { }\n"
-                            + "public void releaseCeiling(long n, double p) { }\npublic void acquireCeiling(long n, long c, int p, int s, double u) { }\n"
-                            + "public void processes(long n, int c) { }\npublic void settings(long n, Ports.Settings s, int[] w) { }\n"
-                            + "public void zones(long n, int[][] p) { }\npublic void clock(long n, long a) { }\n}\n");
+                            + "public void probed(long n, String s, Ports.Outcome o, long t,"
+                            + " java.util.List<Double> r) { }\n"
+                            + "public void timer(long n, long t) { }\n"
+                            + "public void restore(long n, long c, int p, int s, double u) { }\n"
+                            + "public void releaseCeiling(long n, double p) { }\n"
+                            + "public void acquireCeiling(long n, long c, int p, int s, double u) { }\n"
+                            + "public void processes(long n, int c) { }\n"
+                            + "public void settings(long n, Ports.Settings s, int[] w) { }\n"
+                            + "public void zones(long n, int[][] p) { }\n"
+                            + "public void clock(long n, long a) { }\n}\n");
             assertEquals(
                     0,
                     ToolProvider.getSystemJavaCompiler()
@@ -107,13 +115,13 @@
     }
 
     @Test
-    void theNumberOfThreadsChangesNoFigure() throws Exception {
-        Comparison one = compare("as-is", "caps.max-attempts=1", 4, 1),
-                many = compare("as-is", "caps.max-attempts=1", 4, 4);
+    void theNumberOfThreadsDoesNotAffectResults() throws Exception {
+        Comparison one = compare("as-is", "caps.max-attempts=1", 4, 1);
+        Comparison many = compare("as-is", "caps.max-attempts=1", 4, 4);
         for (int i = 0; i < 4; i++) {
             for (String name : one.runs(true).get(i).keySet()) {
-                Object a = one.runs(false).get(i).get(name),
-                        b = many.runs(false).get(i).get(name);
+                Object a = one.runs(false).get(i).get(name);
+                Object b = many.runs(false).get(i).get(name);
                 if (a instanceof double[] series) {
                     assertArrayEquals(series, (double[]) b, name);
                 } else {
@@ -130,7 +138,7 @@
     }
 
     @Test
-    void theSameBuildByItsJarIsNoOther() throws Exception {
+    void theSameBuildLoadedFromItsJarGivesTheSameResults() throws Exception {
         Comparison found = compare("as-is", jar("same", null), 6, 4);
         assertEquals(Verdict.CANNOT_TELL, found.verdict());
         assertEquals(0, found.figures().get(0).difference().high());
@@ -139,26 +147,26 @@
     }
 
     @Test
-    void aBuildThatThrowsLosesAndSoDoesOneThatGoesRound() throws Exception {
+    void aBuildThatThrowsLosesAndSoDoesOneInAnEndlessLoop() throws Exception {
         Comparison thrown = compare("as-is", jar("throws", "a.timer(0, 1000000);"), 6, 4);
         assertEquals(Verdict.A, thrown.verdict());
         assertTrue(
-                thrown.reasons().get(0).contains("B failed at seed 1: java.lang.IllegalStateException: made to"),
+                thrown.reasons().get(0).contains("B failed at seed 1: java.lang.IllegalStateException: test failure"),
                 thrown.reasons().toString());
         try (Runner runner = new Runner(2, 3)) {
-            Comparison round = new Study(runner, day(), null, options(6))
+            Comparison endless = new Study(runner, day(), null, options(6))
                     .compare(
-                            Choice.of(jar("round", "while (s != null) { Thread.onSpinWait(); }"), SETTINGS),
+                            Choice.of(jar("endless", "while (s != null) { Thread.onSpinWait(); }"), SETTINGS),
                             Choice.of("as-is", SETTINGS));
-            assertEquals(Verdict.B, round.verdict());
+            assertEquals(Verdict.B, endless.verdict());
             assertTrue(
-                    round.reasons().get(0).contains("A failed at seed 1: it came to no end within 3 s"),
-                    round.reasons().toString());
+                    endless.reasons().get(0).contains("A failed at seed 1: it did not end within 3 s"),
+                    endless.reasons().toString());
         }
     }
 
     @Test
-    void wordsThatAreNoChoiceAreNamed() throws Exception {
+    void invalidChoicesAreRejectedByName() throws Exception {
         assertTrue(assertThrows(UnusableInputException.class, () -> Choice.of("fast", SETTINGS))
                 .getMessage()
                 .contains("\"fast\" is none of"));
@@ -172,24 +180,24 @@
                 .getMessage()
                 .contains("nowhere.json"));
         Files.writeString(folder.resolve("empty.jar"), "no jar");
-        String no = folder.resolve("empty.jar").toString();
-        assertTrue(assertThrows(UnusableInputException.class, () -> compare("as-is", no, 6, 1))
+        String invalidJar = folder.resolve("empty.jar").toString();
+        assertTrue(assertThrows(UnusableInputException.class, () -> compare("as-is", invalidJar, 6, 1))
                 .getMessage()
                 .contains("cannot be read"));
     }
 
     @Test
-    void aSweepHoldsEachValueAgainstTheChoiceAsItStands() throws Exception {
+    void aSweepComparesEachValueWithTheUnchangedChoice() throws Exception {
         try (Runner runner = new Runner(4, 60)) {
             List<Comparison> all = new Study(runner, day(), null, options(10))
                     .sweep(Choice.of("as-is", SETTINGS), "caps.max-attempts", List.of("1", "6"));
             assertEquals(Verdict.A, all.get(0).verdict(), all.get(0).reasons().toString());
-            assertEquals(Verdict.CANNOT_TELL, all.get(1).verdict(), "6 is what stands there");
+            assertEquals(Verdict.CANNOT_TELL, all.get(1).verdict(), "6 is the unchanged value");
         }
     }
 
     @Test
-    void aDayIsTheSameAfterItsFile() throws Exception {
+    void aDayWrittenAndParsedIsUnchanged() throws Exception {
         Map<String, String> day = day();
         day.put("front.notice-ms", "100,900");
         day.put("class.window-lookup.work", "quantiles 1 2 3");
@@ -203,7 +211,7 @@
     }
 
     @Test
-    void reportsSayTheVerdictAndCarryTheirPlots() throws Exception {
+    void reportsContainTheVerdictAndThePlots() throws Exception {
         Comparison found = compare("as-is", "caps.max-attempts=1", 10, 4);
         List<String> table = Reports.table(found, "as-is", "caps.max-attempts=1");
         assertEquals("verdict: A", table.get(table.size() - 1));
@@ -218,20 +226,20 @@
         assertEquals(3, page.split("data:image/svg", -1).length - 1);
         assertTrue(
                 page.contains("&lt;b&gt;") && !page.contains("http://") && !page.contains("src=\"/"),
-                "one page, nothing from elsewhere");
+                "the page loads nothing from elsewhere");
     }
 
     @Test
-    void aForecastsBarsHoldForAsManyFurtherRunsAsTheySay() throws Exception {
+    void aPredictionIntervalContainsTheStatedShareOfFurtherRuns() throws Exception {
         try (Runner runner = new Runner(4, 60)) {
             Study study = new Study(runner, day(), null, options(20));
             List<Map<String, Object>> runs = study.play(Choice.of("as-is", SETTINGS), 60);
             int within = 0;
-            Study.Forecast of = Study.forecast(runs.subList(0, 20), "p50-ms", 0.95);
+            Study.Forecast forecast = Study.forecast(runs.subList(0, 20), "p50-ms", 0.95);
             for (Map<String, Object> run : runs.subList(20, 60)) {
-                within += of.holds((Double) run.get("p50-ms")) ? 1 : 0;
+                within += forecast.contains((Double) run.get("p50-ms")) ? 1 : 0;
             }
-            assertTrue(within >= 34, within + " of 40 within 95% bars");
+            assertTrue(within >= 34, within + " of 40 within the 95% interval");
         }
     }
 }
--- a/src/test/java/rushpin/traffic/RecorderTest.java
+++ b/src/test/java/rushpin/traffic/RecorderTest.java
@@ -26,12 +26,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Files as nodes write them, and what becomes of those that a crash, a disk or another version has spoilt. */
+/** Tests writing and reading of record files, also those damaged by a crash or a full disk, or of another version. */
 class RecorderTest {
     @TempDir
     Path folder;
 
-    private final ConcurrentLinkedQueue<String> said = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> logged = new ConcurrentLinkedQueue<>();
     private Path key;
 
     @BeforeEach
@@ -59,12 +59,12 @@
                 0);
     }
 
-    private RecordingConfig keeping(long fileBytes, long mostBytes) {
-        return new RecordingConfig(folder.resolve("records"), key, fileBytes, mostBytes, 1_000);
+    private RecordingConfig config(long fileBytes, long maxBytes) {
+        return new RecordingConfig(folder.resolve("records"), key, fileBytes, maxBytes, 1_000);
     }
 
-    private Recorder recorder(String node, RecordingConfig keeping) throws Exception {
-        return new Recorder(keeping, node, said::add);
+    private Recorder recorder(String node, RecordingConfig config) throws Exception {
+        return new Recorder(config, node, logged::add);
     }
 
     private List<Path> files() throws Exception {
@@ -74,9 +74,9 @@
     }
 
     @Test
-    void whatWasOfferedIsReadAgainUnderAPseudonymThatAllNodesShare() throws Exception {
+    void entriesAreReadBackUnderPseudonymsThatAllNodesShare() throws Exception {
         for (String node : List.of("n1", "n2")) {
-            try (Recorder recorder = recorder(node, keeping(1 << 20, 1 << 24))) {
+            try (Recorder recorder = recorder(node, config(1 << 20, 1 << 24))) {
                 recorder.offer(entry(node, 2_000_000, 77));
                 recorder.offer(entry(node, 1_000_000, 78));
             }
@@ -84,7 +84,8 @@
         RecordedTraffic read = RecordedTraffic.read(folder.resolve("records"));
         assertEquals(4, read.entries().size());
         assertEquals(List.of(), read.notes());
-        Entry first = read.entries().get(0), last = read.entries().get(3);
+        Entry first = read.entries().get(0);
+        Entry last = read.entries().get(3);
         assertEquals(1_000_000, first.at());
         assertEquals(entry("n1", 1_000_000, 0).tries(), first.tries());
         assertEquals(last.customer(), read.entries().get(2).customer());
@@ -93,8 +94,8 @@
     }
 
     @Test
-    void aFileCutShortIsReadUpToItsLastWholeBlock() throws Exception {
-        try (Recorder recorder = recorder("n1", keeping(1 << 20, 1 << 24))) {
+    void aTruncatedFileIsReadUpToItsLastWholeBlock() throws Exception {
+        try (Recorder recorder = recorder("n1", config(1 << 20, 1 << 24))) {
             for (int i = 0; i < 3_000; i++) {
                 recorder.offer(entry("n1", i, i));
             }
@@ -111,19 +112,21 @@
     }
 
     @Test
-    void anotherVersionIsTurnedDownByName() throws Exception {
+    void aFileOfAnotherVersionIsRejected() throws Exception {
         Path file = Files.createDirectories(folder.resolve("records")).resolve("n1-1.avro");
-        try (DataFileWriter<GenericRecord> writer = new DataFileWriter<>(new GenericDatumWriter<>(Form.REQUEST))) {
-            writer.setMeta(Form.VERSION_KEY, 2).create(Form.REQUEST, file.toFile());
-            writer.append(Form.of(entry("n1", 1, 1)));
+        try (DataFileWriter<GenericRecord> writer =
+                new DataFileWriter<>(new GenericDatumWriter<>(AvroFormat.REQUEST))) {
+            writer.setMeta(AvroFormat.VERSION_KEY, 2).create(AvroFormat.REQUEST, file.toFile());
+            writer.append(AvroFormat.toAvro(entry("n1", 1, 1)));
         }
-        String why = assertThrows(RecordedTraffic.Unreadable.class, () -> RecordedTraffic.read(folder.resolve("records")))
+        String message = assertThrows(
+                        RecordedTraffic.Unreadable.class, () -> RecordedTraffic.read(folder.resolve("records")))
                 .getMessage();
-        assertTrue(why.contains("version 2") && why.contains("reads 1"), why);
+        assertTrue(message.contains("version 2") && message.contains("reads 1"), message);
     }
 
     @Test
-    void anEmptyFolderAFileOfNoiseAndAnOddRequestAreSaid() throws Exception {
+    void anEmptyFolderAFileThatIsNotAvroAndAnInvalidRequestAreReported() throws Exception {
         Path records = Files.createDirectories(folder.resolve("records"));
         assertTrue(assertThrows(RecordedTraffic.Unreadable.class, () -> RecordedTraffic.read(records))
                 .getMessage()
@@ -132,13 +135,14 @@
         assertTrue(assertThrows(RecordedTraffic.Unreadable.class, () -> RecordedTraffic.read(records))
                 .getMessage()
                 .contains("no request"));
-        try (DataFileWriter<GenericRecord> writer = new DataFileWriter<>(new GenericDatumWriter<>(Form.REQUEST))) {
-            writer.setMeta(Form.VERSION_KEY, 1)
-                    .create(Form.REQUEST, records.resolve("n1-1.avro").toFile());
-            writer.append(Form.of(entry("n1", 1, 1)));
-            GenericRecord odd = Form.of(entry("n1", 2, 1));
-            odd.put("end", "VANISHED");
-            writer.append(odd);
+        try (DataFileWriter<GenericRecord> writer =
+                new DataFileWriter<>(new GenericDatumWriter<>(AvroFormat.REQUEST))) {
+            writer.setMeta(AvroFormat.VERSION_KEY, 1)
+                    .create(AvroFormat.REQUEST, records.resolve("n1-1.avro").toFile());
+            writer.append(AvroFormat.toAvro(entry("n1", 1, 1)));
+            GenericRecord invalid = AvroFormat.toAvro(entry("n1", 2, 1));
+            invalid.put("end", "VANISHED");
+            writer.append(invalid);
         }
         RecordedTraffic read = RecordedTraffic.read(records);
         assertEquals(1, read.entries().size());
@@ -149,44 +153,46 @@
     }
 
     @Test
-    void aClockThatWasSetBackIsSaid() throws Exception {
+    void aClockSetBackIsReported() throws Exception {
         for (long begin : new long[] {100_000_000, 20_000_000}) {
-            try (Recorder recorder = recorder("n1", keeping(1 << 20, 1 << 24))) {
+            try (Recorder recorder = recorder("n1", config(1 << 20, 1 << 24))) {
                 recorder.offer(entry("n1", begin, 1));
             }
             Thread.sleep(2);
         }
-        assertTrue(RecordedTraffic.read(folder.resolve("records")).notes().get(0).contains("begins 80 s before"));
+        assertTrue(
+                RecordedTraffic.read(folder.resolve("records")).notes().get(0).contains("begins 80 s before"));
     }
 
-    /** The machine's clock is set by so many seconds between two processes of one node. */
+    /** The clock is set by a number of seconds before the node restarts, so later files may have earlier times. */
     @ParameterizedTest
     @ValueSource(longs = {1, -1, 10, -10, 3_600, -3_600})
-    void theOldestFileGoesFirstWhicheverWayTheClockWasSet(long set) throws Exception {
-        long begun = 1_800_000_000_000L, after = begun + 1_000 * set;
-        record(keeping(100, 1 << 20), begun);
+    void theOldestFileIsDeletedFirstIfTheClockWasSet(long clockStepS) throws Exception {
+        long begunMs = 1_800_000_000_000L;
+        long afterMs = begunMs + 1_000 * clockStepS;
+        record(config(100, 1 << 20), begunMs);
         long bytes = Files.size(files().get(0));
-        // Room for one old file beside the one that is begun.
-        RecordingConfig small = keeping(100, 125 + bytes * 3 / 2);
-        record(small, after);
-        record(small, after + 1);
+        // Enough for one old file beside the new one.
+        RecordingConfig small = config(100, 125 + bytes * 3 / 2);
+        record(small, afterMs);
+        record(small, afterMs + 1);
         assertEquals(
-                List.of(1_000 * after, 1_000 * (after + 1)),
+                List.of(1_000 * afterMs, 1_000 * (afterMs + 1)),
                 RecordedTraffic.read(folder.resolve("records")).entries().stream()
                         .map(Entry::at)
                         .sorted()
                         .toList());
     }
 
-    private void record(RecordingConfig keeping, long atMs) throws Exception {
-        try (Recorder recorder = recorder("n1", keeping)) {
+    private void record(RecordingConfig config, long atMs) throws Exception {
+        try (Recorder recorder = recorder("n1", config)) {
             recorder.offer(entry("n1", 1_000 * atMs, 1));
         }
     }
 
     @Test
-    void aFullQueueDropsAndTheNextRecordSaysHowMany() throws Exception {
-        Recorder recorder = recorder("n1", keeping(1 << 24, 1 << 27));
+    void aFullQueueDropsEntriesAndTheNextRecordReportsHowMany() throws Exception {
+        Recorder recorder = recorder("n1", config(1 << 24, 1 << 27));
         int offered = 200_000;
         for (int i = 0; i < offered; i++) {
             recorder.offer(entry("n1", i, 1));
@@ -194,13 +200,13 @@
         recorder.close();
         RecordedTraffic read = RecordedTraffic.read(folder.resolve("records"));
         assertEquals(offered, read.entries().size() + recorder.dropped());
-        assertTrue(read.dropped() <= recorder.dropped(), "a drop is told once");
+        assertTrue(read.dropped() <= recorder.dropped(), "a drop is reported at most once");
         assertTrue(recorder.dropped() == 0 || read.entries().size() < offered);
     }
 
     @Test
-    void onlyTheNewestBytesOfANodeStayAndOthersAreLeftAlone() throws Exception {
-        RecordingConfig small = keeping(100, 1_000);
+    void onlyTheNewestFilesOfANodeAreKeptAndOtherNodesFilesAreNotDeleted() throws Exception {
+        RecordingConfig small = config(100, 1_000);
         assertTrue(Retention.isFull(100, small) && !Retention.isFull(99, small));
         List<Retention.Kept> kept = List.of(
                 new Retention.Kept("n1-2", 400), new Retention.Kept("n1-1", 400), new Retention.Kept("n1-3", 400));
@@ -217,31 +223,31 @@
     }
 
     @Test
-    void aDiskThatFailsCostsRecordsAndNothingElse() throws Exception {
-        Recorder recorder = recorder("n1", keeping(1 << 20, 1 << 24));
+    void aDiskErrorDropsEntriesAndIsLogged() throws Exception {
+        Recorder recorder = recorder("n1", config(1 << 20, 1 << 24));
         Files.delete(folder.resolve("records"));
         recorder.offer(entry("n1", 1, 1));
         recorder.close();
         assertEquals(1, recorder.dropped());
-        assertTrue(said.stream().anyMatch(line -> line.contains("begun anew")), said.toString());
+        assertTrue(logged.stream().anyMatch(line -> line.contains("begun anew")), logged.toString());
     }
 
-    /** Bytes as of a disk that is full from some byte on, which say whether they were closed. */
+    /** A stream on a disk that is full after a number of bytes; it tells whether it was closed. */
     private static final class FullDisk extends FilterOutputStream {
-        private long room;
+        private long freeBytes;
         final CountDownLatch closed = new CountDownLatch(1);
 
-        FullDisk(OutputStream to, long room) {
+        FullDisk(OutputStream to, long freeBytes) {
             super(to);
-            this.room = room;
+            this.freeBytes = freeBytes;
         }
 
         @Override
-        public void write(int one) throws IOException {
-            if (room-- <= 0) {
-                throw new IOException("no room");
+        public void write(int b) throws IOException {
+            if (freeBytes-- <= 0) {
+                throw new IOException("no space left");
             }
-            super.write(one);
+            super.write(b);
         }
 
         @Override
@@ -251,36 +257,41 @@
         }
     }
 
-    /** Room for no header, and for a header but no block. */
+    /**
+     * Space for no header (0 and 100 bytes), and for a header but no block (4000 bytes). If the stream were not closed
+     * and the file not deleted, each attempt on a full disk would leak a descriptor and leave a file without a header.
+     */
     @ParameterizedTest
     @ValueSource(longs = {0, 100, 4_000})
-    void aFullDiskCostsNoDescriptorAndLeavesNoFileWithoutAHeader(long room) throws Exception {
-        AtomicReference<FullDisk> made = new AtomicReference<>();
-        Recorder recorder = new Recorder(keeping(1 << 20, 1 << 24), "n1", said::add, file -> {
-            made.set(new FullDisk(Files.newOutputStream(file), room));
-            return made.get();
+    void aFullDiskLeaksNoDescriptorAndLeavesNoFileWithoutAHeader(long freeBytes) throws Exception {
+        AtomicReference<FullDisk> created = new AtomicReference<>();
+        Recorder recorder = new Recorder(config(1 << 20, 1 << 24), "n1", logged::add, file -> {
+            created.set(new FullDisk(Files.newOutputStream(file), freeBytes));
+            return created.get();
         });
         for (int i = 0; i < 3_000; i++) {
             recorder.offer(entry("n1", i, i));
         }
         recorder.close();
-        assertTrue(made.get().closed.await(10, TimeUnit.SECONDS));
-        assertEquals(room < 1_000 ? 0 : 1, files().size(), files().toString());
-        assertTrue(said.stream().anyMatch(line -> line.contains("no room; begun anew in 10 s")), said.toString());
+        assertTrue(created.get().closed.await(10, TimeUnit.SECONDS));
+        assertEquals(freeBytes < 1_000 ? 0 : 1, files().size(), files().toString());
+        assertTrue(
+                logged.stream().anyMatch(line -> line.contains("no space left; begun anew in 10 s")),
+                logged.toString());
     }
 
     @Test
-    void noMoreThanTheAllowedNumberASecond() {
-        PerSecondLimit allowance = new PerSecondLimit(3);
+    void theLimitPerSecondHolds() {
+        PerSecondLimit limit = new PerSecondLimit(3);
         int taken = 0;
         for (long at = 0; at < 2_000_000_000L; at += 10_000_000) {
-            taken += allowance.take(at) ? 1 : 0;
+            taken += limit.take(at) ? 1 : 0;
         }
         assertEquals(6, taken);
     }
 
     @Test
-    void aShortKeyIsNoKey() {
+    void aShortKeyIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> new Pseudonyms(new byte[15]));
     }
 }
