--- a/src/main/java/rushpin/node/Pool.java
+++ b/src/main/java/rushpin/node/Pool.java
@@ -101,7 +101,7 @@
 
     /** Servers that an operator has disabled; null without a console. */
     private DisabledServers withheld;
-    /** Filled by {@link #gave} during a hand-over. */
+    /** Filled by {@link #ceilingReleased} during a hand-over. */
     private final List<ProcessRegistry.QuotaTransfer> transfers = new ArrayList<>();
 
     private int processCount = 1;
